--- /dev/null
+++ b/tests/fingerprint_test.cpp
@@ -0,0 +1,94 @@
+// Changes of the code that are to leave the behaviour as it is: the outputs of all controllers, in
+// order, over whole runs with troubles. The values were recorded before such a change; a commit
+// that means to change behaviour records new ones and says so.
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <string>
+
+#include "sim/world.h"
+
+namespace puffinhaven::sim {
+namespace {
+
+struct RecordedRun {
+  std::string name;
+  Options options;
+  std::uint64_t fingerprint = 0;
+};
+
+Options base(std::uint64_t seed) {
+  Options o;
+  o.seed = seed;
+  o.until_over = true;
+  return o;
+}
+
+RecordedRun random_troubles() { return {"RandomTroubles", base(901), 0x89ae31c209a793d3}; }
+
+RecordedRun services_in_an_upgrade() {
+  Options o = base(902);
+  o.services = 0.3;
+  o.replicas_end = 0.2;
+  o.upgrade_from = 20'000;
+  o.limits_drop_at = 60'000;
+  return {"ServicesInAnUpgrade", o, 0x286e1c0501c6a853};
+}
+
+RecordedRun cut_links_with_relays() {
+  Options o = base(903);
+  o.relays = true;
+  o.machines = 24;
+  o.capacity = 9;
+  o.bound = 0.3;
+  o.cancels = {{30'000, 0.2}, {45'000, 0.2}};
+  o.link_cuts = {{20'000, 30'000, "puffin-0", "workers/a", 0, 0},
+                 {35'000, 30'000, "state", "puffin-1", 0, 0},
+                 {25'000, 60'000, "workers", "puffin-2", 500, 4000}};
+  return {"CutLinksWithRelays", o, 0x0ed5738050043426};
+}
+
+RecordedRun planned_troubles() {
+  Options o = base(904);
+  o.troubles = false;
+  o.longest_task_s = 30;
+  o.services = 0.2;
+  o.planned = {
+      {10'000, Trouble::isolated, 0, 20'000},        {15'000, Trouble::late_writes, 0, 30'000},
+      {20'000, Trouble::machine_mute, 0, 30'000},    {30'000, Trouble::hand_back, 1, 20'000},
+      {40'000, Trouble::stands_still, 2, 6000},      {45'000, Trouble::cancel_now, 0, 15'000},
+      {55'000, Trouble::refused_then_out, 1, 25'000}};
+  return {"PlannedTroubles", o, 0x51e16ae7f728db07};
+}
+
+RecordedRun larger_fleet() {
+  Options o = base(905);
+  o.controllers = 5;
+  o.machines = 120;
+  o.capacity = 60;
+  o.largest_array = 400;
+  o.job_every_ms = 1000;
+  o.limit_cpus = 300;
+  o.large_gang = 60;
+  o.spot_every = 3;
+  o.enforces_rates = true;
+  return {"LargerFleet", o, 0x09687c4dc5c24ad8};
+}
+
+class RecordedRuns : public testing::TestWithParam<RecordedRun> {};
+
+TEST_P(RecordedRuns, BehaveAsBefore) {
+  const Result r = World(GetParam().options).run();
+  EXPECT_TRUE(r.broken.empty()) << r.broken.front();
+  EXPECT_GT(r.accepted, 20);
+  EXPECT_EQ(r.fingerprint, GetParam().fingerprint) << std::hex << "0x" << r.fingerprint;
+}
+
+INSTANTIATE_TEST_SUITE_P(Simulation, RecordedRuns,
+                         testing::Values(random_troubles(), services_in_an_upgrade(),
+                                         cut_links_with_relays(), planned_troubles(),
+                                         larger_fleet()),
+                         [](const auto& run) { return run.param.name; });
+
+}  // namespace
+}  // namespace puffinhaven::sim
--- /dev/null
+++ b/tests/sim/fingerprint.h
@@ -0,0 +1,71 @@
+// A hash over everything that the controllers of a simulated run send, in order. It shows whether a
+// change of the code changes what the software does.
+#pragma once
+
+#include <xxhash.h>
+
+#include <cstdint>
+#include <memory>
+#include <string_view>
+
+#include "core/controller.h"
+
+namespace puffinhaven::sim {
+
+// Takes in outputs of controllers: calls, answers and messages to peers. Log lines don't count.
+class Fingerprint {
+ public:
+  Fingerprint() : state_(XXH3_createState()) { XXH3_64bits_reset(state_.get()); }
+
+  // `node`: index of the controller. `now`: simulated time, milliseconds.
+  void add(core::Ms now, std::size_t node, const core::Output& output) {
+    for (const auto& call : output.calls) {
+      add_header(now, node, Kind::call);
+      add_number(call.id);
+      add_number(static_cast<std::uint64_t>(call.target));
+      add_text(call.address);
+      add_text(call.method);
+      add_text(call.path);
+      add_text(call.body);
+      add_number(static_cast<std::uint64_t>(call.timeout));
+    }
+    for (const auto& answer : output.answers) {
+      add_header(now, node, Kind::answer);
+      add_number(answer.request);
+      add_number(static_cast<std::uint64_t>(answer.status));
+      add_text(answer.body);
+      add_number(static_cast<std::uint64_t>(answer.retry_after_s));
+    }
+    for (const auto& message : output.peers) {
+      add_header(now, node, Kind::peer_message);
+      add_text(message.to);
+      add_text(message.bytes);
+    }
+  }
+
+  std::uint64_t value() const { return XXH3_64bits_digest(state_.get()); }
+
+ private:
+  enum class Kind : std::uint8_t { call, answer, peer_message };
+  struct Release {
+    void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
+  };
+
+  void add_header(core::Ms now, std::size_t node, Kind kind) {
+    add_number(static_cast<std::uint64_t>(now));
+    add_number(node);
+    add_number(static_cast<std::uint64_t>(kind));
+  }
+  void add_number(std::uint64_t number) {
+    XXH3_64bits_update(state_.get(), &number, sizeof(number));
+  }
+  // With its length, so that texts that follow one another can't be divided in two ways.
+  void add_text(std::string_view text) {
+    add_number(text.size());
+    XXH3_64bits_update(state_.get(), text.data(), text.size());
+  }
+
+  std::unique_ptr<XXH3_state_t, Release> state_;
+};
+
+}  // namespace puffinhaven::sim
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -166,6 +166,7 @@
     e.action();
   }
   count_served();
+  result_.fingerprint = fingerprint_.value();
   result_.writes = state_->writes;
   result_.views = static_cast<int>(
       std::count_if(state_->changes.begin(), state_->changes.end(),
@@ -339,6 +340,7 @@
 void World::drain(std::size_t i) {
   Node& n = *nodes_[i];
   auto out = n.controller->take_output();
+  fingerprint_.add(now_, i, out);
   for (const auto& l : out.logs) trace(n.name + " " + l.text);
   for (const auto& c : out.calls) trace(n.name + " -> " + c.address + c.path + " " + c.body);
   for (const auto& a : out.answers)
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -16,6 +16,7 @@
 #include "core/capacity.h"
 #include "core/controller.h"
 #include "history/checker.h"
+#include "sim/fingerprint.h"
 #include "sim/link_cuts.h"
 #include "sim/state_stand_in.h"
 
@@ -196,6 +197,7 @@
   std::vector<Ms> unserved_ms;
   std::map<std::string, int> unhealthy;
   int views = 0;
+  std::uint64_t fingerprint = 0;            // of all outputs of controllers (sim/fingerprint.h)
   int late_applied = 0, late_void = 0;      // late transactions that changed something, or failed
   std::map<std::string, double> most_used;  // CPUs, by team
 };
@@ -356,6 +358,7 @@
   bool links_slow_ = false;
   bool calm_ = false;
   history::Checker history_;
+  Fingerprint fingerprint_;
   Result result_;
 };
 
