--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -21,7 +21,7 @@
 }
 
 void set_logging(const std::string& option) {
-  auto logger = spdlog::stderr_logger_st("puffinhaven");
+  auto logger = spdlog::stderr_logger_st("cluster-scheduler");
   spdlog::set_default_logger(logger);
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   const char* variable = std::getenv("LOG_LEVEL");
@@ -34,24 +34,24 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"puffinhaven, a cluster scheduler: one controller"};
+  CLI::App app{"cluster-scheduler: one controller of a cluster"};
   std::string config, options_path;
   bool check = false;
   app.add_option("--config", config, "Settings file (TOML) from the platform")->required();
   app.add_option("--options", options_path, "Operators' own options (TOML)")
       ->envname("PUFFINHAVEN_OPTIONS");
   app.add_flag("--check", check, "Check the settings and exit");
-  app.set_version_flag("--version", std::string("puffinhaven ") + PUFFINHAVEN_VERSION);
+  app.set_version_flag("--version", std::string("cluster-scheduler ") + SCHEDULER_VERSION);
   CLI11_PARSE(app, argc, argv);
   try {
-    auto settings = puffinhaven::app::load_settings(config);
-    const auto options = options_path.empty() ? puffinhaven::app::Options{}
-                                              : puffinhaven::app::load_options(options_path);
+    auto settings = scheduler::app::load_settings(config);
+    const auto options = options_path.empty() ? scheduler::app::Options{}
+                                              : scheduler::app::load_options(options_path);
     settings.core.expected_machines = options.machines;
     settings.core.relays = options.relay;
     if (check) {
-      const auto problems = puffinhaven::core::capacity_problems(settings.core);
-      for (const auto& problem : problems) std::cerr << "puffinhaven: " << problem << "\n";
+      const auto problems = scheduler::capacity_problems(settings.core);
+      for (const auto& problem : problems) std::cerr << "cluster-scheduler: " << problem << "\n";
       if (!problems.empty()) return 1;
       std::cout << "settings are valid\n";
       return 0;
@@ -59,10 +59,10 @@
     set_logging(options.log_level);
     settings.core.log_debug = spdlog::should_log(spdlog::level::debug);
     asio::io_context io(1);
-    puffinhaven::app::Service service(io, settings, options, fresh_seed());
+    scheduler::app::Service service(io, settings, options, fresh_seed());
     service.run();
   } catch (const std::exception& e) {
-    std::cerr << "puffinhaven: " << e.what() << "\n";
+    std::cerr << "cluster-scheduler: " << e.what() << "\n";
     return 1;
   }
   return 0;
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -9,7 +9,7 @@
 #include "net/address.h"
 #include "net/limits.h"
 
-namespace puffinhaven::app {
+namespace scheduler::app {
 
 Service::Service(asio::io_context& io, const NodeSettings& settings, const Options& options,
                  std::uint64_t seed)
@@ -17,7 +17,7 @@
       settings_(settings),
       options_(options),
       controller_(settings.core, seed),
-      capacity_(core::capacity_of(settings.core)),
+      capacity_(capacity_of(settings.core)),
       client_(io, {static_cast<std::size_t>(settings.core.sockets / net::limits::kIdleSocketsShare),
                    capacity_.response_bytes}),
       timer_(io) {
@@ -46,21 +46,21 @@
   return std::max(16, sockets - idle - calls);
 }
 
-core::Ms Service::steady_ms() {
+Ms Service::steady_ms() {
   // Never 0: the core uses that for "not yet".
   return 1 + std::chrono::duration_cast<std::chrono::milliseconds>(
                  std::chrono::steady_clock::now().time_since_epoch())
                  .count();
 }
 
-core::Ms Service::wall_ms() {
+Ms Service::wall_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
 void Service::run() {
-  for (const auto& problem : core::capacity_problems(settings_.core)) spdlog::error("{}", problem);
+  for (const auto& problem : capacity_problems(settings_.core)) spdlog::error("{}", problem);
   for (const auto& kind : settings_.unknown_objectives)
     spdlog::info("objectives of kind {} are not known and ignored", kind);
   spdlog::info("{} in {} listens on {}", settings_.core.name, settings_.core.zone,
@@ -72,12 +72,12 @@
 }
 
 void Service::tick() {
-  const core::Ms now = steady_ms();
+  const Ms now = steady_ms();
   controller_.tick(now, wall_ms());
   look_at_ = 0;
   carry_out();
   if (now >= status_at_) {
-    status_at_ = now + core::constants::kStatusEveryMs;
+    status_at_ = now + constants::kStatusEveryMs;
     spdlog::info("{}, connections {}, closed early {}, refused {}", controller_.status_line(now),
                  server_->connections(), server_->closed_early(), server_->refused());
   }
@@ -85,9 +85,9 @@
 
 // The timer is set only when the core wants to look at the time earlier than it would.
 void Service::arm() {
-  const core::Ms now = steady_ms();
-  const core::Ms at = std::clamp(controller_.next_tick(now), now + 1, now + options_.tick_ms);
-  if (look_at_ != 0 && look_at_ <= at + core::constants::kTimerSlackMs) return;
+  const Ms now = steady_ms();
+  const Ms at = std::clamp(controller_.next_tick(now), now + 1, now + options_.tick_ms);
+  if (look_at_ != 0 && look_at_ <= at + constants::kTimerSlackMs) return;
   look_at_ = at;
   timer_.expires_after(std::chrono::milliseconds(at - now));
   timer_.async_wait([this](std::error_code error) {
@@ -99,19 +99,19 @@
   if (carrying_) return;
   carrying_ = true;
   for (;;) {
-    core::Output out = controller_.take_output();
+    Output out = controller_.take_output();
     if (out.calls.empty() && out.answers.empty() && out.peers.empty() && out.logs.empty()) break;
     for (auto& line : out.logs) {
-      spdlog::log(line.level == core::LogLevel::error  ? spdlog::level::err
-                  : line.level == core::LogLevel::info ? spdlog::level::info
-                                                       : spdlog::level::debug,
+      spdlog::log(line.level == LogLevel::error  ? spdlog::level::err
+                  : line.level == LogLevel::info ? spdlog::level::info
+                                                 : spdlog::level::debug,
                   "{}", line.text);
     }
     for (auto& a : out.answers) server_->answer(a.request, a.status, a.body, a.retry_after_s);
     for (auto& c : out.calls) {
-      const std::string& address = c.target == core::Target::state   ? settings_.state
-                                   : c.target == core::Target::cloud ? settings_.cloud
-                                                                     : c.address;
+      const std::string& address = c.target == Target::state   ? settings_.state
+                                   : c.target == Target::cloud ? settings_.cloud
+                                                               : c.address;
       client_.send({address, std::move(c.method), std::move(c.path), std::move(c.body), c.timeout},
                    [this, id = c.id](int status, std::string body) {
                      controller_.on_outcome(steady_ms(), id, {status, std::move(body)});
@@ -124,4 +124,4 @@
   arm();
 }
 
-}  // namespace puffinhaven::app
+}  // namespace scheduler::app
--- a/src/app/service.h
+++ b/src/app/service.h
@@ -12,7 +12,7 @@
 #include "net/http_server.h"
 #include "net/peer_link.h"
 
-namespace puffinhaven::app {
+namespace scheduler::app {
 
 class Service {
  public:
@@ -21,8 +21,8 @@
   void run();
 
  private:
-  static core::Ms steady_ms();
-  static core::Ms wall_ms();
+  static Ms steady_ms();
+  static Ms wall_ms();
   void tick();
   void carry_out();
   void arm();
@@ -31,15 +31,15 @@
   asio::io_context& io_;
   NodeSettings settings_;
   Options options_;
-  core::Controller controller_;
-  core::Capacity capacity_;
+  Controller controller_;
+  Capacity capacity_;
   net::HttpClient client_;
   std::unique_ptr<net::HttpServer> server_;
   std::unique_ptr<net::PeerLinks> peers_;
   asio::steady_timer timer_;
-  core::Ms status_at_ = 0;
-  core::Ms look_at_ = 0;  // when the timer ends; 0: not set
+  Ms status_at_ = 0;
+  Ms look_at_ = 0;  // when the timer ends; 0: not set
   bool carrying_ = false;
 };
 
-}  // namespace puffinhaven::app
+}  // namespace scheduler::app
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -11,7 +11,7 @@
 
 #include "net/address.h"
 
-namespace puffinhaven::app {
+namespace scheduler::app {
 
 namespace {
 
@@ -72,12 +72,12 @@
 
 struct ObjectiveName {
   std::string_view name;
-  core::ObjectiveKind kind;
+  ObjectiveKind kind;
 };
-constexpr ObjectiveName kObjectiveNames[] = {{"deadline", core::ObjectiveKind::deadline},
-                                             {"finished", core::ObjectiveKind::finished},
-                                             {"wait", core::ObjectiveKind::wait},
-                                             {"up", core::ObjectiveKind::up}};
+constexpr ObjectiveName kObjectiveNames[] = {{"deadline", ObjectiveKind::deadline},
+                                             {"finished", ObjectiveKind::finished},
+                                             {"wait", ObjectiveKind::wait},
+                                             {"up", ObjectiveKind::up}};
 
 // Kinds that this version does not know are left out; the service logs them.
 void read_objective(const toml::table& t, NodeSettings& out) {
@@ -90,20 +90,20 @@
     out.unknown_objectives.insert(kind);
     return;
   }
-  core::Objective o;
+  Objective o;
   o.kind = known->kind;
   if (t.contains("class")) o.job_class = text(t, "class", where);
   o.share = optional_number(t, "share", where);
   o.times = optional_number(t, "times", where);
   // The time from which a replica counts is named differently from the time for a start.
-  const bool up = o.kind == core::ObjectiveKind::up;
+  const bool up = o.kind == ObjectiveKind::up;
   o.within_s = optional_number(t, up ? "after_s" : "within_s", where);
   out.core.objectives.push_back(std::move(o));
 }
 
 // The state service's limits. Those announced for later (`next`) may come at any moment, so what
 // is written fits both.
-void read_state_limits(const toml::table& state, core::Settings& out) {
+void read_state_limits(const toml::table& state, Settings& out) {
   constexpr double kLeastValueKb = 1;  // a record of one placement and a short job fit
   constexpr double kLeastTxnOps = 4;   // a placement on three parts and its range
   const std::string where = "settings.state.";
@@ -129,14 +129,14 @@
 NodeSettings load_settings(const std::string& path) {
   const toml::table root = parse(path);
   NodeSettings out;
-  core::Settings& c = out.core;
+  Settings& c = out.core;
   c.name = text(root, "host_name", "");
   c.zone = text(root, "zone", "");
   out.listen = address(root, "bind", "");
   out.peer_listen = address(root, "peer_listen", "");
   std::set<std::string> names{c.name};
   each(root, "known", [&](const toml::table& t) {
-    core::Peer p;
+    Peer p;
     p.name = text(t, "host_name", "known.");
     p.zone = text(t, "zone", "known.");
     p.address = address(t, "peer_addr", "known.");
@@ -158,7 +158,7 @@
     bad("settings.zones is not a list of names");
   }
   each(s, "teams", [&](const toml::table& t) {
-    core::Team team;
+    Team team;
     team.name = text(t, "name", "settings.teams.");
     team.cpus = optional_number(t, "cpus", "settings.teams.");
     team.cpus_max = optional_number(t, "cpus_max", "settings.teams.");
@@ -217,4 +217,4 @@
   return out;
 }
 
-}  // namespace puffinhaven::app
+}  // namespace scheduler::app
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -6,10 +6,10 @@
 
 #include "core/types.h"
 
-namespace puffinhaven::app {
+namespace scheduler::app {
 
 struct NodeSettings {
-  core::Settings core;
+  Settings core;
   std::string listen, peer_listen, cloud, state;
   double cpu_share = 0;
   std::set<std::string> unknown_objectives;  // kinds that this version does not know; ignored
@@ -27,4 +27,4 @@
 };
 Options load_options(const std::string& path);
 
-}  // namespace puffinhaven::app
+}  // namespace scheduler::app
--- a/src/core/capacity.cpp
+++ b/src/core/capacity.cpp
@@ -5,7 +5,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -70,4 +70,4 @@
   return out;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/capacity.h
+++ b/src/core/capacity.h
@@ -9,7 +9,7 @@
 
 #include "core/types.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 struct Capacity {
   // Unfinished jobs held in memory. Beyond it submissions are answered 429 with `Retry-After`.
@@ -39,4 +39,4 @@
 int sockets_needed(int machines);
 double memory_needed_mb(int machines);
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/commands.cpp
+++ b/src/core/commands.cpp
@@ -5,7 +5,7 @@
 #include "core/controller.h"
 #include "core/log_event.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -233,4 +233,4 @@
   ++m.orders_failed;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace puffinhaven::core::constants {
+namespace scheduler::constants {
 
 // ---- placement (docs/design.md) ----
 // Machines sampled per task. The paper's default; eight changed nothing (docs/results.md).
@@ -394,4 +394,4 @@
 constexpr std::size_t kResponseBytesLeast = 1024 * 1024;
 constexpr std::size_t kResponseBytesMost = 8 * 1024 * 1024;
 
-}  // namespace puffinhaven::core::constants
+}  // namespace scheduler::constants
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -13,7 +13,7 @@
 #include "core/store.h"
 #include "core/types.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 struct Context {
   const Settings& settings;
@@ -40,4 +40,4 @@
   bool services_enabled() const { return replica.format() >= wire::kServiceFormat; }
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -9,7 +9,7 @@
 #include "core/constants.h"
 #include "core/log_event.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -338,4 +338,4 @@
   keep_reachable(now);
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -32,7 +32,7 @@
 #include "wire/messages.h"
 #include "wire/peer.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 struct PeerSend {
   std::string to;
@@ -549,4 +549,4 @@
   Ms machines_at_ = 0;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -6,7 +6,7 @@
 #include "core/constants.h"
 #include "core/placement.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -147,4 +147,4 @@
   return out;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -10,7 +10,7 @@
 #include "core/types.h"
 #include "wire/records.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // The duty of the fleet's coordinator. Its name decides which controller that is, so that the
 // production version and this one must hash the same one.
@@ -65,4 +65,4 @@
   std::map<MachineKind, Ms> refused_;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/fleet_coordinator.cpp
+++ b/src/core/fleet_coordinator.cpp
@@ -6,7 +6,7 @@
 #include "core/constants.h"
 #include "wire/messages.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 using wire::MachineStanding;
@@ -310,4 +310,4 @@
   }
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/fleet_coordinator.h
+++ b/src/core/fleet_coordinator.h
@@ -14,7 +14,7 @@
 #include "core/types.h"
 #include "wire/records.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // Rents what the unfinished work needs, adopts machines that nobody expected, and returns those
 // that are lost, sick, drained or not needed.
@@ -71,4 +71,4 @@
   std::map<std::string, Ms> unlisted_since_;  // recorded machines that the list lacks
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/fleet_record_writer.cpp
+++ b/src/core/fleet_record_writer.cpp
@@ -6,7 +6,7 @@
 #include "core/constants.h"
 #include "core/machine_groups.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -171,4 +171,4 @@
   written_(batch.rentals);
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/fleet_record_writer.h
+++ b/src/core/fleet_record_writer.h
@@ -14,7 +14,7 @@
 #include "core/types.h"
 #include "wire/records.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // Gathers changes of machines and of settled rental requests, and writes them: one transaction at a
 // time carries as much as fits. A change whose write did not succeed is dropped once the replica
@@ -64,4 +64,4 @@
   bool busy_ = false;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/format_switch.cpp
+++ b/src/core/format_switch.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace {
 
@@ -48,4 +48,4 @@
   return transaction;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/format_switch.h
+++ b/src/core/format_switch.h
@@ -13,7 +13,7 @@
 #include "core/store.h"
 #include "core/types.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 class FormatSwitch {
  public:
@@ -33,4 +33,4 @@
   const Settings& settings_;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/gangs.cpp
+++ b/src/core/gangs.cpp
@@ -6,7 +6,7 @@
 #include "core/log_event.h"
 #include "core/pass.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace {
 
@@ -120,4 +120,4 @@
   return chosen;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/grants.cpp
+++ b/src/core/grants.cpp
@@ -6,7 +6,7 @@
 #include "core/controller.h"
 #include "core/pass.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -127,4 +127,4 @@
   }
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/health.cpp
+++ b/src/core/health.cpp
@@ -4,7 +4,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -83,4 +83,4 @@
   results_.erase(machine);
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/health.h
+++ b/src/core/health.h
@@ -8,7 +8,7 @@
 #include "core/constants.h"
 #include "core/types.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 class Health {
  public:
@@ -51,4 +51,4 @@
   std::map<std::string, std::map<wire::TaskId, Ms>> results_;  // machine -> replica -> its end
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/job_answers.cpp
+++ b/src/core/job_answers.cpp
@@ -19,7 +19,7 @@
 #include "core/controller.h"
 #include "core/log_event.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -233,4 +233,4 @@
   }
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/jobs.cpp
+++ b/src/core/jobs.cpp
@@ -6,7 +6,7 @@
 #include "core/controller.h"
 #include "core/placement.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -311,4 +311,4 @@
   store_.submit(std::move(t));
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/log_event.h
+++ b/src/core/log_event.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // Builds one line. Values are printed as they are, so they must not contain spaces; names of jobs,
 // machines and controllers do not.
@@ -31,4 +31,4 @@
   std::string text_;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/machine_groups.cpp
+++ b/src/core/machine_groups.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace {
 
@@ -37,4 +37,4 @@
   return fits ? std::optional(std::move(out)) : std::nullopt;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/machine_groups.h
+++ b/src/core/machine_groups.h
@@ -13,7 +13,7 @@
 
 #include "wire/records.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 using FleetRecords = std::map<std::uint32_t, wire::FleetRecord>;  // by group
 
@@ -28,4 +28,4 @@
 std::optional<FleetRecords> split_group(const FleetRecords& fleet, std::uint32_t group,
                                         const GroupLimits& limits);
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/machine_list.cpp
+++ b/src/core/machine_list.cpp
@@ -5,7 +5,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -91,4 +91,4 @@
   complete_(now);
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/machine_list.h
+++ b/src/core/machine_list.h
@@ -11,7 +11,7 @@
 #include "links/request_link.h"
 #include "wire/messages.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // The list lags behind, and one may be older than the one before (PROTOCOL): what it lacks may
 // exist, and what it names may be gone.
@@ -53,4 +53,4 @@
   links::RequestLink link_;  // to the cloud
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/machine_records.cpp
+++ b/src/core/machine_records.cpp
@@ -7,7 +7,7 @@
 #include "core/constants.h"
 #include "core/controller.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -174,4 +174,4 @@
   }
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -5,7 +5,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace {
 // FNV-1a with a final mix: the hash must be the same in every process, unlike std::hash.
@@ -116,4 +116,4 @@
   return token & ((std::uint64_t{1} << constants::kFenceBits) - 1);
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -11,7 +11,7 @@
 #include "core/types.h"
 #include "wire/records.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // The live controller that a name is hashed to (highest random weight), or empty. With shares, each
 // gets that part of all names; they are as many as the candidates and not all zero.
@@ -52,4 +52,4 @@
   mutable std::map<std::string, std::string> owner_cache_;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/order.cpp
+++ b/src/core/order.cpp
@@ -5,7 +5,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -108,4 +108,4 @@
   return out;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/order.h
+++ b/src/core/order.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <vector>
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // A job with tasks that wait for room.
 struct Waiting {
@@ -21,4 +21,4 @@
 // weight is put off); then those that cannot, the least work first; then what meets no aim, by age.
 std::vector<std::size_t> places(const std::vector<Waiting>& jobs, double cpus);
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/pass.h
+++ b/src/core/pass.h
@@ -9,7 +9,7 @@
 
 #include "core/controller.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 struct Controller::Pass {
   Ms now = 0;
@@ -34,4 +34,4 @@
   std::map<Shape, double> room;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/pause.cpp
+++ b/src/core/pause.cpp
@@ -7,7 +7,7 @@
 #include "core/constants.h"
 #include "core/controller.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -48,4 +48,4 @@
   });
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/peers.cpp
+++ b/src/core/peers.cpp
@@ -6,7 +6,7 @@
 #include "core/controller.h"
 #include "core/log_event.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -153,4 +153,4 @@
   return newest_epoch_ > membership_.epoch() && !store_.answering(now);
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -6,7 +6,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 bool Candidate::fits(const wire::JobSpec& job) const {
   return cpus + constants::kAmountSlack >= job.cpus && gpus + constants::kAmountSlack >= job.gpus &&
@@ -112,4 +112,4 @@
   return best;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -8,7 +8,7 @@
 #include "core/types.h"
 #include "wire/messages.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // What a booked task holds, and when it should be through by its estimate.
 struct Booked {
@@ -53,4 +53,4 @@
 int choose(Ms now, const std::vector<Candidate*>& machines, const wire::JobSpec& job,
            const std::vector<int>& eligible, pcg32& random);
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -6,7 +6,7 @@
 #include "core/controller.h"
 #include "core/pass.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -123,4 +123,4 @@
   return best;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/quota.cpp
+++ b/src/core/quota.cpp
@@ -5,7 +5,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace {
 
@@ -167,4 +167,4 @@
   return next;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/quota.h
+++ b/src/core/quota.h
@@ -9,7 +9,7 @@
 #include "core/types.h"
 #include "wire/records.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 struct QuotaInput {
   const Team* team = nullptr;
@@ -52,4 +52,4 @@
 // The record as we want it next, or none if nothing is to change.
 std::optional<wire::QuotaRecord> next_quota(const QuotaInput& in, const wire::QuotaRecord& record);
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/range_split.cpp
+++ b/src/core/range_split.cpp
@@ -6,7 +6,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace {
 
@@ -61,4 +61,4 @@
   return std::clamp(by_value, 1U, constants::kTasksPerRange);
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/range_split.h
+++ b/src/core/range_split.h
@@ -6,7 +6,7 @@
 
 #include "wire/records.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // The range in as few pieces as halving gives, in the order of tasks, each with a record of at most
 // `limit_bytes`. Every task, finished mark and placement is in just one piece. A range that fits is
@@ -18,4 +18,4 @@
 // to placements while a job of the most tasks still has few ranges.
 std::uint32_t tasks_per_range(std::size_t limit_bytes);
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/ranges.cpp
+++ b/src/core/ranges.cpp
@@ -8,7 +8,7 @@
 #include "core/pass.h"
 #include "core/range_split.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -469,4 +469,4 @@
   });
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -4,7 +4,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -151,4 +151,4 @@
   std::erase_if(passed_on_at_, [&](const auto& p) { return now - p.second > settled; });
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/relay.h
+++ b/src/core/relay.h
@@ -11,7 +11,7 @@
 #include "core/types.h"
 #include "wire/peer.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // A command goes to its worker through a peer under the same token and session, and a report to its
 // owner, whose answer the worker takes since any controller may give it under an equal token
@@ -90,4 +90,4 @@
   std::map<std::pair<std::string, std::string>, Ms> direct_attempt_at_;  // by owner and zone
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/rentals.cpp
+++ b/src/core/rentals.cpp
@@ -6,7 +6,7 @@
 #include "core/constants.h"
 #include "wire/messages.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -76,4 +76,4 @@
   send_at_ = 0;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/rentals.h
+++ b/src/core/rentals.h
@@ -12,7 +12,7 @@
 #include "core/types.h"
 #include "wire/records.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // Each request is recorded before it is sent, and repeated under its name until the cloud answers:
 // a repeat rents nothing twice, and a successor of this controller finds it. This guards against
@@ -49,4 +49,4 @@
   Ms send_at_ = 0;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/replica.cpp
+++ b/src/core/replica.cpp
@@ -4,7 +4,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 bool Job::whole() const {
   if (!known) return false;
@@ -360,4 +360,4 @@
   return sum;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/replica.h
+++ b/src/core/replica.h
@@ -12,7 +12,7 @@
 #include "wire/records.h"
 #include "wire/state_service.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 struct RangeId {
   std::string job;
@@ -133,4 +133,4 @@
   bool view_changed_ = false;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/reports.cpp
+++ b/src/core/reports.cpp
@@ -4,7 +4,7 @@
 #include "core/constants.h"
 #include "core/controller.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -339,4 +339,4 @@
   }
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/schedule.cpp
+++ b/src/core/schedule.cpp
@@ -8,7 +8,7 @@
 #include "core/controller.h"
 #include "core/pass.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -565,4 +565,4 @@
   need_quota(spec, waiting);
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/services.cpp
+++ b/src/core/services.cpp
@@ -7,7 +7,7 @@
 #include "core/controller.h"
 #include "core/pass.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -193,4 +193,4 @@
   m.send_again = true;
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/store.cpp
+++ b/src/core/store.cpp
@@ -7,7 +7,7 @@
 #include "core/constants.h"
 #include "core/log_event.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -600,4 +600,4 @@
   for (auto& t : due) t.done(now, Committed::rejected, {});
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/store.h
+++ b/src/core/store.h
@@ -15,7 +15,7 @@
 #include "wire/records.h"
 #include "wire/state_service.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 enum class Committed : std::uint8_t {
   yes,
@@ -188,4 +188,4 @@
   links::RequestLink link_;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -8,7 +8,7 @@
 
 #include "wire/records.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 using Ms = std::int64_t;  // milliseconds of the steady clock, unless named otherwise
 constexpr Ms to_ms(double seconds) { return static_cast<Ms>(seconds * 1000.0); }
@@ -105,4 +105,4 @@
   std::string text;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/view_member.cpp
+++ b/src/core/view_member.cpp
@@ -5,7 +5,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -152,4 +152,4 @@
   context_.store.submit(std::move(t));
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/view_member.h
+++ b/src/core/view_member.h
@@ -11,7 +11,7 @@
 #include "links/monitor.h"
 #include "wire/records.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 // Every change of the view is one write under the condition that nobody else has changed it, so
 // that views follow one another without gaps whoever writes them.
@@ -52,4 +52,4 @@
   std::map<std::string, Ms> lease_missing_since_;  // by member
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/watch.cpp
+++ b/src/core/watch.cpp
@@ -5,7 +5,7 @@
 #include "core/constants.h"
 #include "core/controller.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -150,4 +150,4 @@
   }
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/core/worker_links.cpp
+++ b/src/core/worker_links.cpp
@@ -7,7 +7,7 @@
 #include "core/controller.h"
 #include "core/log_event.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 namespace k = constants;
 
@@ -198,4 +198,4 @@
   if (!sent) answer(request, 421, wire::redirect_body(owner));
 }
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/src/history/checker.cpp
+++ b/src/history/checker.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace puffinhaven::history {
+namespace scheduler::history {
 
 std::string_view name(Fault fault) {
   switch (fault) {
@@ -128,4 +128,4 @@
     if (job.accepted && !job.recorded) found(Fault::no_result, at, id);
 }
 
-}  // namespace puffinhaven::history
+}  // namespace scheduler::history
--- a/src/history/checker.h
+++ b/src/history/checker.h
@@ -11,7 +11,7 @@
 
 #include "history/event.h"
 
-namespace puffinhaven::history {
+namespace scheduler::history {
 
 enum class Fault : std::uint8_t {
   two_results,        // the state service recorded a second result that differs from the first
@@ -75,4 +75,4 @@
   std::size_t accepted_ = 0, results_ = 0;
 };
 
-}  // namespace puffinhaven::history
+}  // namespace scheduler::history
--- a/src/history/event.h
+++ b/src/history/event.h
@@ -7,7 +7,7 @@
 
 #include "wire/messages.h"
 
-namespace puffinhaven::history {
+namespace scheduler::history {
 
 using Ms = std::int64_t;  // milliseconds since the history began, by one clock
 
@@ -61,4 +61,4 @@
 using Event = std::variant<Accepted, Answered, AnsweredUnknown, CancelAsked, TaskBegan, TaskEnded,
                            ResultRecorded, ResultRemoved>;
 
-}  // namespace puffinhaven::history
+}  // namespace scheduler::history
--- a/src/links/census.h
+++ b/src/links/census.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 struct HeardCount {
   std::size_t heard = 0, silent = 0;
@@ -34,4 +34,4 @@
   }
 };
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/constants.h
+++ b/src/links/constants.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace puffinhaven::links::constants {
+namespace scheduler::links::constants {
 
 // ---- requests: the state service and the cloud ----
 // Milliseconds without any answer after which a service counts as not answering; while nothing else
@@ -76,4 +76,4 @@
 // Milliseconds in which half of a link's past failures is forgotten.
 constexpr double kFlapHalfLifeMs = 60'000.0;
 
-}  // namespace puffinhaven::links::constants
+}  // namespace scheduler::links::constants
--- a/src/links/flap_damper.cpp
+++ b/src/links/flap_damper.cpp
@@ -5,7 +5,7 @@
 
 #include "links/constants.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 namespace k = constants;
 
@@ -31,4 +31,4 @@
   return std::min(k::kSteadyMostMs, static_cast<Ms>(steady));
 }
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/flap_damper.h
+++ b/src/links/flap_damper.h
@@ -3,7 +3,7 @@
 
 #include "links/types.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 // Each failure adds a penalty that halves within a minute. The larger it is, the longer the link
 // must have been up before work is put on it again.
@@ -25,4 +25,4 @@
   Ms counted_at_ = 0;
 };
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/matrix.cpp
+++ b/src/links/matrix.cpp
@@ -5,7 +5,7 @@
 
 #include "links/constants.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 namespace k = constants;
 
@@ -48,4 +48,4 @@
   return entry == entries_.end() ? nullptr : &entry->second;
 }
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/matrix.h
+++ b/src/links/matrix.h
@@ -8,7 +8,7 @@
 #include "links/types.h"
 #include "wire/link_row.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 // Rows spread from controller to controller with the hints, so that a row arrives although there is
 // no link to the one that wrote it. Of two rows of one controller the newer counts, whichever way
@@ -40,4 +40,4 @@
   std::map<std::string, Entry> entries_;
 };
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/monitor.cpp
+++ b/src/links/monitor.cpp
@@ -5,7 +5,7 @@
 
 #include "links/constants.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 namespace k = constants;
 
@@ -274,4 +274,4 @@
          (links->second.reports == Status::down || links->second.commands == Status::down);
 }
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/monitor.h
+++ b/src/links/monitor.h
@@ -15,7 +15,7 @@
 #include "links/verdict.h"
 #include "links/zone_links.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 // The two clocks. Ages of our own evidence follow the steady one, those of rows the time of day.
 struct Moment {
@@ -111,4 +111,4 @@
   Ms workers_up_since_ = 0;   // while machines are given up; 0: probes go unanswered
 };
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/phi_detector.cpp
+++ b/src/links/phi_detector.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 namespace k = constants;
 
@@ -56,4 +56,4 @@
   return suspicion(now) < k::kSuspicion ? Status::up : Status::down;
 }
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/phi_detector.h
+++ b/src/links/phi_detector.h
@@ -8,7 +8,7 @@
 #include "links/constants.h"
 #include "links/types.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 // Tells how unlikely the present silence is, given the intervals so far.
 class PhiDetector {
@@ -34,4 +34,4 @@
   Ms last_heard_ = 0;  // 0: never
 };
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/request_link.h
+++ b/src/links/request_link.h
@@ -6,7 +6,7 @@
 #include "links/constants.h"
 #include "links/types.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 // Keeps the newest evidence of each kind. A refusal (503) shows that the service is there, which an
 // outage and a cut are told apart by, but it is no answer.
@@ -44,4 +44,4 @@
   Ms last_refusal_ = 0;
 };
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/types.h
+++ b/src/links/types.h
@@ -5,9 +5,9 @@
 
 #include "wire/link_row.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 using Ms = std::int64_t;  // milliseconds of the steady clock, unless named otherwise
 using Status = wire::LinkStatus;
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/verdict.cpp
+++ b/src/links/verdict.cpp
@@ -1,6 +1,6 @@
 #include "links/verdict.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 std::string_view name(Reason reason) {
   switch (reason) {
@@ -30,4 +30,4 @@
   return "";
 }
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/verdict.h
+++ b/src/links/verdict.h
@@ -6,7 +6,7 @@
 
 #include "links/types.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 enum class Reason : std::uint8_t {
   link_up,         // our own link works
@@ -31,4 +31,4 @@
   Ms evidence_age_ms = 0;  // of that row, or since our own link last worked
 };
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/zone_links.cpp
+++ b/src/links/zone_links.cpp
@@ -4,7 +4,7 @@
 
 #include "links/constants.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 namespace k = constants;
 
@@ -68,4 +68,4 @@
   return silent_for(now) > std::max(earliest, before_limit);
 }
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/links/zone_links.h
+++ b/src/links/zone_links.h
@@ -5,7 +5,7 @@
 
 #include "links/types.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 
 // Reports show one direction, answers to probes and commands the other (and that their answers come
 // back). Workers report at intervals with a known bound, so silence is judged by that bound and by
@@ -50,4 +50,4 @@
   bool suspected_ = false;
 };
 
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -2,7 +2,7 @@
 
 #include <charconv>
 
-namespace puffinhaven::net {
+namespace scheduler::net {
 
 std::optional<asio::ip::tcp::endpoint> parse_endpoint(std::string_view text) {
   const auto colon = text.rfind(':');
@@ -17,4 +17,4 @@
   return asio::ip::tcp::endpoint(ip, port);
 }
 
-}  // namespace puffinhaven::net
+}  // namespace scheduler::net
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <string_view>
 
-namespace puffinhaven::net {
+namespace scheduler::net {
 
 // "10.0.0.1:8080" as an endpoint; there are no name look-ups.
 std::optional<asio::ip::tcp::endpoint> parse_endpoint(std::string_view text);
 
-}  // namespace puffinhaven::net
+}  // namespace scheduler::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -10,7 +10,7 @@
 #include "net/address.h"
 #include "net/limits.h"
 
-namespace puffinhaven::net {
+namespace scheduler::net {
 
 using asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
@@ -228,4 +228,4 @@
   std::make_shared<Connection>(*this, request.address)->start(request, std::move(done), true);
 }
 
-}  // namespace puffinhaven::net
+}  // namespace scheduler::net
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -14,7 +14,7 @@
 
 #include "net/limits.h"
 
-namespace puffinhaven::net {
+namespace scheduler::net {
 
 class HttpClient {
  public:
@@ -46,4 +46,4 @@
   std::unordered_map<std::string, std::vector<std::shared_ptr<Connection>>> idle_;
 };
 
-}  // namespace puffinhaven::net
+}  // namespace scheduler::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -10,7 +10,7 @@
 
 #include "net/limits.h"
 
-namespace puffinhaven::net {
+namespace scheduler::net {
 
 using asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
@@ -354,4 +354,4 @@
   connection->answer(status, body, retry_after_s);
 }
 
-}  // namespace puffinhaven::net
+}  // namespace scheduler::net
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -14,7 +14,7 @@
 
 #include "net/limits.h"
 
-namespace puffinhaven::net {
+namespace scheduler::net {
 
 class HttpServer {
  public:
@@ -58,4 +58,4 @@
   std::uint64_t refused_ = 0, closed_early_ = 0;
 };
 
-}  // namespace puffinhaven::net
+}  // namespace scheduler::net
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace puffinhaven::net::limits {
+namespace scheduler::net::limits {
 
 // Bytes of a request body (PROTOCOL: 64 KiB).
 constexpr std::size_t kBodyBytes = 64 * 1024;
@@ -48,4 +48,4 @@
 // be lost. Two of the largest messages that are passed on for others.
 constexpr std::size_t kPeerQueueBytes = 160 * 1024;
 
-}  // namespace puffinhaven::net::limits
+}  // namespace scheduler::net::limits
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -9,7 +9,7 @@
 #include "net/limits.h"
 #include "wire/peer.h"
 
-namespace puffinhaven::net {
+namespace scheduler::net {
 
 using asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
@@ -148,4 +148,4 @@
                     });
 }
 
-}  // namespace puffinhaven::net
+}  // namespace scheduler::net
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-namespace puffinhaven::net {
+namespace scheduler::net {
 
 class PeerLinks {
  public:
@@ -36,4 +36,4 @@
   Handler handler_;
 };
 
-}  // namespace puffinhaven::net
+}  // namespace scheduler::net
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -1,6 +1,6 @@
 #include "wire/cbor.h"
 
-namespace puffinhaven::wire::cbor {
+namespace scheduler::wire::cbor {
 
 Item text(std::string_view value) { return Item(cbor_build_stringn(value.data(), value.size())); }
 
@@ -104,4 +104,4 @@
   return true;
 }
 
-}  // namespace puffinhaven::wire::cbor
+}  // namespace scheduler::wire::cbor
--- a/src/wire/cbor.h
+++ b/src/wire/cbor.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-namespace puffinhaven::wire::cbor {
+namespace scheduler::wire::cbor {
 
 struct Release {
   void operator()(cbor_item_t* item) const { cbor_decref(&item); }
@@ -45,4 +45,4 @@
 bool each_element(const cbor_item_t* map, std::string_view key,
                   const std::function<bool(const cbor_item_t* value)>& element);
 
-}  // namespace puffinhaven::wire::cbor
+}  // namespace scheduler::wire::cbor
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 
 bool parse_object(std::string_view text, rapidjson::Document& doc) {
   // Iterative parsing: hostile nesting must not exhaust the stack.
@@ -97,4 +97,4 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 
 using Json = rapidjson::Value;
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
@@ -53,4 +53,4 @@
 // {"error": reason}
 std::string error_body(std::string_view reason);
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/link_row.h
+++ b/src/wire/link_row.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 
 enum class LinkStatus : std::uint8_t { unknown, up, down };
 
@@ -26,4 +26,4 @@
   bool relays = false;  // it passes commands and reports on for others (wire/relay.h)
 };
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <charconv>
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 namespace {
 
 constexpr std::string_view kJobPrefix = "req-";
@@ -357,4 +357,4 @@
   return true;
 }
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -11,7 +11,7 @@
 
 #include "wire/json.h"
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 
 // Order is preemption order: a larger value may stop a smaller one.
 enum class Priority : std::uint8_t { low = 0, normal = 1, high = 2, production = 3 };
@@ -158,4 +158,4 @@
 constexpr const char* kHealthPath = "/healthz";
 constexpr const char* kCancelSuffix = "/withdraw";
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -4,7 +4,7 @@
 
 #include "wire/cbor.h"
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 
 namespace {
 
@@ -187,4 +187,4 @@
   return complete ? PeerMessage(std::move(request)) : PeerMessage();
 }
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -9,7 +9,7 @@
 
 #include "wire/link_row.h"
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 
 // Sent to every other controller at a fixed interval. Versions that don't know the last two entries
 // ignore them, and send hints without them.
@@ -59,4 +59,4 @@
 constexpr std::size_t kPeerHintMost = 4096;        // bytes; a hint takes about 300
 constexpr std::size_t kPeerFrameMost = 80 * 1024;  // bytes; a relayed body takes up to 64 KiB
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/record_keys.cpp
+++ b/src/wire/record_keys.cpp
@@ -4,7 +4,7 @@
 
 #include "wire/messages.h"
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 
 std::string job_key(std::string_view id) { return std::string(kJobPrefixKey) + std::string(id); }
 std::string over_key(std::string_view id) { return std::string(kOverPrefix) + std::string(id); }
@@ -49,4 +49,4 @@
   return true;
 }
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/record_keys.h
+++ b/src/wire/record_keys.h
@@ -20,7 +20,7 @@
 #include <string>
 #include <string_view>
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 
 constexpr std::string_view kViewKey = "view";
 constexpr std::string_view kCatalogKey = "catalog";
@@ -46,4 +46,4 @@
 bool parse_part_key(std::string_view key, std::string& controller, std::uint32_t& group);
 std::string claim_key(std::string_view controller);
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -5,7 +5,7 @@
 
 #include "wire/json.h"
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 namespace {
 
 void put_map(Writer& w, const char* name, const std::map<std::string, std::string>& m) {
@@ -374,4 +374,4 @@
   return parse_object(text, doc) && read(doc, "done", r.done) && read(doc, "tasks", r.tasks);
 }
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -13,7 +13,7 @@
 #include "wire/messages.h"
 #include "wire/record_keys.h"
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 
 struct ViewRecord {
   std::uint64_t epoch = 0;
@@ -142,4 +142,4 @@
 std::string encode(const OverRecord& r);
 bool decode(std::string_view text, OverRecord& r);
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/state_service.cpp
+++ b/src/wire/state_service.cpp
@@ -4,7 +4,7 @@
 
 #include "wire/json.h"
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 namespace {
 
 bool read_item(const Json& o, StoredItem& out, const char* key_field) {
@@ -127,4 +127,4 @@
   return "/holds/" + std::to_string(permit) + "/extend";
 }
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/src/wire/state_service.h
+++ b/src/wire/state_service.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 
 struct Guard {
   std::string key;
@@ -42,4 +42,4 @@
 constexpr const char* kHoldsPath = "/holds";
 std::string extend_path(std::uint64_t permit);
 
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/tests/alone.h
+++ b/tests/alone.h
@@ -15,7 +15,7 @@
 #include "core/controller.h"
 #include "sim/state_stand_in.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 class Alone : public testing::Test {
  protected:
@@ -255,4 +255,4 @@
   std::string lose_;  // state service: requests whose path begins so are carried out, unanswered
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -9,7 +9,7 @@
 #include "alone.h"
 #include "sim/world.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 namespace {
 
 bool is_watch(const Call& call) { return call.path.starts_with("/changes"); }
@@ -114,9 +114,9 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::core
+}  // namespace scheduler
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 namespace {
 
 std::string list(const std::vector<std::string>& lines) {
@@ -214,4 +214,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -5,7 +5,7 @@
 
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 namespace {
 
 Settings large_deployment() {
@@ -66,4 +66,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/tests/component.h
+++ b/tests/component.h
@@ -15,7 +15,7 @@
 #include "wire/records.h"
 #include "wire/state_service.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 
 class Component : public testing::Test {
  protected:
@@ -130,4 +130,4 @@
   bool started_ = false;
 };
 
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -6,7 +6,7 @@
 #include "alone.h"
 #include "core/constants.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 namespace {
 
 namespace k = constants;
@@ -311,4 +311,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -12,7 +12,7 @@
 #include "core/placement.h"
 #include "core/quota.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 namespace {
 
 constexpr Ms kNow = 1'000'000;
@@ -377,4 +377,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -15,13 +15,13 @@
 #include "sim/state_stand_in.h"
 #include "wire/messages.h"
 
-namespace puffinhaven {
+namespace scheduler {
 namespace {
 
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-core::Ms steady_ms() {
+Ms steady_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
@@ -43,7 +43,7 @@
 
 Ran run(const std::string& arguments) {
   Ran r;
-  FILE* pipe = popen((std::string(PUFFINHAVEN_BINARY) + " " + arguments + " 2>&1").c_str(), "r");
+  FILE* pipe = popen((std::string(SCHEDULER_BINARY) + " " + arguments + " 2>&1").c_str(), "r");
   std::array<char, 256> buffer{};
   while (fgets(buffer.data(), buffer.size(), pipe)) r.output += buffer.data();
   r.code = WEXITSTATUS(pclose(pipe));
@@ -57,7 +57,7 @@
     const auto state = free_endpoint(io_);
     state_server_ = std::make_unique<net::HttpServer>(
         io_, state, 100, [this](std::uint64_t id, net::HttpServer::Request r) {
-          core::Call call;
+          Call call;
           call.method = r.method;
           call.path = r.path;
           call.body = r.body;
@@ -87,7 +87,7 @@
       }
     });
     bind_ = text(free_endpoint(io_));
-    char folder[] = "/tmp/puffinhaven-e2e-XXXXXX";
+    char folder[] = "/tmp/cluster-scheduler-e2e-XXXXXX";
     ASSERT_NE(mkdtemp(folder), nullptr);
     folder_ = folder;
     std::ofstream(settings()) << "host_name = \"puffin-0\"\nzone = \"a\"\nbind = \"" << bind_
@@ -130,7 +130,7 @@
   void start() {
     child_ = fork();
     if (child_ == 0) {
-      execl(PUFFINHAVEN_BINARY, PUFFINHAVEN_BINARY, "--config", settings().c_str(), nullptr);
+      execl(SCHEDULER_BINARY, SCHEDULER_BINARY, "--config", settings().c_str(), nullptr);
       _exit(127);
     }
   }
@@ -242,7 +242,7 @@
 }
 
 TEST_F(EndToEnd, CommandLineAndBadSettings) {
-  EXPECT_EQ(run("--version").output.rfind("puffinhaven ", 0), 0U);
+  EXPECT_EQ(run("--version").output.rfind("cluster-scheduler ", 0), 0U);
   EXPECT_NE(run("--help").output.find("--config"), std::string::npos);
   EXPECT_EQ(run("--check --config " + settings()).code, 0);
   const std::string options = folder_ + "/options.toml";
@@ -263,4 +263,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven
+}  // namespace scheduler
--- a/tests/fingerprint_test.cpp
+++ b/tests/fingerprint_test.cpp
@@ -8,7 +8,7 @@
 
 #include "sim/world.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 namespace {
 
 struct RecordedRun {
@@ -91,4 +91,4 @@
                          [](const auto& run) { return run.param.name; });
 
 }  // namespace
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -13,7 +13,7 @@
 #include "core/constants.h"
 #include "wire/json.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 namespace {
 
 namespace k = constants;
@@ -237,4 +237,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -8,7 +8,7 @@
 
 #include "history/checker.h"
 
-namespace puffinhaven::history {
+namespace scheduler::history {
 namespace {
 
 using wire::JobState;
@@ -124,4 +124,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::history
+}  // namespace scheduler::history
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -9,7 +9,7 @@
 #include "links/monitor.h"
 #include "wire/peer.h"
 
-namespace puffinhaven::links {
+namespace scheduler::links {
 namespace {
 
 namespace k = constants;
@@ -427,4 +427,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::links
+}  // namespace scheduler::links
--- a/tests/load/fleet_load.cpp
+++ b/tests/load/fleet_load.cpp
@@ -28,7 +28,7 @@
 #include "sim/state_stand_in.h"
 #include "wire/messages.h"
 
-namespace puffinhaven {
+namespace scheduler {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -42,7 +42,7 @@
 constexpr int kTasksPerJob = 40;
 constexpr int kMachinePort = 9000;
 
-core::Ms steady_ms() {
+Ms steady_ms() {
   return std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch()).count();
 }
 
@@ -96,7 +96,7 @@
  private:
   struct Task {
     std::uint64_t attempt = 0;
-    core::Ms since = 0;
+    Ms since = 0;
   };
 
   void report() {
@@ -236,7 +236,7 @@
 
   void play(const std::string& binary, int seconds) {
     const std::string path =
-        (std::filesystem::temp_directory_path() / "puffinhaven-fleet-load.toml").string();
+        (std::filesystem::temp_directory_path() / "cluster-scheduler-fleet-load.toml").string();
     std::ofstream(path) << settings_text(ram_mb_, fd_limit_);
     const pid_t process = fork();
     if (process == 0) {
@@ -275,7 +275,7 @@
     state_server_ = std::make_unique<net::HttpServer>(
         io_, endpoint_of("127.0.0.1", 18083), 100,
         [this](std::uint64_t id, const net::HttpServer::Request& r) {
-          core::Call call;
+          Call call;
           call.method = r.method;
           call.path = r.path;
           call.body = r.body;
@@ -376,7 +376,7 @@
 };
 
 }  // namespace
-}  // namespace puffinhaven
+}  // namespace scheduler
 
 int main(int argc, char** argv) {
   if (argc != 6) {
@@ -384,7 +384,7 @@
     return 2;
   }
   try {
-    puffinhaven::Run run(std::stoi(argv[2]), argv[4], argv[5]);
+    scheduler::Run run(std::stoi(argv[2]), argv[4], argv[5]);
     run.play(argv[1], std::stoi(argv[3]));
   } catch (const std::exception& error) {
     std::cerr << "fleet_load: " << error.what() << "\n";
--- a/tests/meetings_control_test.cpp
+++ b/tests/meetings_control_test.cpp
@@ -7,7 +7,7 @@
 
 #include "sim/world.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 namespace {
 
 std::string list(const std::vector<std::string>& lines) {
@@ -278,4 +278,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/meetings_workers_test.cpp
+++ b/tests/meetings_workers_test.cpp
@@ -9,7 +9,7 @@
 
 #include "sim/world.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 namespace {
 
 struct Meeting {
@@ -186,4 +186,4 @@
                          [](const auto& m) { return std::string(m.param.name); });
 
 }  // namespace
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -13,7 +13,7 @@
 #include "net/http_client.h"
 #include "net/http_server.h"
 
-namespace puffinhaven::net {
+namespace scheduler::net {
 namespace {
 
 using asio::ip::tcp;
@@ -108,4 +108,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::net
+}  // namespace scheduler::net
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -11,7 +11,7 @@
 #include "sim/world.h"
 #include "wire/peer.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 namespace {
 
 constexpr const char* kState = "state";
@@ -261,9 +261,9 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, AnyLinks, testing::Range<std::uint64_t>(1, seeds() + 1));
 
 }  // namespace
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
 
-namespace puffinhaven::core {
+namespace scheduler {
 namespace {
 
 class LoneWithPeer : public Alone {
@@ -323,4 +323,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/tests/scale_sim_test.cpp
+++ b/tests/scale_sim_test.cpp
@@ -14,7 +14,7 @@
 
 #include "sim/world.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 namespace {
 
 std::string lines(const std::vector<std::string>& list) {
@@ -188,4 +188,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/services_sim_test.cpp
+++ b/tests/services_sim_test.cpp
@@ -11,7 +11,7 @@
 
 #include "sim/world.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 namespace {
 
 std::string list(const std::vector<std::string>& lines) {
@@ -305,7 +305,7 @@
 TEST(RefereeOfServices, SeesServicesCalledDone) {
   Options o = quiet_services();
   o.services = 1;
-  o.forge = [](const core::Request& r, Ms now, int& status, std::string& body) {
+  o.forge = [](const Request& r, Ms now, int& status, std::string& body) {
     if (r.method != "GET" || status != 200 || now < 30'000) return;
     const auto at = body.find("running");
     if (at != std::string::npos) body.replace(at, 7, "done");
@@ -325,7 +325,7 @@
 TEST(RefereeOfServices, SeesServicesOverTheLimitOfTheirTeam) {
   Options o = quiet_services();
   o.services = 1;
-  o.forge = [](const core::Request& r, Ms, int& status, std::string& body) {
+  o.forge = [](const Request& r, Ms, int& status, std::string& body) {
     if (r.path != "/v1/jobs" || status != 422) return;
     status = 201;
     body = R"({"id":"req-000001","status":"pending"})";
@@ -336,7 +336,7 @@
 TEST(RefereeOfServices, SeesServicesRefusedThatCanRun) {
   for (const int refusal : {400, 422}) {
     Options o = quiet_services();
-    o.forge = [refusal](const core::Request& r, Ms, int& status, std::string&) {
+    o.forge = [refusal](const Request& r, Ms, int& status, std::string&) {
       if (r.path == "/v1/jobs" && r.body.find("\"daemon\"") != std::string::npos && status == 201)
         status = refusal;
     };
@@ -345,4 +345,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -13,7 +13,7 @@
 #include "core/machine_groups.h"
 #include "core/range_split.h"
 
-namespace puffinhaven::core {
+namespace scheduler {
 namespace {
 
 namespace k = constants;
@@ -432,4 +432,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::core
+}  // namespace scheduler
--- a/tests/sim/actors.h
+++ b/tests/sim/actors.h
@@ -13,7 +13,7 @@
 #include "sim/world.h"
 #include "wire/messages.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 using wire::ExitCause;
 using wire::TaskState;
@@ -30,14 +30,14 @@
 
 struct World::Node {
   std::string name, zone;
-  std::unique_ptr<core::Controller> controller;
+  std::unique_ptr<Controller> controller;
   std::uint64_t generation = 0;
   bool upgraded = true;  // else it starts as the production version
   bool refused_by_state = false, cut_from_workers = false, cut_from_state = false;
   bool cut_from_peers = false;
   Ms isolated_since = 0, away_until = 0;
   bool still = false;
-  std::vector<std::function<void(core::Controller&)>> held;        // what came while it stood still
+  std::vector<std::function<void(Controller&)>> held;              // what came while it stood still
   std::map<std::uint64_t, std::pair<std::string, Respond>> asked;  // request -> path, answer
 };
 
@@ -109,4 +109,4 @@
   std::map<std::uint64_t, Ms> gang_first_stop;  // by attempt
 };
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/fingerprint.h
+++ b/tests/sim/fingerprint.h
@@ -10,7 +10,7 @@
 
 #include "core/controller.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 // Takes in outputs of controllers: calls, answers and messages to peers. Log lines don't count.
 class Fingerprint {
@@ -18,7 +18,7 @@
   Fingerprint() : state_(XXH3_createState()) { XXH3_64bits_reset(state_.get()); }
 
   // `node`: index of the controller. `now`: simulated time, milliseconds.
-  void add(core::Ms now, std::size_t node, const core::Output& output) {
+  void add(Ms now, std::size_t node, const Output& output) {
     for (const auto& call : output.calls) {
       add_header(now, node, Kind::call);
       add_number(call.id);
@@ -51,7 +51,7 @@
     void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
   };
 
-  void add_header(core::Ms now, std::size_t node, Kind kind) {
+  void add_header(Ms now, std::size_t node, Kind kind) {
     add_number(static_cast<std::uint64_t>(now));
     add_number(node);
     add_number(static_cast<std::uint64_t>(kind));
@@ -68,4 +68,4 @@
   std::unique_ptr<XXH3_state_t, Release> state_;
 };
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/link_cuts.h
+++ b/tests/sim/link_cuts.h
@@ -8,15 +8,15 @@
 
 #include "core/types.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 // A link that is down for a while, in one direction. The ends are the name of a controller,
 // "state", "cloud", "workers/ZONE", or "workers" for those of all zones. Messages on it are lost.
 struct LinkCut {
-  core::Ms at = 0, lasts = 0;
+  Ms at = 0, lasts = 0;
   std::string from, to;
   // If set, the link is down and up by turns meanwhile, each turn for a time between the two.
-  core::Ms flap_least = 0, flap_most = 0;
+  Ms flap_least = 0, flap_most = 0;
 };
 
 class LinkCuts {
@@ -41,4 +41,4 @@
   std::map<std::pair<std::string, std::string>, int> down_;  // how many cuts hold it down
 };
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/machines.cpp
+++ b/tests/sim/machines.cpp
@@ -8,7 +8,7 @@
 #include "wire/messages.h"
 #include "wire/records.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 void World::add_machine(const std::string& zone, bool spot, Ms up_at, const std::string& hire) {
   auto w = std::make_unique<Worker>();
@@ -103,7 +103,7 @@
     at(now_ + 1000 + random(24'000), [this, body] {
       ++result_.old_reports;
       const auto i = any_node();
-      input(i, [this, body](core::Controller& c) {
+      input(i, [this, body](Controller& c) {
         c.on_request(now_, next_request_++, {"POST", "/hello", body});
       });
     });
@@ -129,7 +129,7 @@
           me.reporting = false;
           if (me.hanging) return;
           if (me.deaf_since) status = 0;
-          const Ms interval = core::to_ms(options_.report_s);
+          const Ms interval = to_ms(options_.report_s);
           me.report_at = now_ + (me.changed ? 500 : interval * 3 / 4 + random(interval / 2));
           me.changed = false;
           rapidjson::Document doc;
@@ -162,14 +162,14 @@
 void World::hold_report(const std::string& id, std::uint64_t token, const std::string& body,
                         Ms until) {
   at(now_ + 20, [this, id, token, body, until] {
-    if (newest_epoch_ <= core::Membership::epoch_of(token)) {
+    if (newest_epoch_ <= Membership::epoch_of(token)) {
       if (now_ < until) hold_report(id, token, body, until);
       return;
     }
     at(now_ + random(chance(0.5) ? 100 : 3000), [this, body] {
       ++result_.held_arrived;
       for (std::size_t i = 0; i < nodes_.size(); ++i)
-        input(i, [this, body](core::Controller& c) {
+        input(i, [this, body](Controller& c) {
           c.on_request(now_, next_request_++, {"POST", "/hello", body});
         });
     });
@@ -177,7 +177,7 @@
 }
 
 void World::worker_commands(Worker& w, const wire::Json& orders) {
-  newest_epoch_ = std::max(newest_epoch_, core::Membership::epoch_of(w.token));
+  newest_epoch_ = std::max(newest_epoch_, Membership::epoch_of(w.token));
   for (const auto& o : orders.GetArray()) {
     wire::TaskId task;
     if (!wire::parse_task_name(o["load"].GetString(), task)) continue;
@@ -383,4 +383,4 @@
   }
 }
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -6,7 +6,7 @@
 #include "sim/world.h"
 #include "wire/messages.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 bool World::apart(const std::string& a, const std::string& b) const {
   if (!cut_zone_.empty() && (a == cut_zone_) != (b == cut_zone_)) return true;
@@ -48,14 +48,14 @@
   at(now_ + down + up, [this, cut, until] { flap(cut, until); });
 }
 
-std::string World::end_of(const core::Call& call) {
-  if (call.target == core::Target::state) return "state";
-  if (call.target == core::Target::cloud) return "cloud";
+std::string World::end_of(const Call& call) {
+  if (call.target == Target::state) return "state";
+  if (call.target == Target::cloud) return "cloud";
   const Worker* w = worker_at(call.address);
   return w ? "workers/" + w->zone : "workers";
 }
 
-void World::send(std::size_t i, const core::Call& call) {
+void World::send(std::size_t i, const Call& call) {
   Node& n = *nodes_[i];
   const std::uint64_t generation = n.generation;
   auto answered = std::make_shared<bool>(false);
@@ -63,10 +63,10 @@
     if (*answered || nodes_[i]->generation != generation) return;
     if (body.size() > capacity_.response_bytes) {
       ++result_.too_large;
-      status = core::kAnswerTooLarge;
+      status = kAnswerTooLarge;
       body.clear();
     }
-    input(i, [this, answered, id, status, body = std::move(body)](core::Controller& c) {
+    input(i, [this, answered, id, status, body = std::move(body)](Controller& c) {
       if (*answered) return;
       *answered = true;
       c.on_outcome(now_, id, {status, body});
@@ -77,9 +77,9 @@
   auto blocked = [this, i, call, far_end] {
     const Node& node = *nodes_[i];
     if (link_cuts_.down(node.name, far_end)) return true;
-    if (call.target == core::Target::state) return node.cut_from_state || apart(node.zone, "");
-    if (call.target == core::Target::cloud) return apart(node.zone, "");
-    if (call.target == core::Target::worker) {
+    if (call.target == Target::state) return node.cut_from_state || apart(node.zone, "");
+    if (call.target == Target::cloud) return apart(node.zone, "");
+    if (call.target == Target::worker) {
       if (const Worker* w = worker_at(call.address))
         return node.cut_from_workers || w->deaf_since != 0 || apart(node.zone, w->zone);
     }
@@ -105,8 +105,8 @@
     carry_out_late(i, call);
     return;
   }
-  const int slower = call.target == core::Target::state ? state_slower_ : 1;
-  const bool worker = call.target == core::Target::worker;
+  const int slower = call.target == Target::state ? state_slower_ : 1;
+  const bool worker = call.target == Target::worker;
   // Of an answer; a cut of the way there alone doesn't hold it up.
   auto lost = [this, i, blocked, far_end] {
     const Node& node = *nodes_[i];
@@ -128,15 +128,15 @@
        [this, i, call] { execute(call, i, [](int, const std::string&) {}); });
 }
 
-Ms World::state_answer_delay(const core::Call& call) {
-  if (call.target != core::Target::state) return 0;
+Ms World::state_answer_delay(const Call& call) {
+  if (call.target != Target::state) return 0;
   const bool watch = call.path.starts_with("/changes");
   const bool delays = now_ < state_reorders_until_ || (watch && now_ < watch_lags_until_);
   return delays && chance(0.3) ? 50 + random(450) : 0;
 }
 
 // The service has the transaction already: neither a cut nor the end of its sender holds it up.
-void World::carry_out_late(std::size_t i, const core::Call& call) {
+void World::carry_out_late(std::size_t i, const Call& call) {
   auto later = std::make_shared<std::function<void()>>();
   *later = [this, i, call, later] {
     if (state_->outage && !calm_) {
@@ -152,9 +152,9 @@
   at(now_ + 2000 + random(10'000), *later);
 }
 
-void World::execute(const core::Call& call, std::size_t from, Respond respond) {
+void World::execute(const Call& call, std::size_t from, Respond respond) {
   trace("executed: " + nodes_[from]->name + " " + call.address + call.path + " " + call.body);
-  if (call.target == core::Target::state) {
+  if (call.target == Target::state) {
     if (state_->outage || nodes_[from]->refused_by_state) {
       if (call.path.starts_with("/changes")) {
         state_->serve(now_, call, from, respond);  // waits
@@ -166,7 +166,7 @@
     state_->serve(now_, call, from, respond);
     return;
   }
-  if (call.target == core::Target::worker) {
+  if (call.target == Target::worker) {
     Worker* w = worker_at(call.address);
     if (w && w->up && !w->dead && !w->deaf_since) {
       if (w->hanging) {  // executed when it resumes
@@ -266,7 +266,7 @@
   }
 }
 
-void World::ask_node(std::size_t i, const core::Request& request, const std::string& from_zone,
+void World::ask_node(std::size_t i, const Request& request, const std::string& from_zone,
                      Respond respond) {
   Node& n = *nodes_[i];
   const bool worker = !from_zone.empty();
@@ -293,9 +293,7 @@
     // A report may still arrive long after it was given up.
     if (worker && n.controller && chance(0.3)) {
       at(now_ + 2000 + random(15'000), [this, i, request] {
-        input(i, [this, request](core::Controller& c) {
-          c.on_request(now_, next_request_++, request);
-        });
+        input(i, [this, request](Controller& c) { c.on_request(now_, next_request_++, request); });
       });
     }
     respond(0, "");
@@ -313,7 +311,7 @@
   n.asked[id] = {request.path, finish};
   trace(n.name + " <- " + request.path + " " + request.body);
   at(now_ + kReportAnswerMs, [finish] { finish(0, ""); });
-  input(i, [this, id, request](core::Controller& c) { c.on_request(now_, id, request); });
+  input(i, [this, id, request](Controller& c) { c.on_request(now_, id, request); });
 }
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/referee.cpp
+++ b/tests/sim/referee.cpp
@@ -8,7 +8,7 @@
 #include "wire/messages.h"
 #include "wire/records.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 void World::check_start(Worker& w, const wire::TaskId& task) {
   auto& job = jobs_.at(task.job);
@@ -214,4 +214,4 @@
   }
 }
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -6,7 +6,7 @@
 #include "sim/world.h"
 #include "wire/messages.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 namespace {
 constexpr double kNeverDoneMs = 1e12;         // of work that a replica has
@@ -156,4 +156,4 @@
   }
 }
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/state_stand_in.h
+++ b/tests/sim/state_stand_in.h
@@ -12,9 +12,8 @@
 #include "core/types.h"
 #include "wire/messages.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
-using core::Ms;
 using Respond = std::function<void(int status, std::string body)>;
 
 // The members of a JSON object, one after the other.
@@ -233,7 +232,7 @@
     peak_writes = std::max(peak_writes, static_cast<int>(writes - writes_before));
   }
 
-  void serve(Ms now, const core::Call& call, std::size_t node, const Respond& respond) {
+  void serve(Ms now, const Call& call, std::size_t node, const Respond& respond) {
     end_holds(now);
     count(now);
     Put p;
@@ -294,4 +293,4 @@
   }
 };
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/troubles.cpp
+++ b/tests/sim/troubles.cpp
@@ -8,7 +8,7 @@
 #include "wire/messages.h"
 #include "wire/records.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 // The cloud goes on listing it as running for a while.
 void World::machine_dies(Worker& w) {
@@ -334,4 +334,4 @@
   }
 }
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -8,7 +8,7 @@
 #include "wire/messages.h"
 #include "wire/records.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 void World::new_job() {
   if (service_is_next()) return new_service();
@@ -331,4 +331,4 @@
            });
 }
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -11,7 +11,7 @@
 #include "wire/messages.h"
 #include "wire/records.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 World::~World() = default;
 
@@ -27,11 +27,11 @@
   state_->changes_kept = options.changes_kept;
   state_->limits.txn_ops = options.txn_ops;
   settings_.teams = {{"free", 0, 0, 0, 0}, {"tight", 8, options.limit_cpus, 0, 0}};
-  settings_.objectives = {{core::ObjectiveKind::finished, "small", 0.9, 0, 30},
-                          {core::ObjectiveKind::deadline, "due", 0.9, 1.0, 0},
-                          {core::ObjectiveKind::wait, "fast", 0.9, 0, 5}};
+  settings_.objectives = {{ObjectiveKind::finished, "small", 0.9, 0, 30},
+                          {ObjectiveKind::deadline, "due", 0.9, 1.0, 0},
+                          {ObjectiveKind::wait, "fast", 0.9, 0, 5}};
   if (options_.services > 0)
-    settings_.objectives.push_back({core::ObjectiveKind::up, "standing", 0.95, 0, 20});
+    settings_.objectives.push_back({ObjectiveKind::up, "standing", 0.95, 0, 20});
   settings_.controllers = options.controllers;
   settings_.relays = options.relays;
   settings_.zones = {"a", "b", "c"};
@@ -56,7 +56,7 @@
   settings_.list_lag_s = 1;
   settings_.memory_mb = options.memory_mb;
   settings_.sockets = options.sockets;
-  capacity_ = core::capacity_of(settings_);
+  capacity_ = capacity_of(settings_);
   const char* zones[] = {"a", "b", "a", "b", "a"};
   for (int i = 0; i < options.controllers; ++i) {
     auto n = std::make_unique<Node>();
@@ -211,7 +211,7 @@
 
 // ---- controllers ----
 
-void World::input(std::size_t i, std::function<void(core::Controller&)> deliver) {
+void World::input(std::size_t i, std::function<void(Controller&)> deliver) {
   Node& n = *nodes_[i];
   if (!n.controller) return;
   if (n.still) {
@@ -275,8 +275,8 @@
 }
 
 // The production version knows the limits of today alone, and the first format of records.
-core::Settings World::settings_of(const Node& node) const {
-  core::Settings s = settings_;
+Settings World::settings_of(const Node& node) const {
+  Settings s = settings_;
   s.name = node.name;
   s.zone = node.zone;
   for (const auto& other : nodes_)
@@ -294,7 +294,7 @@
   Node& n = *nodes_[i];
   ++n.generation;
   const std::uint64_t seed = (static_cast<std::uint64_t>(random_()) << 32U) | random_();
-  n.controller = std::make_unique<core::Controller>(settings_of(n), seed);
+  n.controller = std::make_unique<Controller>(settings_of(n), seed);
   n.controller->start(now_, now_ + 1'700'000'000'000);
   drain(i);
   tick_node(i, n.generation);
@@ -361,10 +361,10 @@
         continue;
       // Some arrive minutes late.
       at(now_ + (chance(0.02) ? 20'000 : hop()), [this, j, bytes = p.bytes] {
-        input(j, [this, bytes](core::Controller& c) { c.on_peer(now_, bytes); });
+        input(j, [this, bytes](Controller& c) { c.on_peer(now_, bytes); });
       });
     }
   }
 }
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -20,7 +20,7 @@
 #include "sim/link_cuts.h"
 #include "sim/state_stand_in.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 
 enum class Trouble : std::uint8_t {
   crash_one,
@@ -141,7 +141,7 @@
   double believed_lease_share = 1.0;  // the lease that cores believe in, of the workers' real one
   Ms starts_ignored_from = 0;         // by workers; 0: never
   // Changes what a controller answered a user, as a fault of the controller would.
-  std::function<void(const core::Request&, Ms now, int& status, std::string& body)> forge;
+  std::function<void(const Request&, Ms now, int& status, std::string& body)> forge;
 };
 
 struct Result {
@@ -229,33 +229,33 @@
   void trace(const std::string& text) const;
   void broke(const std::string& rule, const std::string& what);
 
-  core::Settings settings_of(const Node& node) const;
+  Settings settings_of(const Node& node) const;
   void plan_upgrade();
   int oversized_values() const;
   void start_node(std::size_t i);
   void crash_node(std::size_t i, Ms away = 0);  // 0: about what it takes
   void keep_away(std::size_t i, Ms lasts);
   void outage(Ms lasts);
-  void carry_out_late(std::size_t i, const core::Call& call);
+  void carry_out_late(std::size_t i, const Call& call);
   // How much longer than usual an answer of the state service takes.
-  Ms state_answer_delay(const core::Call& call);
+  Ms state_answer_delay(const Call& call);
   void tick_node(std::size_t i, std::uint64_t generation);
   void tick_once(std::size_t i);
   void drain(std::size_t i);
-  void send(std::size_t i, const core::Call& call);
-  void execute(const core::Call& call, std::size_t from, Respond respond);
-  void ask_node(std::size_t i, const core::Request& request, const std::string& from_zone,
+  void send(std::size_t i, const Call& call);
+  void execute(const Call& call, std::size_t from, Respond respond);
+  void ask_node(std::size_t i, const Request& request, const std::string& from_zone,
                 Respond respond);
   void plan_link_cut(const LinkCut& cut);
   void served(Worker& w);
   // The link goes down, and up again, for as long as it is to flap.
   void flap(const LinkCut& cut, Ms until);
   // The far end of a controller's call, as in LinkCut.
-  std::string end_of(const core::Call& call);
+  std::string end_of(const Call& call);
   // Also of the regional services and users, whose zone is "".
   bool apart(const std::string& a, const std::string& b) const;
   // An input of a controller: at once, or when it no longer stands still.
-  void input(std::size_t i, std::function<void(core::Controller&)> deliver);
+  void input(std::size_t i, std::function<void(Controller&)> deliver);
   void wake_node(std::size_t i);
 
   void add_machine(const std::string& zone, bool spot, Ms up_at, const std::string& hire);
@@ -316,7 +316,7 @@
   void count_served();
 
   Options options_;
-  core::Capacity capacity_;
+  Capacity capacity_;
   pcg32 random_;
   Ms now_ = 1;
   std::uint64_t order_ = 0;
@@ -329,7 +329,7 @@
     }
   };
   std::priority_queue<Event> events_;
-  core::Settings settings_;
+  Settings settings_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::unique_ptr<StateStandIn> state_;
   std::unique_ptr<Cloud> cloud_;
@@ -362,4 +362,4 @@
   Result result_;
 };
 
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -6,7 +6,7 @@
 
 #include "sim/world.h"
 
-namespace puffinhaven::sim {
+namespace scheduler::sim {
 namespace {
 
 std::string list(const std::vector<std::string>& lines) {
@@ -375,7 +375,7 @@
 }
 
 // Answers of controllers are changed on their way to the users, as a fault of the core would.
-Options forged(std::function<void(const core::Request&, Ms, int&, std::string&)> forge) {
+Options forged(std::function<void(const Request&, Ms, int&, std::string&)> forge) {
   Options o;
   o.troubles = false;
   o.busy_ms = 60'000;
@@ -384,7 +384,7 @@
   return o;
 }
 
-bool cancels(const core::Request& r) { return r.path.ends_with("/withdraw"); }
+bool cancels(const Request& r) { return r.path.ends_with("/withdraw"); }
 
 std::string told(const std::string& path, const std::string& status) {
   const std::string id = path.substr(std::string("/v1/jobs/").size(), 10);
@@ -393,7 +393,7 @@
 
 // Users are told at once; the halts follow.
 Options cancelled_too_early() {
-  return forged([](const core::Request& r, Ms, int& status, std::string& body) {
+  return forged([](const Request& r, Ms, int& status, std::string& body) {
     if (!cancels(r) || status != 503) return;
     status = 200;
     body = told(r.path, "withdrawn");
@@ -402,7 +402,7 @@
 
 // Jobs that wait are called withdrawn in answer to a question, and then start.
 TEST(Referee, SeesStartsAfterCancelling) {
-  Options o = forged([](const core::Request& r, Ms, int& status, std::string& body) {
+  Options o = forged([](const Request& r, Ms, int& status, std::string& body) {
     if (r.method == "GET" && status == 200 && body.find("pending") != std::string::npos)
       body = told(r.path, "withdrawn");
   });
@@ -423,7 +423,7 @@
 
 TEST(Referee, SeesOlderAnswers) {
   // To a repeated submission.
-  EXPECT_GT(broken_runs(forged([](const core::Request& r, Ms, int& status, std::string& body) {
+  EXPECT_GT(broken_runs(forged([](const Request& r, Ms, int& status, std::string& body) {
                           if (r.method != "POST" || cancels(r) || status != 200) return;
                           const auto at = body.find("done");
                           if (at != std::string::npos) body.replace(at, 4, "pending");
@@ -431,7 +431,7 @@
                         "went_back", 3),
             0);
   // To a request to cancel: what is done is not withdrawn.
-  Options o = forged([](const core::Request& r, Ms, int& status, std::string& body) {
+  Options o = forged([](const Request& r, Ms, int& status, std::string& body) {
     const auto at = body.find("\"done\"");
     if (cancels(r) && status == 200 && at != std::string::npos) body = told(r.path, "withdrawn");
   });
@@ -439,18 +439,17 @@
   EXPECT_GT(broken_runs(o, "went_back", 3), 0);
   // To a question, one in a hundred times.
   int n = 0;
-  EXPECT_GT(
-      broken_runs(forged([n](const core::Request& r, Ms, int& status, std::string& body) mutable {
-                    if (r.method != "GET" || status != 200 || ++n % 100) return;
-                    body = told(r.path, "running");
-                  }),
-                  "went_back", 3),
-      0);
+  EXPECT_GT(broken_runs(forged([n](const Request& r, Ms, int& status, std::string& body) mutable {
+                          if (r.method != "GET" || status != 200 || ++n % 100) return;
+                          body = told(r.path, "running");
+                        }),
+                        "went_back", 3),
+            0);
 }
 
 TEST(Referee, SeesJobsAcceptedThatCannotRun) {
   for (const int refusal : {400, 422}) {
-    Options o = forged([refusal](const core::Request& r, Ms, int& status, std::string& body) {
+    Options o = forged([refusal](const Request& r, Ms, int& status, std::string& body) {
       if (r.path != "/v1/jobs" || status != refusal) return;
       status = 201;
       body = R"({"id":"req-000001","status":"pending"})";
@@ -461,7 +460,7 @@
 }
 
 TEST(Referee, SeesJobsThatNobodySubmitted) {
-  Options o = forged([](const core::Request& r, Ms, int& status, std::string& body) {
+  Options o = forged([](const Request& r, Ms, int& status, std::string& body) {
     if (status != 404) return;
     status = 200;
     body = told(r.path, "pending");
@@ -471,7 +470,7 @@
 }
 
 TEST(Referee, SeesSilenceAboutAJob) {
-  EXPECT_GT(broken_runs(forged([](const core::Request& r, Ms now, int& status, std::string&) {
+  EXPECT_GT(broken_runs(forged([](const Request& r, Ms now, int& status, std::string&) {
                           if (now > 55'000 && (r.path.find("req-000005") != std::string::npos ||
                                                r.body.find("req-000005") != std::string::npos))
                             status = 503;
@@ -491,4 +490,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::sim
+}  // namespace scheduler::sim
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -12,14 +12,14 @@
 #include "wire/peer.h"
 #include "wire/records.h"
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 namespace {
 
 constexpr std::uint64_t kLargest = std::numeric_limits<std::uint64_t>::max();
 
 std::string fixture(const std::string& name) {
   const std::filesystem::path path =
-      std::filesystem::path(PUFFINHAVEN_FIXTURES) / "production" / name;
+      std::filesystem::path(SCHEDULER_FIXTURES) / "production" / name;
   std::ifstream in(path, std::ios::binary);
   EXPECT_TRUE(in) << path;
   std::ostringstream text;
@@ -447,7 +447,7 @@
 TEST(UpgradeFormat, EveryFixtureIsOfAKnownType) {
   std::set<std::string> found;
   for (const auto& entry : std::filesystem::directory_iterator(
-           std::filesystem::path(PUFFINHAVEN_FIXTURES) / "production"))
+           std::filesystem::path(SCHEDULER_FIXTURES) / "production"))
     found.insert(entry.path().filename().string());
   const std::set<std::string> expected{"README.md",
                                        "catalog.json",
@@ -540,7 +540,7 @@
     changed.replace(at, shape.size(), other);
     JobRecord record;
     EXPECT_FALSE(decode(changed, record)) << other;
-    core::Replica replica;
+    Replica replica;
     EXPECT_FALSE(replica.apply({"job/req-000412", changed, 1})) << other;
     EXPECT_EQ(replica.job("req-000412"), nullptr);
   }
@@ -549,10 +549,10 @@
 // ---- unreadable records are ignored ----
 
 // All that a replica holds of the records that fill() gives it, as text.
-std::string contents(const core::Replica& replica) {
+std::string contents(const Replica& replica) {
   std::string out = "view " + encode(replica.view());
   for (const auto& [name, live] : replica.live()) out += "\nlive " + name + encode(live);
-  std::map<std::string, const core::Job*> jobs;
+  std::map<std::string, const Job*> jobs;
   for (const auto& [id, job] : replica.jobs()) jobs[id] = &job;
   for (const auto& [id, job] : jobs) {
     out += "\njob " + id + (job->known ? encode(job->record) : " unknown");
@@ -576,7 +576,7 @@
   for (const auto& [name, hire] : replica.rentals()) out += "\nhire " + name + encode(hire);
   for (const auto& [team, quota] : replica.quotas()) out += "\nquota " + team + encode(quota);
   for (const std::string team : {"vision", "speech", "ops", ""}) {
-    const core::Usage usage = replica.usage(team);
+    const Usage usage = replica.usage(team);
     out += "\nusage " + team + " " + std::to_string(usage.cpus) + " " + std::to_string(usage.gpus);
   }
   out += "\ncatalog " + catalog_body(replica.catalog());
@@ -596,8 +596,8 @@
                                                        {"quota/vision", "quota.json"},
                                                        {"over/req-000001", "over_done.json"}};
 
-core::Replica fill() {
-  core::Replica replica;
+Replica fill() {
+  Replica replica;
   std::uint64_t version = 0;
   for (const auto& [key, name] : kFilled)
     EXPECT_TRUE(replica.apply({key, fixture(name), ++version})) << key;
@@ -640,7 +640,7 @@
 }
 
 TEST(UpgradeFormat, UnreadableRecordsChangeNothing) {
-  core::Replica replica = fill();
+  Replica replica = fill();
   const std::string before = contents(replica);
   std::uint64_t version = 1000;
   for (const auto& [key, name] : kFilled) {
@@ -652,7 +652,7 @@
 }
 
 TEST(UpgradeFormat, TruncatedRecordsChangeNothing) {
-  core::Replica replica = fill();
+  Replica replica = fill();
   const std::string before = contents(replica);
   std::uint64_t version = 1000;
   for (const auto& [key, name] : kFilled) {
@@ -665,7 +665,7 @@
 
 // A record whose first version is unreadable is not known at all.
 TEST(UpgradeFormat, UnreadableRecordsAreNotAdded) {
-  core::Replica replica;
+  Replica replica;
   const std::string before = contents(replica);
   std::uint64_t version = 0;
   for (const auto& [key, name] : kFilled) {
@@ -677,7 +677,7 @@
 }
 
 TEST(UpgradeFormat, UnknownKeysChangeNothing) {
-  core::Replica replica = fill();
+  Replica replica = fill();
   const std::string before = contents(replica);
   std::uint64_t version = 1000;
   for (const std::string key : {"",
@@ -720,7 +720,7 @@
 
 // Only the stamp of a claim matters.
 TEST(UpgradeFormat, ClaimsAreNotRead) {
-  core::Replica replica = fill();
+  Replica replica = fill();
   const std::string before = contents(replica);
   std::uint64_t version = 1000;
   for (const std::string& text : garbage())
@@ -729,4 +729,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -6,7 +6,7 @@
 #include "wire/records.h"
 #include "wire/state_service.h"
 
-namespace puffinhaven::wire {
+namespace scheduler::wire {
 namespace {
 
 std::string job_text(const std::string& replace = "", const std::string& with = "") {
@@ -174,4 +174,4 @@
 }
 
 }  // namespace
-}  // namespace puffinhaven::wire
+}  // namespace scheduler::wire
