--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "core/constants.h"
+#include "base/constants.h"
 #include "net/address.h"
 #include "net/limits.h"
 
--- a/src/app/service.h
+++ b/src/app/service.h
@@ -6,8 +6,8 @@
 #include <memory>
 
 #include "app/settings.h"
-#include "core/capacity.h"
-#include "core/controller.h"
+#include "base/capacity.h"
+#include "controller/controller.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "net/peer_link.h"
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -4,7 +4,7 @@
 #include <set>
 #include <string>
 
-#include "core/types.h"
+#include "base/types.h"
 
 namespace scheduler::app {
 
--- a/src/core/capacity.cpp
+++ b/src/base/capacity.cpp
@@ -1,9 +1,9 @@
-#include "core/capacity.h"
+#include "base/capacity.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/capacity.h
+++ b/src/base/capacity.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "base/types.h"
 
 namespace scheduler {
 
--- a/src/core/constants.h
+++ b/src/base/constants.h
@@ -342,7 +342,7 @@
 constexpr std::size_t kCancelledHints = 32;
 constexpr std::size_t kStopHintsMost = 1000;
 
-// ---- messages passed on for others (core/relay.h) ----
+// ---- messages passed on for others (workers/relay.h) ----
 // Milliseconds until a command that a peer passes on counts as unanswered, and the worker's part of
 // it; the rest is for the hops to the peer and back.
 constexpr std::int64_t kRelayedCommandMs = 2000;
@@ -362,7 +362,7 @@
 // Milliseconds for which commands to a worker that left a direct one unanswered are passed on.
 constexpr std::int64_t kRelayForMs = 15'000;
 
-// ---- capacity (core/capacity.h) ----
+// ---- capacity (base/capacity.h) ----
 // Bytes of memory that an unfinished job takes with its records and indexes, and the share of the
 // process's memory that jobs may take (docs/scale.md has the measurement).
 constexpr double kBytesPerJob = 6.0 * 1024;
--- a/src/core/types.h
+++ b/src/base/types.h
@@ -60,7 +60,7 @@
   // Machines that the operators expect at most; 0: not stated. Only checks of the settings use it.
   int expected_machines = 0;
   // Whether this controller passes commands and reports on for others, and has its own passed on
-  // (core/relay.h).
+  // (workers/relay.h).
   bool relays = false;
   // Whether lines of level debug are wanted; building them costs time.
   bool log_debug = true;
@@ -78,7 +78,7 @@
 };
 
 // Statuses of an Outcome besides those of HTTP. No answer: the request may have been executed or
-// may still be. Too large: it was answered, by more than is taken in (core/capacity.h).
+// may still be. Too large: it was answered, by more than is taken in (base/capacity.h).
 constexpr int kNoAnswer = 0;
 constexpr int kAnswerTooLarge = -1;
 
--- a/src/core/controller.cpp
+++ b/src/controller/controller.cpp
@@ -1,4 +1,4 @@
-#include "core/controller.h"
+#include "controller/controller.h"
 
 #include <algorithm>
 #include <array>
@@ -6,8 +6,8 @@
 #include <cmath>
 #include <cstdio>
 
-#include "core/constants.h"
-#include "core/log_event.h"
+#include "base/constants.h"
+#include "base/log_event.h"
 
 namespace scheduler {
 
--- a/src/core/pause.cpp
+++ b/src/controller/process_pause.cpp
@@ -4,8 +4,8 @@
 // over, answers that waited for us are as old as our absence.
 #include <algorithm>
 
-#include "core/constants.h"
-#include "core/controller.h"
+#include "base/constants.h"
+#include "controller/controller.h"
 
 namespace scheduler {
 
--- a/src/core/machine_list.cpp
+++ b/src/fleet/cloud_inventory.cpp
@@ -1,9 +1,9 @@
-#include "core/machine_list.h"
+#include "fleet/cloud_inventory.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/machine_list.h
+++ b/src/fleet/cloud_inventory.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "core/context.h"
-#include "core/types.h"
+#include "base/types.h"
 #include "links/request_link.h"
+#include "membership/context.h"
 #include "wire/messages.h"
 
 namespace scheduler {
--- a/src/core/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -1,9 +1,9 @@
-#include "core/fleet_coordinator.h"
+#include "fleet/fleet_coordinator.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/constants.h"
+#include "base/constants.h"
 #include "wire/messages.h"
 
 namespace scheduler {
--- a/src/core/fleet_coordinator.h
+++ b/src/fleet/fleet_coordinator.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "core/context.h"
-#include "core/fleet.h"
-#include "core/fleet_record_writer.h"
-#include "core/machine_list.h"
-#include "core/rentals.h"
-#include "core/types.h"
+#include "base/types.h"
+#include "fleet/cloud_inventory.h"
+#include "fleet/fleet_record_writer.h"
+#include "fleet/fleet_sizer.h"
+#include "fleet/scale_out_requests.h"
+#include "membership/context.h"
 #include "wire/records.h"
 
 namespace scheduler {
--- a/src/core/fleet_record_writer.cpp
+++ b/src/fleet/fleet_record_writer.cpp
@@ -1,10 +1,10 @@
-#include "core/fleet_record_writer.h"
+#include "fleet/fleet_record_writer.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/constants.h"
-#include "core/machine_groups.h"
+#include "base/constants.h"
+#include "fleet/machine_groups.h"
 
 namespace scheduler {
 
--- a/src/core/fleet_record_writer.h
+++ b/src/fleet/fleet_record_writer.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "core/context.h"
-#include "core/store.h"
-#include "core/types.h"
+#include "base/types.h"
+#include "membership/context.h"
+#include "state/state_client.h"
 #include "wire/records.h"
 
 namespace scheduler {
--- a/src/core/fleet.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -1,10 +1,10 @@
-#include "core/fleet.h"
+#include "fleet/fleet_sizer.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/constants.h"
-#include "core/placement.h"
+#include "base/constants.h"
+#include "scheduling/placement.h"
 
 namespace scheduler {
 
--- a/src/core/fleet.h
+++ b/src/fleet/fleet_sizer.h
@@ -7,7 +7,7 @@
 #include <tuple>
 #include <vector>
 
-#include "core/types.h"
+#include "base/types.h"
 #include "wire/records.h"
 
 namespace scheduler {
--- a/src/core/machine_groups.cpp
+++ b/src/fleet/machine_groups.cpp
@@ -1,4 +1,4 @@
-#include "core/machine_groups.h"
+#include "fleet/machine_groups.h"
 
 #include <algorithm>
 
--- a/src/core/rentals.cpp
+++ b/src/fleet/scale_out_requests.cpp
@@ -1,9 +1,9 @@
-#include "core/rentals.h"
+#include "fleet/scale_out_requests.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/constants.h"
+#include "base/constants.h"
 #include "wire/messages.h"
 
 namespace scheduler {
--- a/src/core/rentals.h
+++ b/src/fleet/scale_out_requests.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "core/context.h"
-#include "core/fleet.h"
-#include "core/types.h"
+#include "base/types.h"
+#include "fleet/fleet_sizer.h"
+#include "membership/context.h"
 #include "wire/records.h"
 
 namespace scheduler {
--- a/src/core/job_answers.cpp
+++ b/src/jobs/job_reads.cpp
@@ -15,9 +15,9 @@
 //   go, each by its owner's write. If the replica holds none, there is none.
 #include <algorithm>
 
-#include "core/constants.h"
-#include "core/controller.h"
-#include "core/log_event.h"
+#include "base/constants.h"
+#include "base/log_event.h"
+#include "controller/controller.h"
 
 namespace scheduler {
 
--- a/src/links/verdict.cpp
+++ b/src/links/decision.cpp
@@ -1,4 +1,4 @@
-#include "links/verdict.h"
+#include "links/decision.h"
 
 namespace scheduler::links {
 
--- a/src/links/monitor.h
+++ b/src/links/monitor.h
@@ -7,12 +7,12 @@
 #include <vector>
 
 #include "links/census.h"
+#include "links/decision.h"
 #include "links/flap_damper.h"
 #include "links/matrix.h"
 #include "links/phi_detector.h"
 #include "links/request_link.h"
 #include "links/types.h"
-#include "links/verdict.h"
 #include "links/zone_links.h"
 
 namespace scheduler::links {
--- a/src/core/membership.cpp
+++ b/src/membership/cluster_view.cpp
@@ -1,9 +1,9 @@
-#include "core/membership.h"
+#include "membership/cluster_view.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/membership.h
+++ b/src/membership/cluster_view.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/types.h"
+#include "base/types.h"
 #include "wire/records.h"
 
 namespace scheduler {
--- a/src/core/context.h
+++ b/src/membership/context.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <string_view>
 
-#include "core/capacity.h"
-#include "core/membership.h"
-#include "core/replica.h"
-#include "core/store.h"
-#include "core/types.h"
+#include "base/capacity.h"
+#include "base/types.h"
+#include "membership/cluster_view.h"
+#include "state/replica.h"
+#include "state/state_client.h"
 
 namespace scheduler {
 
--- a/src/core/format_switch.cpp
+++ b/src/membership/format_switch.cpp
@@ -1,4 +1,4 @@
-#include "core/format_switch.h"
+#include "membership/format_switch.h"
 
 #include <algorithm>
 
--- a/src/core/format_switch.h
+++ b/src/membership/format_switch.h
@@ -9,9 +9,9 @@
 
 #include <optional>
 
-#include "core/replica.h"
-#include "core/store.h"
-#include "core/types.h"
+#include "base/types.h"
+#include "state/replica.h"
+#include "state/state_client.h"
 
 namespace scheduler {
 
--- a/src/core/view_member.cpp
+++ b/src/membership/membership_manager.cpp
@@ -1,9 +1,9 @@
-#include "core/view_member.h"
+#include "membership/membership_manager.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/view_member.h
+++ b/src/membership/membership_manager.h
@@ -6,9 +6,9 @@
 #include <map>
 #include <string>
 
-#include "core/context.h"
-#include "core/types.h"
+#include "base/types.h"
 #include "links/monitor.h"
+#include "membership/context.h"
 #include "wire/records.h"
 
 namespace scheduler {
--- a/src/core/quota.cpp
+++ b/src/quota/quota_leases.cpp
@@ -1,9 +1,9 @@
-#include "core/quota.h"
+#include "quota/quota_leases.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/quota.h
+++ b/src/quota/quota_leases.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "base/types.h"
 #include "wire/records.h"
 
 namespace scheduler {
--- a/src/core/gangs.cpp
+++ b/src/scheduling/gangs.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/controller.h"
-#include "core/log_event.h"
-#include "core/pass.h"
+#include "base/log_event.h"
+#include "controller/controller.h"
+#include "scheduling/scheduling_pass.h"
 
 namespace scheduler {
 
--- a/src/core/order.cpp
+++ b/src/scheduling/pending_order.cpp
@@ -1,9 +1,9 @@
-#include "core/order.h"
+#include "scheduling/pending_order.h"
 
 #include <algorithm>
 #include <numeric>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -1,10 +1,10 @@
-#include "core/placement.h"
+#include "scheduling/placement.h"
 
 #include <algorithm>
 #include <cmath>
 #include <random>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/placement.h
+++ b/src/scheduling/placement.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "base/types.h"
 #include "wire/messages.h"
 
 namespace scheduler {
--- a/src/core/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/constants.h"
-#include "core/controller.h"
-#include "core/pass.h"
+#include "base/constants.h"
+#include "controller/controller.h"
+#include "scheduling/scheduling_pass.h"
 
 namespace scheduler {
 
--- a/src/core/range_split.cpp
+++ b/src/scheduling/range_split.cpp
@@ -1,10 +1,10 @@
-#include "core/range_split.h"
+#include "scheduling/range_split.h"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/ranges.cpp
+++ b/src/scheduling/ranges.cpp
@@ -3,10 +3,10 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/constants.h"
-#include "core/controller.h"
-#include "core/pass.h"
-#include "core/range_split.h"
+#include "base/constants.h"
+#include "controller/controller.h"
+#include "scheduling/range_split.h"
+#include "scheduling/scheduling_pass.h"
 
 namespace scheduler {
 
--- a/src/core/pass.h
+++ b/src/scheduling/scheduling_pass.h
@@ -7,7 +7,7 @@
 #include <tuple>
 #include <vector>
 
-#include "core/controller.h"
+#include "controller/controller.h"
 
 namespace scheduler {
 
--- a/src/core/services.cpp
+++ b/src/scheduling/services.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <iterator>
 
-#include "core/constants.h"
-#include "core/controller.h"
-#include "core/pass.h"
+#include "base/constants.h"
+#include "controller/controller.h"
+#include "scheduling/scheduling_pass.h"
 
 namespace scheduler {
 
--- a/src/core/replica.cpp
+++ b/src/state/replica.cpp
@@ -1,8 +1,8 @@
-#include "core/replica.h"
+#include "state/replica.h"
 
 #include <algorithm>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/store.cpp
+++ b/src/state/state_client.cpp
@@ -1,11 +1,11 @@
-#include "core/store.h"
+#include "state/state_client.h"
 
 #include <algorithm>
 #include <iterator>
 #include <memory>
 
-#include "core/constants.h"
-#include "core/log_event.h"
+#include "base/constants.h"
+#include "base/log_event.h"
 
 namespace scheduler {
 
--- a/src/core/store.h
+++ b/src/state/state_client.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/types.h"
+#include "base/types.h"
 #include "links/request_link.h"
 #include "wire/records.h"
 #include "wire/state_service.h"
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -98,7 +98,7 @@
   bool operator==(const MachineRecord&) const = default;
 };
 // Machines share records, so that renting, hearing or losing many at once takes few writes. Each
-// record has one writer; what is known of a machine is the sum of both kinds (core/replica.cpp).
+// record has one writer; what is known of a machine is the sum of both kinds (state/replica.cpp).
 struct FleetRecord {
   std::map<std::string, MachineRecord> machines;  // session unused
 };
--- a/src/core/commands.cpp
+++ b/src/workers/commands.cpp
@@ -1,9 +1,9 @@
 // Commands to machines of our part: what follows from the records, and direct messages.
 #include <algorithm>
 
-#include "core/constants.h"
-#include "core/controller.h"
-#include "core/log_event.h"
+#include "base/constants.h"
+#include "base/log_event.h"
+#include "controller/controller.h"
 
 namespace scheduler {
 
--- a/src/core/health.cpp
+++ b/src/workers/failure_tracker.cpp
@@ -1,8 +1,8 @@
-#include "core/health.h"
+#include "workers/failure_tracker.h"
 
 #include <algorithm>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/health.h
+++ b/src/workers/failure_tracker.h
@@ -5,8 +5,8 @@
 #include <set>
 #include <string>
 
-#include "core/constants.h"
-#include "core/types.h"
+#include "base/constants.h"
+#include "base/types.h"
 
 namespace scheduler {
 
--- a/src/core/reports.cpp
+++ b/src/workers/heartbeats.cpp
@@ -1,8 +1,8 @@
 // Reports of machines of our part, and what they prove about recorded tasks.
 #include <algorithm>
 
-#include "core/constants.h"
-#include "core/controller.h"
+#include "base/constants.h"
+#include "controller/controller.h"
 
 namespace scheduler {
 
--- a/src/core/watch.cpp
+++ b/src/workers/machine_checks.cpp
@@ -2,8 +2,8 @@
 // of reach.
 #include <algorithm>
 
-#include "core/constants.h"
-#include "core/controller.h"
+#include "base/constants.h"
+#include "controller/controller.h"
 
 namespace scheduler {
 
--- a/src/core/relay.cpp
+++ b/src/workers/relay.cpp
@@ -1,8 +1,8 @@
-#include "core/relay.h"
+#include "workers/relay.h"
 
 #include <algorithm>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 
--- a/src/core/relay.h
+++ b/src/workers/relay.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <utility>
 
-#include "core/context.h"
-#include "core/types.h"
+#include "base/types.h"
+#include "membership/context.h"
 #include "wire/peer.h"
 
 namespace scheduler {
--- a/src/core/machine_records.cpp
+++ b/src/workers/shard_records.cpp
@@ -4,8 +4,8 @@
 // (fleet_record_writer.h), each controller its own part's state.
 #include <algorithm>
 
-#include "core/constants.h"
-#include "core/controller.h"
+#include "base/constants.h"
+#include "controller/controller.h"
 
 namespace scheduler {
 
--- a/src/core/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <memory>
 
-#include "core/constants.h"
-#include "core/controller.h"
-#include "core/log_event.h"
+#include "base/constants.h"
+#include "base/log_event.h"
+#include "controller/controller.h"
 
 namespace scheduler {
 
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,9 +1,9 @@
 // Bounds that follow from the settings.
-#include "core/capacity.h"
+#include "base/capacity.h"
 
 #include <gtest/gtest.h>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace scheduler {
 namespace {
--- a/tests/meetings_workers_test.cpp
+++ b/tests/concurrent_faults_workers_test.cpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <ostream>
 
-#include "sim/world.h"
+#include "sim/simulated_cluster.h"
 
 namespace scheduler::sim {
 namespace {
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -3,8 +3,8 @@
 
 #include <map>
 
-#include "alone.h"
-#include "core/constants.h"
+#include "base/constants.h"
+#include "support/single_controller_test.h"
 
 namespace scheduler {
 namespace {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -4,13 +4,13 @@
 #include <cmath>
 #include <set>
 
-#include "core/constants.h"
-#include "core/fleet.h"
-#include "core/health.h"
-#include "core/membership.h"
-#include "core/order.h"
-#include "core/placement.h"
-#include "core/quota.h"
+#include "base/constants.h"
+#include "fleet/fleet_sizer.h"
+#include "membership/cluster_view.h"
+#include "quota/quota_leases.h"
+#include "scheduling/pending_order.h"
+#include "scheduling/placement.h"
+#include "workers/failure_tracker.h"
 
 namespace scheduler {
 namespace {
--- a/tests/fingerprint_test.cpp
+++ b/tests/fingerprint_test.cpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string>
 
-#include "sim/world.h"
+#include "sim/simulated_cluster.h"
 
 namespace scheduler::sim {
 namespace {
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -1,5 +1,5 @@
 // The coordinator of the fleet by itself: renting, adopting, shrinking and returning.
-#include "core/fleet_coordinator.h"
+#include "fleet/fleet_coordinator.h"
 
 #include <gtest/gtest.h>
 
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "component.h"
-#include "core/constants.h"
+#include "base/constants.h"
+#include "support/component_test.h"
 #include "wire/json.h"
 
 namespace scheduler {
--- a/tests/load/fleet_load.cpp
+++ b/tests/load/fleet_load.cpp
@@ -25,7 +25,7 @@
 
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "sim/state_stand_in.h"
+#include "sim/fake_state_service.h"
 #include "wire/messages.h"
 
 namespace scheduler {
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -7,8 +7,8 @@
 #include <iterator>
 #include <pcg_random.hpp>
 
-#include "alone.h"
-#include "sim/world.h"
+#include "sim/simulated_cluster.h"
+#include "support/single_controller_test.h"
 #include "wire/peer.h"
 
 namespace scheduler::sim {
--- a/tests/answers_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "alone.h"
-#include "sim/world.h"
+#include "sim/simulated_cluster.h"
+#include "support/single_controller_test.h"
 
 namespace scheduler {
 namespace {
--- a/tests/scale_sim_test.cpp
+++ b/tests/scale_sim_test.cpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "sim/world.h"
+#include "sim/simulated_cluster.h"
 
 namespace scheduler::sim {
 namespace {
--- a/tests/services_sim_test.cpp
+++ b/tests/services_sim_test.cpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "sim/world.h"
+#include "sim/simulated_cluster.h"
 
 namespace scheduler::sim {
 namespace {
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -6,12 +6,12 @@
 #include <set>
 #include <string>
 
-#include "alone.h"
-#include "core/constants.h"
-#include "core/format_switch.h"
-#include "core/health.h"
-#include "core/machine_groups.h"
-#include "core/range_split.h"
+#include "base/constants.h"
+#include "fleet/machine_groups.h"
+#include "membership/format_switch.h"
+#include "scheduling/range_split.h"
+#include "support/single_controller_test.h"
+#include "workers/failure_tracker.h"
 
 namespace scheduler {
 namespace {
--- a/tests/sim/actors.h
+++ b/tests/sim/cluster_members.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "sim/world.h"
+#include "sim/simulated_cluster.h"
 #include "wire/messages.h"
 
 namespace scheduler::sim {
--- a/tests/sim/state_stand_in.h
+++ b/tests/sim/fake_state_service.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "base/types.h"
 #include "wire/messages.h"
 
 namespace scheduler::sim {
--- a/tests/sim/fingerprint.h
+++ b/tests/sim/fingerprint.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string_view>
 
-#include "core/controller.h"
+#include "controller/controller.h"
 
 namespace scheduler::sim {
 
--- a/tests/sim/referee.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -3,8 +3,8 @@
 #include <cmath>
 #include <cstdio>
 
-#include "sim/actors.h"
-#include "sim/world.h"
+#include "sim/cluster_members.h"
+#include "sim/simulated_cluster.h"
 #include "wire/messages.h"
 #include "wire/records.h"
 
--- a/tests/sim/link_cuts.h
+++ b/tests/sim/link_cuts.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <utility>
 
-#include "core/types.h"
+#include "base/types.h"
 
 namespace scheduler::sim {
 
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "sim/actors.h"
-#include "sim/world.h"
+#include "sim/cluster_members.h"
+#include "sim/simulated_cluster.h"
 #include "wire/messages.h"
 
 namespace scheduler::sim {
--- a/tests/sim/world.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -1,5 +1,5 @@
 // The run itself, controllers, and the network between all.
-#include "sim/world.h"
+#include "sim/simulated_cluster.h"
 
 #include <algorithm>
 #include <chrono>
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <numeric>
 
-#include "sim/actors.h"
+#include "sim/cluster_members.h"
 #include "wire/messages.h"
 #include "wire/records.h"
 
--- a/tests/sim/world.h
+++ b/tests/sim/simulated_cluster.h
@@ -13,12 +13,12 @@
 #include <string>
 #include <vector>
 
-#include "core/capacity.h"
-#include "core/controller.h"
+#include "base/capacity.h"
+#include "controller/controller.h"
 #include "history/checker.h"
+#include "sim/fake_state_service.h"
 #include "sim/fingerprint.h"
 #include "sim/link_cuts.h"
-#include "sim/state_stand_in.h"
 
 namespace scheduler::sim {
 
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "sim/world.h"
+#include "sim/simulated_cluster.h"
 
 namespace scheduler::sim {
 namespace {
--- a/tests/component.h
+++ b/tests/support/component_test.h
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/context.h"
-#include "sim/state_stand_in.h"
+#include "membership/context.h"
+#include "sim/fake_state_service.h"
 #include "wire/records.h"
 #include "wire/state_service.h"
 
--- a/tests/alone.h
+++ b/tests/support/single_controller_test.h
@@ -12,8 +12,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/controller.h"
-#include "sim/state_stand_in.h"
+#include "controller/controller.h"
+#include "sim/fake_state_service.h"
 
 namespace scheduler {
 
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -7,7 +7,7 @@
 #include <limits>
 #include <sstream>
 
-#include "core/replica.h"
+#include "state/replica.h"
 #include "wire/messages.h"
 #include "wire/peer.h"
 #include "wire/records.h"
