--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -118,18 +118,18 @@
 constexpr std::int64_t kPauseMs = 2000;
 // Milliseconds after that within which the state service is to say what has changed meanwhile; then
 // it counts as out of reach, and the controller renews its workers' leases as in an outage.
-constexpr std::int64_t kCatchUpMs = 1500;
+constexpr std::int64_t kResynchroniseMs = 1500;
 
 // ---- membership ----
 // Life of a controller's hold, milliseconds. Longer than a restart (about 3 s) so that a crash
 // alone moves no machines, shorter than any worker lease.
-constexpr std::int64_t kHoldMs = 5000;
+constexpr std::int64_t kSessionLeaseMs = 5000;
 // Milliseconds between extensions of the hold: three may fail before it ends.
-constexpr std::int64_t kExtendEveryMs = 1200;
+constexpr std::int64_t kLeaseRenewalMs = 1200;
 // Milliseconds that a member's hold must have been gone before others remove it.
-constexpr std::int64_t kRemoveAfterMs = 400;
+constexpr std::int64_t kMemberRemovalDelayMs = 400;
 // Further milliseconds for each live controller before us in order, so that one of them writes.
-constexpr std::int64_t kRemoveStaggerMs = 300;
+constexpr std::int64_t kMemberRemovalStaggerMs = 300;
 // Bits of a token below the epoch: fences raised per machine within one epoch.
 constexpr int kFenceBits = 24;
 
@@ -165,9 +165,9 @@
 constexpr std::int64_t kIdleLookMs = 100;
 constexpr std::int64_t kBusyLookMs = 20;
 // Share of a second's writes that must be left for what can wait to be written.
-constexpr double kSpareShare = 0.5;
+constexpr double kWriteHeadroomShare = 0.5;
 // Conditions per put allowed in a transaction (PROTOCOL).
-constexpr std::size_t kGuardsPerWrite = 4;
+constexpr std::size_t kConditionsPerWrite = 4;
 // Milliseconds between probes while the service does not answer.
 constexpr std::int64_t kProbeEveryMs = 400;
 // Milliseconds to wait after a 429.
@@ -175,7 +175,7 @@
 // Items per page when reading prefixes (limit 1,000 and 512 KiB).
 constexpr std::uint32_t kPageItems = 250;
 // Final states kept in memory; each takes about 100 bytes, older ones are read again.
-constexpr std::size_t kOverCached = 20'000;
+constexpr std::size_t kFinalStatesCached = 20'000;
 
 // Milliseconds before a change that the service has refused for its size is tried again: it can
 // only succeed once something has shrunk.
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -39,7 +39,7 @@
       random_(seed),
       probe_random_(~seed),
       incarnation_(incarnation_name(seed)),
-      store_(
+      state_client_(
           settings_,
           [this](Target t, std::string a, std::string m, std::string p, std::string b, Ms timeout,
                  OutcomeHandler done) {
@@ -48,12 +48,12 @@
           },
           [this](Ms now, const wire::StoredItem& item) { on_item(now, item); },
           [this](LogLevel level, std::string text) { log(level, std::move(text)); }),
-      membership_(settings_),
+      cluster_view_(settings_),
       context_{settings_,
                capacity_,
                replica_,
-               store_,
-               membership_,
+               state_client_,
+               cluster_view_,
                incarnation_,
                [this](Target target, std::string address, std::string method, std::string path,
                       std::string body, Ms timeout, OutcomeHandler done) {
@@ -63,8 +63,8 @@
                [this](LogLevel level, std::string text) { log(level, std::move(text)); },
                [this](Ms now) { return can_write(now); }},
       fleet_(context_),
-      links_(monitor_settings(settings_), store_.link(), fleet_.cloud_link()),
-      view_member_(context_, links_, [this](Ms now) { after_changes(now); }),
+      links_(monitor_settings(settings_), state_client_.link(), fleet_.cloud_link()),
+      membership_manager_(context_, links_, [this](Ms now) { after_changes(now); }),
       relay_(
           context_,
           [this](const std::string& peer, std::string bytes) {
@@ -78,20 +78,20 @@
 void Controller::start(Ms now, Ms wall) {
   wall_offset_ = wall - now;
   last_input_at_ = now;
-  store_.start(now);
+  state_client_.start(now);
 }
 
 void Controller::tick(Ms now, Ms wall) {
   detect_pause(now);
   wall_offset_ = wall - now;
-  store_.tick(now);
+  state_client_.tick(now);
   links_.tick(now);
   relay_.tick(now);
-  keep_membership(now);
+  update_membership(now);
   after_changes(now);
   watch_machines(now);
   probe_zones(now);
-  write_parts(now);
+  write_shard_records(now);
   keep_quotas(now);
   if (now >= schedule_after_ + (dirty_ ? 0 : k::kIdlePassMs)) schedule(now);
   finish_jobs(now);
@@ -101,7 +101,7 @@
 }
 
 Ms Controller::next_tick(Ms now) const {
-  const Ms at = store_.next_tick(now);
+  const Ms at = state_client_.next_tick(now);
   return dirty_ ? std::min(at, std::max(schedule_after_, now)) : at;
 }
 
@@ -184,7 +184,7 @@
 }
 
 bool Controller::ready() const {
-  return store_.loaded() && view_known_ && view_member_.is_member();
+  return state_client_.loaded() && view_known_ && membership_manager_.is_member();
 }
 
 const Team* Controller::team(const std::string& name) const {
@@ -208,15 +208,16 @@
   });
   const auto quotas =
       std::count_if(quota_busy_.begin(), quota_busy_.end(), [](const auto& q) { return q.second; });
-  return "epoch " + std::to_string(membership_.epoch()) + (ready() ? " ready" : " not ready") +
-         (store_.answering(now) ? "" : ", state silent") + ", jobs " +
+  return "epoch " + std::to_string(cluster_view_.epoch()) + (ready() ? " ready" : " not ready") +
+         (state_client_.answering(now) ? "" : ", state silent") + ", jobs " +
          std::to_string(replica_.jobs().size()) + ", machines " + std::to_string(machines_.size()) +
          "/" + std::to_string(replica_.machines().size()) + ", placed " + std::to_string(placed) +
          ", CPUs free " + std::to_string(std::lround(free)) + "/" +
          std::to_string(std::lround(cpus)) + ", ranges being written " + std::to_string(busy) +
          ", quotas being written " + std::to_string(quotas) + ", queued writes " +
-         std::to_string(store_.queued()) + ", over size " + std::to_string(store_.rejections()) +
-         ", over rate " + std::to_string(store_.throttles()) + ", answers held " +
+         std::to_string(state_client_.queued()) + ", over size " +
+         std::to_string(state_client_.rejections()) + ", over rate " +
+         std::to_string(state_client_.throttles()) + ", answers held " +
          std::to_string(answers_held_);
 }
 
@@ -230,7 +231,7 @@
 }
 
 void Controller::after_changes(Ms now) {
-  if (!store_.loaded()) return;  // they are looked at when all is known
+  if (!state_client_.loaded()) return;  // they are looked at when all is known
   replica_.take_view_changed();
   for (const auto& id : replica_.take_changed_machines()) {
     dirty_ = true;
@@ -238,7 +239,7 @@
     auto it = machines_.find(id);
     const auto* record = replica_.machine(id);
     if (it == machines_.end() && record && ready() &&
-        membership_.machine_owner(id, record->zone) == settings_.name)
+        cluster_view_.machine_owner(id, record->zone) == settings_.name)
       it = own(now, id);
     if (it == machines_.end()) continue;
     Machine& m = it->second;
@@ -250,7 +251,7 @@
   bool cancelling = false;
   for (const auto& id : replica_.take_changed_jobs()) {
     dirty_ = true;
-    check_finish_.insert(id);
+    jobs_to_check_.insert(id);
     note_cancelled(now, id);
     cancelling = cancelling || cancel_waits_.contains(id);
   }
@@ -263,7 +264,7 @@
   auto it = machines_.try_emplace(id).first;
   Machine& m = it->second;
   m.id = id;
-  m.owner_since = membership_.epoch();
+  m.owner_since = cluster_view_.epoch();
   m.heard_at = m.reported_at = now;  // no verdict before it had time to reach us
   refresh(m);
   return it;
@@ -285,23 +286,24 @@
   known_epoch_ = view.epoch;
   view_known_ = true;
   foreign_candidates_.clear();
-  part_machines_at_ = 0;
-  membership_.update(view);
-  store_.set_sharers(static_cast<int>(std::max<std::size_t>(1, view.live.size())));
+  shard_machines_at_ = 0;
+  cluster_view_.update(view);
+  state_client_.set_rate_sharers(static_cast<int>(std::max<std::size_t>(1, view.live.size())));
   std::string names;
-  for (const auto& n : membership_.live()) names += " " + n;
+  for (const auto& n : cluster_view_.live()) names += " " + n;
   log(LogLevel::info, "view " + std::to_string(view.epoch) + ":" + names);
   if (logs_debug()) {
     LogEvent event("view");
-    event.field("epoch", view.epoch).field("token", Membership::token(view.epoch, 0));
-    event.field("revision", store_.version(std::string(wire::kViewKey)));
-    event.field("watched", store_.watched()).field("skipped", static_cast<int>(skipped));
+    event.field("epoch", view.epoch).field("token", ClusterView::token(view.epoch, 0));
+    event.field("revision", state_client_.version(std::string(wire::kViewKey)));
+    event.field("watched", state_client_.applied_revision())
+        .field("skipped", static_cast<int>(skipped));
     log(LogLevel::debug, event.text());
   }
-  const bool member = view_member_.is_member();
+  const bool member = membership_manager_.is_member();
   for (auto it = machines_.begin(); it != machines_.end();) {
     const bool ours =
-        member && membership_.machine_owner(it->first, it->second.zone) == settings_.name;
+        member && cluster_view_.machine_owner(it->first, it->second.zone) == settings_.name;
     if (!ours || skipped) forget_proofs(it->first);
     if (!ours) {
       it = machines_.erase(it);
@@ -317,24 +319,24 @@
   }
   if (member) {
     for (const auto& [id, record] : replica_.machines()) {
-      if (!machines_.contains(id) && membership_.machine_owner(id, record.zone) == settings_.name)
+      if (!machines_.contains(id) && cluster_view_.machine_owner(id, record.zone) == settings_.name)
         own(now, id);
     }
   }
   take_census(now);  // of the part that is ours now
   count_foreign_unwritten();
   for (const auto& [id, job] : replica_.jobs())
-    check_finish_.insert(id);  // its coordinator may be new
+    jobs_to_check_.insert(id);  // its coordinator may be new
   dirty_ = true;
 }
 
 // ---- membership ----
 
-void Controller::keep_membership(Ms now) {
-  if (!store_.loaded()) return;
-  view_member_.tick(now);
+void Controller::update_membership(Ms now) {
+  if (!state_client_.loaded()) return;
+  membership_manager_.tick(now);
   if (!ready()) return;
-  keep_format(now);
+  switch_format(now);
   keep_reachable(now);
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -143,20 +143,22 @@
     double cpus = 0, gpus = 0, memory_gb = 0;
   };
   // Machines of one part that are alike.
-  using PartKind =
+  using ShardMachineKind =
       std::tuple<std::string, std::string, std::string, bool>;  // part, type, zone, spot
   struct CancelWait {
     std::uint64_t request = 0;
-    Ms give_up = 0;
+    Ms deadline = 0;
   };
 
   // ---- pause.cpp ----
   // Called with every input. Finds out whether this controller has stood still.
   void detect_pause(Ms now);
   void on_pause(Ms now, Ms gap);
-  void caught_up(Ms now, std::uint64_t wake);
+  void wait_until_resynchronised(Ms now, std::uint64_t resume);
   // Has stood still and has not yet heard from the state service what changed meanwhile.
-  bool catching_up(Ms now) const { return catching_up_until_ != 0 && now < catching_up_until_; }
+  bool resynchronising(Ms now) const {
+    return resynchronising_until_ != 0 && now < resynchronising_until_;
+  }
 
   // ---- controller.cpp ----
   void call(Target target, std::string address, std::string method, std::string path,
@@ -177,12 +179,12 @@
   void on_view(Ms now);
   void forget_proofs(const std::string& machine);
   std::map<std::string, Machine>::iterator own(Ms now, const std::string& id);
-  void keep_membership(Ms now);
-  wire::Guard view_guard() const { return context_.view_guard(); }
+  void update_membership(Ms now);
+  wire::Compare view_unchanged() const { return context_.view_unchanged(); }
   bool can_write(Ms now) const {
-    return ready() && store_.answering(now) && catching_up_until_ == 0;
+    return ready() && state_client_.answering(now) && resynchronising_until_ == 0;
   }
-  bool coordinates(std::string_view duty) const { return context_.coordinates(duty); }
+  bool is_leader_of(std::string_view duty) const { return context_.is_leader_of(duty); }
   const Team* team(const std::string& name) const;
 
   struct Pass;  // pass.h
@@ -191,7 +193,7 @@
   // Whether services may be accepted: every controller reads their records.
   bool services_enabled() const { return context_.services_enabled(); }
   // Records the format that all controllers support, once they do.
-  void keep_format(Ms now);
+  void switch_format(Ms now);
   // Replicas of our services that are on no machine, in amounts of their team's limit. They are
   // kept free for them, so that nothing else starves a restart.
   Usage service_reserve(const std::string& team_name) const;
@@ -231,7 +233,7 @@
   bool shed(std::uint64_t request);
   std::string verdict(const wire::JobSpec& spec) const;
   void finish_jobs(Ms now);
-  void finish(const std::string& id, const Job& job);
+  void write_final_state(const std::string& id, const Job& job);
 
   // ---- job_answers.cpp ----
   struct JobAnswer {
@@ -242,10 +244,10 @@
   using Found = std::function<void(Ms now, const JobAnswer& answer)>;
   // Finds the job as of now or later. Whoever cannot be told is answered 503 or 429 at once, or at
   // `give_up`.
-  void lookup(Ms now, std::uint64_t request, const std::string& job, Ms give_up, Found found);
+  void lookup(Ms now, std::uint64_t request, const std::string& job, Ms deadline, Found found);
   // Calls `then` once the replica is the job's state at revision `Store::watched()`, with nothing
   // newer. At `give_up` the request is answered 503 instead.
-  void when_settled(Ms now, std::uint64_t request, const std::string& job, Ms give_up,
+  void when_settled(Ms now, std::uint64_t request, const std::string& job, Ms deadline,
                     const std::function<void(Ms now)>& then);
   void find(Ms now, std::uint64_t request, const std::string& job, const Found& found);
   void on_final_state_read(Ms now, std::uint64_t request, const std::string& job,
@@ -256,7 +258,7 @@
   bool provable_soon(Ms now, const std::string& job) const;
   void keep_cancel_waits(Ms now);
   wire::JobState state_of(const Job& job) const;
-  static JobAnswer final_answer(const wire::OverRecord& record);
+  static JobAnswer final_answer(const wire::FinalStateRecord& record);
   // The newest revision of what the replica holds of the job; 0 if it holds nothing.
   std::uint64_t newest_revision(const std::string& job) const;
   // Which revision an answer about a job rests on.
@@ -272,12 +274,12 @@
   void free_task(const TaskRef& ref, std::uint64_t attempt, bool done);
   void on_exit(Ms now, Machine& m, const TaskRef& ref, const Seen& seen);
   std::uint64_t token(const Machine& m) const {
-    return Membership::token(membership_.epoch(), m.fence);
+    return ClusterView::token(cluster_view_.epoch(), m.fence);
   }
 
   // ---- commands.cpp ----
   std::vector<wire::Command> commands(Ms now, Machine& m);
-  void give_up_blocked_start(Ms now, Machine& m, const wire::TaskId& task, std::uint64_t attempt);
+  void abandon_blocked_start(Ms now, Machine& m, const wire::TaskId& task, std::uint64_t attempt);
   bool direct_needed(const Machine& m, const std::vector<wire::Command>& commands) const;
   void log_command(const Machine& m, const wire::Command& command, const wire::Placement* placement,
                    std::string_view reason);
@@ -307,7 +309,7 @@
   bool lease_over(Ms now, const Machine& m) const;
   bool usable(Ms now, const Machine& m) const;
   bool mute(Ms now, const Machine& m) const;
-  bool others_yielded(std::uint64_t epoch) const;
+  bool peers_acknowledged_epoch(std::uint64_t epoch) const;
   Ms silent_after() const;
   Ms quiet_after() const;
   // How long a machine may be quiet before it is asked directly.
@@ -344,20 +346,20 @@
 
   // ---- machine_records.cpp ----
   // What this controller wants recorded of machines of one group; written together.
-  struct PartWrite {
+  struct ShardWrite {
     bool busy = false;
     Ms due = 0;
-    std::map<std::string, wire::PartRecord::Heard> pending;
+    std::map<std::string, wire::ShardRecord::Heard> pending;
   };
   void refresh(Machine& m) const;  // from the records
   void note_machine(Ms now, Machine& m, wire::MachineStanding standing, Ms within);
-  void write_parts(Ms now);
+  void write_shard_records(Ms now);
   // Pending entries follow their machines into the groups that these are in now.
   void regroup_pending();
   // Whether our record of the group has entries of machines that are in another group now.
-  bool has_strays(const wire::PartRecord& record, std::uint32_t group) const;
+  bool has_strays(const wire::ShardRecord& record, std::uint32_t group) const;
   // Writes such entries into our records of the groups that their machines are in.
-  void move_strays(std::uint32_t group, const wire::PartRecord& record);
+  void move_strays(std::uint32_t group, const wire::ShardRecord& record);
   double value_bytes() const { return context_.value_bytes(); }
   // What a value written by the former version may take; ours may too until all are new.
   double stored_value_bytes() const {
@@ -433,14 +435,14 @@
   // ---- ranges.cpp ----
   std::size_t placed_most(std::uint32_t tasks) const;
   std::vector<wire::JobRecord::Share> divide(const wire::JobSpec& spec);
-  struct PartRoom {
+  struct ShardCapacity {
     double room = 0, capacity = 0, load = 0;  // in tasks of one job
   };
-  std::map<std::string, PartRoom> part_rooms(const wire::JobSpec& spec);
-  static std::map<std::string, PartRoom>::iterator roomiest(std::map<std::string, PartRoom>& parts,
-                                                            const std::string& first);
+  std::map<std::string, ShardCapacity> shard_capacities(const wire::JobSpec& spec);
+  static std::map<std::string, ShardCapacity>::iterator roomiest(
+      std::map<std::string, ShardCapacity>& parts, const std::string& first);
   // How many usable machines each part has, by kind; counted again after a second.
-  const std::map<PartKind, std::size_t>& part_machines();
+  const std::map<ShardMachineKind, std::size_t>& shard_machines();
   std::vector<wire::JobRecord::Share> cut_shares(
       const wire::JobSpec& spec, const std::map<std::string, std::uint32_t>& given) const;
   void take_ranges(Ms now, Pass& pass);
@@ -458,7 +460,7 @@
                          Transaction& t);
   bool write_pieces(const Job& job, const wire::RangeRecord& record, Transaction& t);
   void write_range(const RangeId& id);
-  void on_range_written(Ms now, const RangeId& id, Committed result);
+  void on_range_written(Ms now, const RangeId& id, TxnResult result);
 
   // ---- grants.cpp ----
   bool grant_allows(Pass& pass, const wire::JobSpec& spec);
@@ -478,7 +480,7 @@
     return job.record.cancelled || stop_hints_.contains(id);
   }
   // A newer view exists that we cannot read: whoever it names gives the commands now.
-  bool superseded(Ms now) const;
+  bool deposed(Ms now) const;
 
   Settings settings_;
   Capacity capacity_;
@@ -491,20 +493,20 @@
   Ms wall_offset_ = 0;  // time of day minus steady time
 
   Replica replica_;
-  Store store_;
-  Membership membership_;
+  StateClient state_client_;
+  ClusterView cluster_view_;
   Context context_;
   Health health_;
   FleetCoordinator fleet_;
   links::Monitor links_;
-  ViewMember view_member_;
+  MembershipManager membership_manager_;
   Relay relay_;
   FormatSwitch format_switch_;
-  bool format_busy_ = false;
+  bool format_write_in_flight_ = false;
   std::map<std::string, Usage> service_reserve_;  // by team; see service_reserve()
 
-  Ms last_input_at_ = 0;      // last input
-  Ms catching_up_until_ = 0;  // 0: not catching up after a pause
+  Ms last_input_at_ = 0;          // last input
+  Ms resynchronising_until_ = 0;  // 0: not catching up after a pause
   std::uint64_t pauses_ = 0;
   bool reachable_busy_ = false;
   Ms reachable_at_ = 0;
@@ -516,14 +518,14 @@
   // Machines of other parts as placement sees them, kept until something about them changes.
   std::unordered_map<std::string, Candidate> foreign_candidates_;
   std::unordered_map<std::string, Amounts> foreign_unwritten_;
-  std::map<PartKind, std::size_t> part_machines_;
-  Ms part_machines_at_ = 0;
-  std::map<std::uint32_t, PartWrite> part_writes_;
+  std::map<ShardMachineKind, std::size_t> shard_machines_;
+  Ms shard_machines_at_ = 0;
+  std::map<std::uint32_t, ShardWrite> shard_writes_;
   std::size_t heard_writes_ = 0;         // under way that carry no verdict on a machine
   Ms strays_at_ = 0;                     // when to look for them next
   int orders_out_ = 0, probes_out_ = 0;  // direct messages under way
   std::set<std::string> finishing_;
-  std::set<std::string> check_finish_;
+  std::set<std::string> jobs_to_check_;
   bool dirty_ = false;
   Ms schedule_after_ = 0;
   double fleet_cpus_ = 0;
@@ -545,7 +547,7 @@
   wire::LinkRow told_row_;                  // our own links, as last told
   std::map<std::string, Ms> cancelled_at_;  // jobs, by when we read of it
   std::set<std::string> stop_hints_;        // jobs that a peer says are cancelled
-  std::uint64_t newest_epoch_ = 0;          // of any view heard of
+  std::uint64_t newest_epoch_seen_ = 0;     // of any view heard of
   Ms machines_at_ = 0;
 };
 
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -41,8 +41,9 @@
   wire::PeerHint hint;
   hint.from = settings_.name;
   hint.incarnation = incarnation_;
-  hint.epoch = std::max(membership_.epoch(), newest_epoch_);
-  hint.state_answers = store_.loaded() && store_.answering(now) && catching_up_until_ == 0;
+  hint.epoch = std::max(cluster_view_.epoch(), newest_epoch_seen_);
+  hint.state_answers =
+      state_client_.loaded() && state_client_.answering(now) && resynchronising_until_ == 0;
   for (const auto& [id, m] : machines_) {
     if (usable(now, m)) hint.free_cpus += std::max(0.0, candidate(now, m).cpus);
   }
@@ -70,7 +71,7 @@
     return entry->row.state == links::Status::down;
   });
   std::vector<std::string> jobs;
-  if (!needed || !store_.answering(now)) return jobs;
+  if (!needed || !state_client_.answering(now)) return jobs;
   for (const auto& [job, at] : cancelled_at_) {
     if (jobs.size() < k::kCancelledHints) jobs.push_back(job);
   }
@@ -79,7 +80,7 @@
 
 void Controller::note_cancelled(Ms now, const std::string& id) {
   const Job* job = replica_.job(id);
-  const auto* final_state = replica_.over(id);
+  const auto* final_state = replica_.final_state(id);
   if (!(job && job->record.cancelled) && !(final_state && !final_state->done)) return;
   if (cancelled_at_.size() < k::kCancelledHints) cancelled_at_.try_emplace(id, now);
 }
@@ -124,7 +125,7 @@
 void Controller::on_hint(Ms now, const wire::PeerHint& hint) {
   // Whatever its age, that a view exists stays true, and so does a cancellation; the rest is of its
   // moment. Guards against a copy that comes late and passes for a peer's word.
-  newest_epoch_ = std::max(newest_epoch_, hint.epoch);
+  newest_epoch_seen_ = std::max(newest_epoch_seen_, hint.epoch);
   take_stop_hints(now, hint.cancelled);
   const links::Moment when = moment(now);
   if (when.wall - static_cast<Ms>(hint.sent_ms) > links::constants::kStateWordFreshMs) return;
@@ -136,7 +137,7 @@
 // A peer has read that these jobs are cancelled, which we can't. Their tasks are stopped; what that
 // proves is recorded once we can write again. Nothing is ever started on a peer's word.
 void Controller::take_stop_hints(Ms now, const std::vector<std::string>& jobs) {
-  if (store_.answering(now)) return;
+  if (state_client_.answering(now)) return;
   for (const auto& id : jobs) {
     const Job* job = replica_.job(id);
     if (!job || job->record.cancelled || stop_hints_.size() >= k::kStopHintsMost) continue;
@@ -149,8 +150,8 @@
   }
 }
 
-bool Controller::superseded(Ms now) const {
-  return newest_epoch_ > membership_.epoch() && !store_.answering(now);
+bool Controller::deposed(Ms now) const {
+  return newest_epoch_seen_ > cluster_view_.epoch() && !state_client_.answering(now);
 }
 
 }  // namespace scheduler
--- a/src/controller/process_pause.cpp
+++ b/src/controller/process_pause.cpp
@@ -14,15 +14,15 @@
 void Controller::detect_pause(Ms now) {
   const Ms gap = now - last_input_at_;
   last_input_at_ = std::max(last_input_at_, now);
-  if (gap > k::kPauseMs && store_.loaded()) on_pause(now, gap);
+  if (gap > k::kPauseMs && state_client_.loaded()) on_pause(now, gap);
 }
 
 void Controller::on_pause(Ms now, Ms gap) {
   log(LogLevel::info, "stood still for " + std::to_string(gap) + " ms");
   ++pauses_;
-  catching_up_until_ = now + k::kCatchUpMs;
-  store_.on_pause(now);
-  view_member_.on_pause();
+  resynchronising_until_ = now + k::kResynchroniseMs;
+  state_client_.on_pause(now);
+  membership_manager_.on_pause();
   links_.on_pause(now);
   reachable_at_ = std::max(reachable_at_, now + silent_after());
   for (auto& [id, m] : machines_) {
@@ -32,18 +32,18 @@
     if (m.unreached_since != 0) m.unreached_since = now;
   }
   fleet_.on_pause(now, gap);
-  caught_up(now, pauses_);
+  wait_until_resynchronised(now, pauses_);
 }
 
 // Everything written while we were away is known once a read asked for after it has been passed.
-void Controller::caught_up(Ms now, std::uint64_t wake) {
-  store_.barrier(now, 0, [this, wake](Ms at, bool ok) {
-    if (wake != pauses_) return;
+void Controller::wait_until_resynchronised(Ms now, std::uint64_t resume) {
+  state_client_.barrier_read(now, 0, [this, resume](Ms at, bool ok) {
+    if (resume != pauses_) return;
     if (!ok) {
-      caught_up(at, wake);
+      wait_until_resynchronised(at, resume);
       return;
     }
-    catching_up_until_ = 0;
+    resynchronising_until_ = 0;
     dirty_ = true;
   });
 }
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -37,7 +37,7 @@
 }
 
 void FleetCoordinator::tick(Ms now) {
-  if (!coordinates()) {
+  if (!is_leader()) {
     // Somebody else's now; what was under way fails by its view.
     list_.clear();
     records_.clear();
@@ -110,18 +110,18 @@
   if (replica.has_catalog() && body == wire::catalog_body(replica.catalog())) return;
   const std::string key(wire::kCatalogKey);
   Transaction transaction;
-  transaction.guards = {context_.view_guard(), context_.store.guard(key)};
+  transaction.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
   transaction.writes = {{key, body, std::nullopt}};
-  transaction.done = [this](Ms at, Committed result, const auto&) {
-    if (result != Committed::yes) catalog_at_ = at + k::kSizeEveryMs;
+  transaction.done = [this](Ms at, TxnResult result, const auto&) {
+    if (result != TxnResult::committed) catalog_at_ = at + k::kSizeEveryMs;
   };
-  context_.store.submit(std::move(transaction));
+  context_.state_client.submit(std::move(transaction));
 }
 
 // ---- the list of machines ----
 
 void FleetCoordinator::on_list(Ms now) {
-  if (!context_.can_write(now) || !coordinates()) return;
+  if (!context_.can_write(now) || !is_leader()) return;
   std::vector<std::string> unknown_failed;
   for (const auto& [id, listed] : list_.machines()) {
     if (check_listed(id, listed)) unknown_failed.push_back(id);
--- a/src/fleet/fleet_coordinator.h
+++ b/src/fleet/fleet_coordinator.h
@@ -29,7 +29,7 @@
   const links::RequestLink& cloud_link() const { return list_.link(); }
 
  private:
-  bool coordinates() const { return context_.coordinates(kFleetDuty); }
+  bool is_leader() const { return context_.is_leader_of(kFleetDuty); }
   std::vector<Demand> demand() const;
   std::map<MachineKind, int> held() const;
 
--- a/src/fleet/fleet_record_writer.cpp
+++ b/src/fleet/fleet_record_writer.cpp
@@ -63,10 +63,10 @@
     const auto pieces = split_group(groups, group, limits);
     if (!pieces) continue;
     Transaction transaction;
-    transaction.guards = {context_.view_guard()};
+    transaction.conditions = {context_.view_unchanged()};
     for (const auto& [target, piece] : *pieces) {
       const std::string key = wire::fleet_key(target);
-      transaction.guards.push_back(context_.store.guard(key));
+      transaction.conditions.push_back(context_.state_client.unchanged(key));
       transaction.writes.push_back({key, encode(piece), std::nullopt});
     }
     context_.log(LogLevel::info, "cutting machine group " + std::to_string(group) + " into " +
@@ -129,10 +129,10 @@
 // The transaction that writes the batch, with the rental requests that can be forgotten with it.
 Transaction FleetRecordWriter::transaction_of(Batch& batch) const {
   Transaction transaction;
-  transaction.guards = {context_.view_guard()};
+  transaction.conditions = {context_.view_unchanged()};
   for (const auto& [group, record] : batch.groups) {
     const std::string key = wire::fleet_key(group);
-    transaction.guards.push_back(context_.store.guard(key));
+    transaction.conditions.push_back(context_.state_client.unchanged(key));
     std::optional<std::string> value;
     if (!record.machines.empty()) value = encode(record);
     transaction.writes.push_back({key, value, std::nullopt});
@@ -145,8 +145,8 @@
     if (!all_recorded || full) continue;
     batch.rentals.push_back(name);
     const std::string key = wire::rental_key(name);
-    if (context_.store.version(key) == 0) continue;
-    transaction.guards.push_back(context_.store.guard(key));
+    if (context_.state_client.version(key) == 0) continue;
+    transaction.conditions.push_back(context_.state_client.unchanged(key));
     transaction.writes.push_back({key, std::nullopt, std::nullopt});
   }
   return transaction;
@@ -154,14 +154,14 @@
 
 void FleetRecordWriter::submit(Transaction transaction, std::function<void(Ms)> settled) {
   busy_ = true;
-  transaction.done = [this, settled = std::move(settled)](Ms now, Committed result, const auto&) {
-    if (result == Committed::yes) {
+  transaction.done = [this, settled = std::move(settled)](Ms now, TxnResult result, const auto&) {
+    if (result == TxnResult::committed) {
       settled(now);
       return;
     }
-    context_.store.settle(now, settled);
+    context_.state_client.wait_until_settled(now, settled);
   };
-  context_.store.submit(std::move(transaction));
+  context_.state_client.submit(std::move(transaction));
 }
 
 void FleetRecordWriter::on_settled(const Batch& batch) {
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -67,8 +67,8 @@
   std::vector<Need> out;
   for (const auto& [key, n] : sums) {
     const auto& [type, any_zone, zone, any_kind] = key;
-    const double spare = any_zone && any_kind ? k::kSpareMachines : 0;
-    out.push_back({type, zone, !any_kind, n * (1.0 + k::kHeadroom) + spare});
+    const double has_write_headroom = any_zone && any_kind ? k::kSpareMachines : 0;
+    out.push_back({type, zone, !any_kind, n * (1.0 + k::kHeadroom) + has_write_headroom});
   }
   return out;
 }
--- a/src/fleet/scale_out_requests.cpp
+++ b/src/fleet/scale_out_requests.cpp
@@ -21,15 +21,16 @@
                                    " in " + request.zone + (request.spot ? " (spot)" : ""));
   const std::string key = wire::rental_key(request.name);
   Transaction transaction;
-  transaction.guards = {context_.view_guard(), {key, 0}};
+  transaction.conditions = {context_.view_unchanged(), {key, 0}};
   transaction.writes = {{key, encode(request), std::nullopt}};
   ++being_recorded_;
-  transaction.done = [this](Ms now, Committed result, const auto&) {
+  transaction.done = [this](Ms now, TxnResult result, const auto&) {
     send_at_ = 0;
     const auto release = [this](Ms) { --being_recorded_; };
-    result == Committed::yes ? release(now) : context_.store.settle(now, release);
+    result == TxnResult::committed ? release(now)
+                                   : context_.state_client.wait_until_settled(now, release);
   };
-  context_.store.submit(std::move(transaction));
+  context_.state_client.submit(std::move(transaction));
 }
 
 void Rentals::tick(Ms now) {
@@ -68,7 +69,7 @@
     return;
   }
   send_at_ = std::min(send_at_, now);  // others may wait for their turn
-  if (context_.coordinates(kFleetDuty)) answered_(now, request, machines);
+  if (context_.is_leader_of(kFleetDuty)) answered_(now, request, machines);
 }
 
 void Rentals::forget(const std::vector<std::string>& names) {
--- a/src/jobs/job_reads.cpp
+++ b/src/jobs/job_reads.cpp
@@ -42,12 +42,12 @@
 }  // namespace
 
 std::uint64_t Controller::newest_revision(const std::string& id) const {
-  std::uint64_t newest =
-      std::max(store_.version(wire::job_key(id)), store_.version(wire::over_key(id)));
+  std::uint64_t newest = std::max(state_client_.version(wire::job_key(id)),
+                                  state_client_.version(wire::final_state_key(id)));
   const auto job = replica_.jobs().find(id);
   if (job == replica_.jobs().end()) return newest;
   for (const auto& [number, range] : job->second.ranges)
-    newest = std::max(newest, store_.version(wire::range_key(id, number)));
+    newest = std::max(newest, state_client_.version(wire::range_key(id, number)));
   return newest;
 }
 
@@ -55,63 +55,64 @@
   if (!logs_debug()) return;
   LogEvent event("answer");
   event.field("job", id).field("state", name_of(state));
-  event.field("revision", newest_revision(id)).field("watched", store_.watched());
+  event.field("revision", newest_revision(id)).field("watched", state_client_.applied_revision());
   log(LogLevel::debug, event.text());
 }
 
-void Controller::when_settled(Ms now, std::uint64_t request, const std::string& id, Ms give_up,
+void Controller::when_settled(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
                               const std::function<void(Ms now)>& then) {
   const std::uint64_t newest = newest_revision(id);
-  if (newest <= store_.watched()) {
+  if (newest <= state_client_.applied_revision()) {
     then(now);
     return;
   }
   if (shed(request)) return;
   ++waiting_requests_;
   ++answers_held_;
-  store_.reach(now, newest, give_up, [this, request, id, give_up, then](Ms at, bool reached) {
-    --waiting_requests_;
-    if (!reached) {
-      decline(request, k::kRetryAfterS);
-      return;
-    }
-    when_settled(at, request, id, give_up, then);  // written again meanwhile, perhaps
-  });
+  state_client_.wait_for_revision(
+      now, newest, deadline, [this, request, id, deadline, then](Ms at, bool reached) {
+        --waiting_requests_;
+        if (!reached) {
+          decline(request, k::kRetryAfterS);
+          return;
+        }
+        when_settled(at, request, id, deadline, then);  // written again meanwhile, perhaps
+      });
 }
 
-Controller::JobAnswer Controller::final_answer(const wire::OverRecord& record) {
+Controller::JobAnswer Controller::final_answer(const wire::FinalStateRecord& record) {
   if (!record.done) return {true, wire::JobState::cancelled, 0, 0};
   return {true, wire::JobState::done, record.tasks, 0};
 }
 
-void Controller::lookup(Ms now, std::uint64_t request, const std::string& id, Ms give_up,
+void Controller::lookup(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
                         Found found) {
   // Final states never change, so the first one known is the answer.
-  if (const auto* over = replica_.over(id)) {
-    found(now, final_answer(*over));
+  if (const auto* final_state = replica_.final_state(id)) {
+    found(now, final_answer(*final_state));
     return;
   }
-  if (!ready() || !store_.answering(now) || catching_up_until_ != 0) {
+  if (!ready() || !state_client_.answering(now) || resynchronising_until_ != 0) {
     decline(request, k::kRetryAfterOutageS);
     return;
   }
   if (shed(request)) return;
   ++waiting_requests_;
-  store_.barrier(now, give_up, [this, request, id, give_up, found](Ms at, bool ok) {
+  state_client_.barrier_read(now, deadline, [this, request, id, deadline, found](Ms at, bool ok) {
     --waiting_requests_;
     if (!ok) {
       decline(request, k::kRetryAfterS);
       return;
     }
-    when_settled(at, request, id, give_up,
+    when_settled(at, request, id, deadline,
                  [this, request, id, found](Ms then) { find(then, request, id, found); });
   });
 }
 
 // What the replica holds of the job is settled.
 void Controller::find(Ms now, std::uint64_t request, const std::string& id, const Found& found) {
-  if (const auto* over = replica_.over(id)) {
-    found(now, final_answer(*over));
+  if (const auto* final_state = replica_.final_state(id)) {
+    found(now, final_answer(*final_state));
     return;
   }
   if (const Job* job = replica_.job(id)) {
@@ -121,24 +122,25 @@
     return;
   }
   ++waiting_requests_;
-  store_.read(now, wire::over_key(id), [this, request, id, found](Ms at, const Outcome& outcome) {
-    --waiting_requests_;
-    on_final_state_read(at, request, id, outcome, found);
-  });
+  state_client_.read(now, wire::final_state_key(id),
+                     [this, request, id, found](Ms at, const Outcome& outcome) {
+                       --waiting_requests_;
+                       on_final_state_read(at, request, id, outcome, found);
+                     });
 }
 
 void Controller::on_final_state_read(Ms now, std::uint64_t request, const std::string& id,
                                      const Outcome& outcome, const Found& found) {
   wire::StoredItem item;
-  wire::OverRecord over;
+  wire::FinalStateRecord final_state;
   if (outcome.status == 200 && wire::parse_item(outcome.body, item) && item.value &&
-      decode(*item.value, over)) {
-    replica_.remember_over(id, over);
-    found(now, final_answer(over));
+      decode(*item.value, final_state)) {
+    replica_.remember_final_state(id, final_state);
+    found(now, final_answer(final_state));
     return;
   }
   // Accepted between the two reads: then the replica may have it by now.
-  if (outcome.status != 404 || replica_.job(id) || replica_.over(id)) {
+  if (outcome.status != 404 || replica_.job(id) || replica_.final_state(id)) {
     decline(request, k::kRetryAfterS);
     return;
   }
@@ -176,23 +178,24 @@
   ++waiting_requests_;
   // Guards against telling users while a start is on its way: our own write is known at once, what
   // another controller had placed before it only when the watch has passed it.
-  store_.passed(now, now + k::kCancelPatienceMs, [this, request, id](Ms at, bool ok) {
-    --waiting_requests_;
-    if (ok && answer_cancelled(request, id)) return;
-    if (!ok || !provable_soon(at, id)) {
-      decline(request, k::kRetryAfterS);
-      return;
-    }
-    ++waiting_requests_;
-    cancel_waits_[id].push_back({request, at + k::kCancelPatienceMs});
-  });
+  state_client_.wait_until_current(
+      now, now + k::kCancelPatienceMs, [this, request, id](Ms at, bool ok) {
+        --waiting_requests_;
+        if (ok && answer_cancelled(request, id)) return;
+        if (!ok || !provable_soon(at, id)) {
+          decline(request, k::kRetryAfterS);
+          return;
+        }
+        ++waiting_requests_;
+        cancel_waits_[id].push_back({request, at + k::kCancelPatienceMs});
+      });
 }
 
 // Answers when the end of the job is known, whichever it is.
 bool Controller::answer_cancelled(std::uint64_t request, const std::string& id) {
   wire::JobState state = wire::JobState::queued;
-  if (const auto* over = replica_.over(id)) {
-    state = over->done ? wire::JobState::done : wire::JobState::cancelled;
+  if (const auto* final_state = replica_.final_state(id)) {
+    state = final_state->done ? wire::JobState::done : wire::JobState::cancelled;
   } else if (const Job* job = replica_.job(id)) {
     state = state_of(*job);
   }
@@ -224,7 +227,7 @@
     const bool hopeless = !provable_soon(now, it->first);
     std::erase_if(waits, [&](const CancelWait& w) {
       const bool told = answer_cancelled(w.request, it->first);
-      if (!told && !hopeless && now < w.give_up) return false;
+      if (!told && !hopeless && now < w.deadline) return false;
       if (!told) decline(w.request, k::kRetryAfterS);
       --waiting_requests_;
       return true;
--- a/src/jobs/job_requests.cpp
+++ b/src/jobs/job_requests.cpp
@@ -21,7 +21,7 @@
 }
 
 void Controller::on_health(Ms now, std::uint64_t request) {
-  bool healthy = ready() && !superseded(now) && !catching_up(now);
+  bool healthy = ready() && !deposed(now) && !resynchronising(now);
   if (healthy) {
     const links::Verdict verdict = links_.may_serve_users(moment(now));
     healthy = verdict.allowed;
@@ -81,8 +81,8 @@
   auto known = [this, request, id](wire::JobState state) {
     answer(request, 200, wire::job_state_body(id, state));
   };
-  if (const auto* over = replica_.over(id)) {
-    known(over->done ? wire::JobState::done : wire::JobState::cancelled);
+  if (const auto* final_state = replica_.final_state(id)) {
+    known(final_state->done ? wire::JobState::done : wire::JobState::cancelled);
     return;
   }
   if (!can_write(now) || !replica_.has_catalog()) {
@@ -124,34 +124,35 @@
     return;
   }
   Transaction t;
-  t.guards = {view_guard(), {wire::job_key(id), 0}, {wire::over_key(id), 0}};
+  t.conditions = {view_unchanged(), {wire::job_key(id), 0}, {wire::final_state_key(id), 0}};
   t.writes.push_back({wire::job_key(id), value, std::nullopt});
   t.urgent = true;
-  t.give_up = now + k::kSubmitPatienceMs;
+  t.deadline = now + k::kSubmitPatienceMs;
   ++waiting_requests_;
-  t.done = [this, request, id, known, body](Ms at, Committed result, const auto& failed) {
+  t.done = [this, request, id, known, body](Ms at, TxnResult result, const auto& failed) {
     --waiting_requests_;
-    if (result == Committed::conflict && failed.size() == 1 && failed[0] == wire::kViewKey) {
+    if (result == TxnResult::conflict && failed.size() == 1 && failed[0] == wire::kViewKey) {
       // Only the view has changed meanwhile; nothing speaks against the job itself.
-      store_.barrier(at, at + k::kPollPatienceMs, [this, request, body](Ms then, bool ok) {
-        ok ? on_submit(then, request, body) : decline(request, k::kRetryAfterS);
-      });
+      state_client_.barrier_read(
+          at, at + k::kPollPatienceMs, [this, request, body](Ms then, bool ok) {
+            ok ? on_submit(then, request, body) : decline(request, k::kRetryAfterS);
+          });
       return;
     }
-    if (result == Committed::yes) {
+    if (result == TxnResult::committed) {
       on_submitted(at, request, id);
-    } else if (result == Committed::conflict) {
+    } else if (result == TxnResult::conflict) {
       // Known already, or the view has changed.
       lookup(at, request, id, at + k::kPollPatienceMs,
              [this, request, known](Ms, const JobAnswer& found) {
                found.known ? known(found.state) : decline(request, k::kRetryAfterS);
              });
     } else {
-      decline(request, result == Committed::refused ? k::kRetryAfterOutageS : k::kRetryAfterS);
+      decline(request, result == TxnResult::refused ? k::kRetryAfterOutageS : k::kRetryAfterS);
     }
   };
-  store_.submit(std::move(t));
-  store_.tick(now);
+  state_client_.submit(std::move(t));
+  state_client_.tick(now);
 }
 
 // The job is written. The answer may have been on its way for long: what has become of the job
@@ -160,8 +161,8 @@
   const auto accepted = [this, request, id](wire::JobState state) {
     answer(request, 201, wire::job_state_body(id, state));
   };
-  if (const auto* over = replica_.over(id)) {
-    accepted(final_answer(*over).state);
+  if (const auto* final_state = replica_.final_state(id)) {
+    accepted(final_answer(*final_state).state);
     return;
   }
   const Job* job = replica_.job(id);
@@ -170,11 +171,11 @@
     return;
   }
   when_settled(now, request, id, now + k::kPollPatienceMs, [this, id, accepted](Ms) {
-    const auto* over = replica_.over(id);
+    const auto* final_state = replica_.final_state(id);
     const Job* settled = replica_.job(id);
-    accepted(over      ? final_answer(*over).state
-             : settled ? state_of(*settled)
-                       : wire::JobState::queued);
+    accepted(final_state ? final_answer(*final_state).state
+             : settled   ? state_of(*settled)
+                         : wire::JobState::queued);
   });
 }
 
@@ -182,17 +183,17 @@
   if (tries == 0) log(LogLevel::debug, "cancellation of " + id + " asked");
   // A job that we know of is cancelled by one guarded write: its conditions are the question
   // whether that is still so. Everything else is looked up first.
-  if (tries == 0 && !replica_.over(id) && replica_.job(id) && can_write(now)) {
+  if (tries == 0 && !replica_.final_state(id) && replica_.job(id) && can_write(now)) {
     write_cancelled(now, request, id, tries);
     return;
   }
   lookup(now, request, id, now + k::kSubmitPatienceMs,
          [this, request, id, tries](Ms at, const JobAnswer& found) {
-           const bool over =
+           const bool ended =
                found.state == wire::JobState::done || found.state == wire::JobState::cancelled;
            if (!found.known) {
              answer(request, 404, wire::error_body("no such job"));
-           } else if (over) {
+           } else if (ended) {
              answer(request, 200, wire::job_state_body(id, found.state));
            } else if (!replica_.job(id) || tries > k::kCancelTries) {
              decline(request, k::kRetryAfterS);
@@ -213,46 +214,46 @@
   record.cancelled = true;
   Transaction t;
   const std::string key = wire::job_key(id);
-  t.guards = {view_guard(), store_.guard(key)};
+  t.conditions = {view_unchanged(), state_client_.unchanged(key)};
   t.writes = {{key, encode(record), std::nullopt}};
   t.urgent = true;
-  t.give_up = now + k::kSubmitPatienceMs;
+  t.deadline = now + k::kSubmitPatienceMs;
   ++waiting_requests_;
-  t.done = [this, request, id, tries](Ms at, Committed result, const auto&) {
+  t.done = [this, request, id, tries](Ms at, TxnResult result, const auto&) {
     --waiting_requests_;
-    if (result == Committed::yes) {
+    if (result == TxnResult::committed) {
       log(LogLevel::info, "cancellation of " + id + " recorded");
       await_cancelled(at, request, id);
-    } else if (result == Committed::conflict) {
+    } else if (result == TxnResult::conflict) {
       on_cancel(at, request, id, tries + 1);
     } else {
       decline(request, k::kRetryAfterS);
     }
   };
-  store_.submit(std::move(t));
-  store_.tick(now);
+  state_client_.submit(std::move(t));
+  state_client_.tick(now);
 }
 
 // ---- the end of jobs ----
 
 void Controller::finish_jobs(Ms now) {
-  if (!can_write(now) || check_finish_.empty()) return;
+  if (!can_write(now) || jobs_to_check_.empty()) return;
   std::set<std::string> again;
-  for (const auto& id : std::exchange(check_finish_, {})) {
+  for (const auto& id : std::exchange(jobs_to_check_, {})) {
     auto it = replica_.jobs().find(id);
     if (it == replica_.jobs().end()) {
       health_.forget_job(id);
       continue;
     }
-    if (!coordinates(wire::job_key(id))) {
+    if (!is_leader_of(wire::job_key(id))) {
       // Looked at again when the view changes; cheap enough to keep.
-      if (membership_.live().empty()) again.insert(id);
+      if (cluster_view_.live().empty()) again.insert(id);
       continue;
     }
     const Job& job = it->second;
     if (!job.known) {
       // Ranges that outlived their job, more than one transaction could remove.
-      if (!finishing_.contains(id)) finish(id, job);
+      if (!finishing_.contains(id)) write_final_state(id, job);
       continue;
     }
     const bool all_done =
@@ -260,55 +261,56 @@
                                    [](const auto& r) { return r.second.complete(); });
     const bool clear = job.placed_tasks() == 0;
     if (!clear || !(job.record.cancelled ? job.whole() : all_done)) continue;
-    if (!finishing_.contains(id)) finish(id, job);
+    if (!finishing_.contains(id)) write_final_state(id, job);
   }
-  check_finish_.insert(again.begin(), again.end());
+  jobs_to_check_.insert(again.begin(), again.end());
 }
 
-void Controller::finish(const std::string& id, const Job& job) {
+void Controller::write_final_state(const std::string& id, const Job& job) {
   Transaction t;
-  t.guards = {view_guard()};
-  const std::string over = wire::over_key(id), key = wire::job_key(id);
+  t.conditions = {view_unchanged()};
+  const std::string final_key = wire::final_state_key(id);
+  const std::string key = wire::job_key(id);
   // Each range is a condition as far as conditions go. Beyond that they are not needed: a finished
   // range never changes, and once the watch has passed a cancellation nothing can be placed any
   // more, since every placement has the job's record as a condition.
-  const bool guard_all = job.known && job.ranges.size() <= most_ranges();
-  if (job.known && !guard_all && job.record.cancelled && !store_.watched_past(key)) {
-    check_finish_.insert(id);
+  const bool compare_all = job.known && job.ranges.size() <= most_ranges();
+  if (job.known && !compare_all && job.record.cancelled && !state_client_.has_applied(key)) {
+    jobs_to_check_.insert(id);
     return;
   }
   if (job.known) {
-    wire::OverRecord record;
+    wire::FinalStateRecord record;
     record.done = !job.record.cancelled;
     record.tasks = job.record.spec.tasks;
-    t.guards.push_back({over, 0});
-    t.guards.push_back(store_.guard(key));
-    t.writes.push_back({over, encode(record), std::nullopt});
+    t.conditions.push_back({final_key, 0});
+    t.conditions.push_back(state_client_.unchanged(key));
+    t.writes.push_back({final_key, encode(record), std::nullopt});
     t.writes.push_back({key, std::nullopt, std::nullopt});
   } else {
-    t.guards.push_back({key, 0});  // that there is no such job is the store's word, not ours
+    t.conditions.push_back({key, 0});  // that there is no such job is the store's word, not ours
   }
   for (const auto& [number, r] : job.ranges) {
     const std::string range = wire::range_key(id, number);
     // Those beyond one transaction are removed by a later one.
     const bool remove =
         static_cast<int>(t.writes.size()) < settings_.txn_ops && !job.unwritten.contains(number);
-    if (guard_all || remove) t.guards.push_back(store_.guard(range));
+    if (compare_all || remove) t.conditions.push_back(state_client_.unchanged(range));
     if (remove) t.writes.push_back({range, std::nullopt, std::nullopt});
   }
   finishing_.insert(id);
-  t.done = [this, id](Ms at, Committed result, const auto&) {
-    if (result == Committed::yes) {
+  t.done = [this, id](Ms at, TxnResult result, const auto&) {
+    if (result == TxnResult::committed) {
       finishing_.erase(id);
-      check_finish_.insert(id);
+      jobs_to_check_.insert(id);
       return;
     }
-    store_.settle(at, [this, id](Ms) {
+    state_client_.wait_until_settled(at, [this, id](Ms) {
       finishing_.erase(id);
-      check_finish_.insert(id);
+      jobs_to_check_.insert(id);
     });
   };
-  store_.submit(std::move(t));
+  state_client_.submit(std::move(t));
 }
 
 }  // namespace scheduler
--- a/src/membership/cluster_view.cpp
+++ b/src/membership/cluster_view.cpp
@@ -48,12 +48,12 @@
   return best ? *best : std::string();
 }
 
-Membership::Membership(const Settings& settings) : zones_(settings.zones) {
+ClusterView::ClusterView(const Settings& settings) : zones_(settings.zones) {
   zone_of_[settings.name] = settings.zone;
   for (const auto& p : settings.peers) zone_of_[p.name] = p.zone;
 }
 
-void Membership::update(const wire::ViewRecord& view) {
+void ClusterView::update(const wire::ViewRecord& view) {
   epoch_ = view.epoch;
   live_.clear();
   owners_.clear();
@@ -88,31 +88,31 @@
   if (all <= 0) shares_.assign(owners_.size(), 1.0);
 }
 
-bool Membership::is_live(const std::string& name) const {
+bool ClusterView::is_live(const std::string& name) const {
   return std::find(live_.begin(), live_.end(), name) != live_.end();
 }
 
-const std::string& Membership::machine_owner(const std::string& machine,
-                                             const std::string& zone) const {
+const std::string& ClusterView::machine_owner(const std::string& machine,
+                                              const std::string& zone) const {
   if (auto it = owner_cache_.find(machine); it != owner_cache_.end()) return it->second;
   auto local = by_zone_.find(zone);
   return owner_cache_[machine] = local == by_zone_.end() ? rendezvous(machine, owners_, shares_)
                                                          : rendezvous(machine, local->second);
 }
 
-std::string Membership::range_owner(const std::string& key, const std::string& recorded) const {
+std::string ClusterView::range_owner(const std::string& key, const std::string& recorded) const {
   return std::find(owners_.begin(), owners_.end(), recorded) != owners_.end()
              ? recorded
              : rendezvous(key, owners_);
 }
 
-std::uint64_t Membership::token(std::uint64_t epoch, std::uint64_t fence) {
+std::uint64_t ClusterView::token(std::uint64_t epoch, std::uint64_t fence) {
   return (epoch << constants::kFenceBits) | fence;
 }
 
-std::uint64_t Membership::epoch_of(std::uint64_t token) { return token >> constants::kFenceBits; }
+std::uint64_t ClusterView::epoch_of(std::uint64_t token) { return token >> constants::kFenceBits; }
 
-std::uint64_t Membership::fence_of(std::uint64_t token) {
+std::uint64_t ClusterView::fence_of(std::uint64_t token) {
   return token & ((std::uint64_t{1} << constants::kFenceBits) - 1);
 }
 
--- a/src/membership/cluster_view.h
+++ b/src/membership/cluster_view.h
@@ -18,9 +18,9 @@
 std::string rendezvous(std::string_view key, const std::vector<std::string>& candidates,
                        const std::vector<double>& shares = {});
 
-class Membership {
+class ClusterView {
  public:
-  explicit Membership(const Settings& settings);
+  explicit ClusterView(const Settings& settings);
 
   void update(const wire::ViewRecord& view);
   std::uint64_t epoch() const { return epoch_; }
@@ -35,7 +35,7 @@
   const std::string& machine_owner(const std::string& machine, const std::string& zone) const;
   // A range stays with the controller it was given to while that is live.
   std::string range_owner(const std::string& key, const std::string& recorded) const;
-  std::string coordinator(std::string_view duty) const { return rendezvous(duty, live_); }
+  std::string leader_of(std::string_view duty) const { return rendezvous(duty, live_); }
 
   static std::uint64_t token(std::uint64_t epoch, std::uint64_t fence);
   static std::uint64_t epoch_of(std::uint64_t token);
--- a/src/membership/context.h
+++ b/src/membership/context.h
@@ -19,20 +19,22 @@
   const Settings& settings;
   const Capacity& capacity;
   const Replica& replica;
-  Store& store;
-  const Membership& membership;
+  StateClient& state_client;
+  const ClusterView& cluster_view;
   // Name of this run of the program; no two runs of any controller share one.
   const std::string& incarnation;
-  Store::Send call;
-  Store::Log log;
+  StateClient::Send call;
+  StateClient::Log log;
   // Whether transactions may be submitted: in the view, caught up, and the state service answers.
   std::function<bool(Ms now)> can_write;
 
   // Condition that nothing has changed in the view since it was last read.
-  wire::Guard view_guard() const { return store.guard(std::string(wire::kViewKey)); }
+  wire::Compare view_unchanged() const {
+    return state_client.unchanged(std::string(wire::kViewKey));
+  }
   // Whether this controller is the one that carries out the duty.
-  bool coordinates(std::string_view duty) const {
-    return membership.coordinator(duty) == settings.name;
+  bool is_leader_of(std::string_view duty) const {
+    return cluster_view.leader_of(duty) == settings.name;
   }
   // Bytes that a value may take, now and after an announced change of the limits.
   double value_bytes() const { return settings.value_kb * 1024.0; }
--- a/src/membership/format_switch.cpp
+++ b/src/membership/format_switch.cpp
@@ -35,14 +35,16 @@
   return format;
 }
 
-std::optional<Transaction> FormatSwitch::propose(const Replica& replica, const Store& store) const {
+std::optional<Transaction> FormatSwitch::propose(const Replica& replica,
+                                                 const StateClient& state_client) const {
   const std::uint32_t format = supported(replica);
   if (format <= replica.format()) return std::nullopt;
   Transaction transaction;
   const std::string key(wire::kFormatKey);
-  transaction.guards = {store.guard(std::string(wire::kViewKey)), store.guard(key)};
+  transaction.conditions = {state_client.unchanged(std::string(wire::kViewKey)),
+                            state_client.unchanged(key)};
   for (const std::string& name : configured_controllers())
-    transaction.guards.push_back(store.guard(live_key(name)));
+    transaction.conditions.push_back(state_client.unchanged(live_key(name)));
   transaction.writes = {{key, encode(wire::FormatRecord{format}), std::nullopt}};
   transaction.urgent = true;  // submissions of services wait for it
   return transaction;
--- a/src/membership/format_switch.h
+++ b/src/membership/format_switch.h
@@ -25,7 +25,7 @@
 
   // The write that records a newer format than is recorded now, if all controllers support one.
   // Its guards are the view and every live record that it rests on.
-  std::optional<Transaction> propose(const Replica& replica, const Store& store) const;
+  std::optional<Transaction> propose(const Replica& replica, const StateClient& state_client) const;
 
  private:
   std::vector<std::string> configured_controllers() const;
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -9,17 +9,17 @@
 
 namespace k = constants;
 
-ViewMember::ViewMember(const Context& context, links::Monitor& links,
-                       std::function<void(Ms now)> joined)
-    : context_(context), links_(links), joined_(std::move(joined)) {}
+MembershipManager::MembershipManager(const Context& context, links::Monitor& links,
+                                     std::function<void(Ms now)> joined)
+    : context_(context), links_(links), on_joined_(std::move(joined)) {}
 
-bool ViewMember::is_member() const {
+bool MembershipManager::is_member() const {
   const auto& live = context_.replica.view().live;
   const auto own = live.find(context_.settings.name);
   return own != live.end() && own->second == context_.incarnation;
 }
 
-void ViewMember::tick(Ms now) {
+void MembershipManager::tick(Ms now) {
   const bool member = is_member();
   if (std::exchange(was_member_, member) && !member) links_.removed_from_view(now);
   if (!member) {
@@ -28,10 +28,10 @@
   }
   links_.joined_view();
   acknowledge(now);
-  remove_ended(now);
+  remove_expired_members(now);
 }
 
-bool ViewMember::others_live() const {
+bool MembershipManager::others_live() const {
   const auto& records = context_.replica.live();
   const auto& live = context_.replica.view().live;
   return std::any_of(live.begin(), live.end(), [&](const auto& member) {
@@ -41,21 +41,22 @@
   });
 }
 
-std::string ViewMember::live_key() const {
+std::string MembershipManager::live_key() const {
   return std::string(wire::kLivePrefix) + context_.settings.name;
 }
 
-wire::Write ViewMember::live_record(std::uint64_t epoch) const {
+wire::Write MembershipManager::live_record(std::uint64_t epoch) const {
   wire::LiveRecord live;
   live.incarnation = context_.incarnation;
   live.epoch = epoch;
   live.format = context_.settings.record_format;
-  return {live_key(), encode(live), context_.store.permit()};
+  return {live_key(), encode(live), context_.state_client.lease_id()};
 }
 
-void ViewMember::join(Ms now) {
-  Store& store = context_.store;
-  if (joining_ || !store.hold_valid() || !store.answering(now) || now < join_after_) return;
+void MembershipManager::join(Ms now) {
+  StateClient& state_client = context_.state_client;
+  if (joining_ || !state_client.lease_valid() || !state_client.answering(now) || now < join_after_)
+    return;
   // Guards against a view that changes each time a link comes and goes.
   if (!links_.may_join(now, others_live()).allowed) return;
   joining_ = true;
@@ -64,58 +65,58 @@
   ++next.epoch;
   // A process of our name is ours alone: the former incarnation has ended.
   next.live[name] = context_.incarnation;
-  next.departed.erase(name);
+  next.departing.erase(name);
   next.unreachable.erase(name);
   Transaction t;
-  t.guards = {context_.view_guard(), store.guard(live_key())};
+  t.conditions = {context_.view_unchanged(), state_client.unchanged(live_key())};
   t.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}, live_record(next.epoch)};
   t.urgent = true;
-  t.done = [this](Ms at, Committed result, const auto&) {
+  t.done = [this](Ms at, TxnResult result, const auto&) {
     join_after_ = at + k::kProbeEveryMs / 4;
-    if (result == Committed::yes) {
+    if (result == TxnResult::committed) {
       joining_ = false;
-      joined_(at);
+      on_joined_(at);
       return;
     }
-    context_.store.settle(at, [this](Ms) { joining_ = false; });
+    context_.state_client.wait_until_settled(at, [this](Ms) { joining_ = false; });
   };
-  store.submit(std::move(t));
+  state_client.submit(std::move(t));
 }
 
 // Our own record tells the others that we act on this view, and so no longer answer workers that
 // it took from us; and it carries our lease, which may have ended.
-void ViewMember::acknowledge(Ms now) {
-  Store& store = context_.store;
-  if (acknowledging_ || !store.hold_valid() || !store.answering(now)) return;
+void MembershipManager::acknowledge(Ms now) {
+  StateClient& state_client = context_.state_client;
+  if (acknowledging_ || !state_client.lease_valid() || !state_client.answering(now)) return;
   const auto& records = context_.replica.live();
   const auto own = records.find(context_.settings.name);
   if (own != records.end() && own->second.incarnation == context_.incarnation &&
-      own->second.epoch == context_.membership.epoch())
+      own->second.epoch == context_.cluster_view.epoch())
     return;
   acknowledging_ = true;
   Transaction t;
-  t.guards = {context_.view_guard(), store.guard(live_key())};
-  t.writes = {live_record(context_.membership.epoch())};
-  t.done = [this](Ms at, Committed result, const auto&) {
-    if (result == Committed::yes) {
+  t.conditions = {context_.view_unchanged(), state_client.unchanged(live_key())};
+  t.writes = {live_record(context_.cluster_view.epoch())};
+  t.done = [this](Ms at, TxnResult result, const auto&) {
+    if (result == TxnResult::committed) {
       acknowledging_ = false;
       return;
     }
-    context_.store.settle(at, [this](Ms) { acknowledging_ = false; });
+    context_.state_client.wait_until_settled(at, [this](Ms) { acknowledging_ = false; });
   };
-  store.submit(std::move(t));
+  state_client.submit(std::move(t));
 }
 
-Ms ViewMember::removal_patience() const {
-  Ms patience = k::kRemoveAfterMs;
-  for (const auto& name : context_.membership.live()) {
+Ms MembershipManager::removal_delay() const {
+  Ms patience = k::kMemberRemovalDelayMs;
+  for (const auto& name : context_.cluster_view.live()) {
     if (name == context_.settings.name) break;
-    patience += k::kRemoveStaggerMs;
+    patience += k::kMemberRemovalStaggerMs;
   }
   return patience;
 }
 
-void ViewMember::remove_ended(Ms now) {
+void MembershipManager::remove_expired_members(Ms now) {
   if (!context_.can_write(now) || removing_) return;
   const auto& records = context_.replica.live();
   for (const auto& [name, incarnation] : context_.replica.view().live) {
@@ -126,30 +127,30 @@
       continue;
     }
     const auto [since, added] = lease_missing_since_.emplace(name, now);
-    if (now - since->second < removal_patience()) continue;
+    if (now - since->second < removal_delay()) continue;
     remove(name, incarnation);
     return;
   }
 }
 
-void ViewMember::remove(const std::string& name, const std::string& incarnation) {
+void MembershipManager::remove(const std::string& name, const std::string& incarnation) {
   wire::ViewRecord next = context_.replica.view();
   ++next.epoch;
   next.live.erase(name);
   next.unreachable.erase(name);
   // It may still be alive and answering workers; it stays listed until it comes back.
-  next.departed[name] = incarnation;
+  next.departing[name] = incarnation;
   context_.log(LogLevel::info, "removing " + name + " from the view");
   removing_ = true;
   lease_missing_since_.erase(name);
   Transaction t;
-  t.guards = {context_.view_guard()};
+  t.conditions = {context_.view_unchanged()};
   t.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}};
   t.urgent = true;
-  t.done = [this](Ms at, Committed, const auto&) {
-    context_.store.settle(at, [this](Ms) { removing_ = false; });
+  t.done = [this](Ms at, TxnResult, const auto&) {
+    context_.state_client.wait_until_settled(at, [this](Ms) { removing_ = false; });
   };
-  context_.store.submit(std::move(t));
+  context_.state_client.submit(std::move(t));
 }
 
 }  // namespace scheduler
--- a/src/membership/membership_manager.h
+++ b/src/membership/membership_manager.h
@@ -15,10 +15,11 @@
 
 // Every change of the view is one write under the condition that nobody else has changed it, so
 // that views follow one another without gaps whoever writes them.
-class ViewMember {
+class MembershipManager {
  public:
   // `joined` is called once this controller is in the view.
-  ViewMember(const Context& context, links::Monitor& links, std::function<void(Ms now)> joined);
+  MembershipManager(const Context& context, links::Monitor& links,
+                    std::function<void(Ms now)> joined);
 
   void tick(Ms now);
   // This controller stood still: how long others' leases have been missing counts anew.
@@ -29,21 +30,21 @@
  private:
   void join(Ms now);
   void acknowledge(Ms now);
-  void remove_ended(Ms now);
+  void remove_expired_members(Ms now);
   void remove(const std::string& name, const std::string& incarnation);
   // This controller's own record, which carries its lease.
   wire::Write live_record(std::uint64_t epoch) const;
   std::string live_key() const;
   // Milliseconds that a member's lease must have been missing before this controller removes it:
   // longer for each live controller that comes before it, so that one of them writes.
-  Ms removal_patience() const;
+  Ms removal_delay() const;
 
   // Some other controller of the view holds its lease.
   bool others_live() const;
 
   const Context& context_;
   links::Monitor& links_;
-  std::function<void(Ms)> joined_;
+  std::function<void(Ms)> on_joined_;
   bool was_member_ = false;
   bool joining_ = false;
   bool acknowledging_ = false;
--- a/src/quota/quota_manager.cpp
+++ b/src/quota/quota_manager.cpp
@@ -31,7 +31,7 @@
   wire::QuotaRecord::Amount held = used->second;
   if (!spec.is_service()) {
     const Usage reserve = service_reserve(spec.team);
-    const auto others = services_of_others(q->second, settings_.name, membership_.live());
+    const auto others = services_of_others(q->second, settings_.name, cluster_view_.live());
     held.cpus += reserve.cpus + others.cpus;
     held.gpus += reserve.gpus + others.gpus;
   }
@@ -63,7 +63,7 @@
     QuotaInput in;
     in.team = &t;
     in.self = settings_.name;
-    in.live = membership_.live();
+    in.live = cluster_view_.live();
     if (need != quota_need_.end()) in.need = need->second;
     for (const auto& [who, grant] : record.grants) {
       const Usage u = replica_.usage(t.name, who);
@@ -101,20 +101,20 @@
     if (!next) continue;
     const std::string key = std::string(wire::kQuotaPrefix) + t.name;
     Transaction x;
-    x.guards = {view_guard(), store_.guard(key)};
+    x.conditions = {view_unchanged(), state_client_.unchanged(key)};
     x.writes = {{key, encode(*next), std::nullopt}};
     quota_busy_[t.name] = true;
     quota_uncertain_.erase(t.name);
-    x.done = [this, name = t.name, uncertain](Ms at, Committed result, const auto&) {
-      if (result == Committed::yes) {
+    x.done = [this, name = t.name, uncertain](Ms at, TxnResult result, const auto&) {
+      if (result == TxnResult::committed) {
         quota_busy_[name] = false;
         dirty_ = true;
         return;
       }
       // Guards against a grant that shrinks late while we fill it: after a write without an answer
       // nothing is placed from the grant until the record has been written again.
-      const bool open = result == Committed::unknown || (result == Committed::refused && uncertain);
-      store_.settle(at, [this, name, open](Ms) {
+      const bool open = result == TxnResult::unknown || (result == TxnResult::refused && uncertain);
+      state_client_.wait_until_settled(at, [this, name, open](Ms) {
         if (open) {
           quota_uncertain_.insert(name);
         } else {
@@ -123,7 +123,7 @@
         dirty_ = true;
       });
     };
-    store_.submit(std::move(x));
+    state_client_.submit(std::move(x));
   }
 }
 
--- a/src/scheduling/ranges.cpp
+++ b/src/scheduling/ranges.cpp
@@ -22,38 +22,40 @@
 std::size_t Controller::most_ranges() const {
   // Besides the ranges, the end of a job has the view, the job and its final state as conditions.
   constexpr std::size_t kOtherConditions = 4;
-  const std::size_t conditions = static_cast<std::size_t>(settings_.txn_ops) * k::kGuardsPerWrite;
+  const std::size_t conditions =
+      static_cast<std::size_t>(settings_.txn_ops) * k::kConditionsPerWrite;
   return std::min(k::kRangesPerJob, conditions - kOtherConditions);
 }
 
-const std::map<Controller::PartKind, std::size_t>& Controller::part_machines() {
+const std::map<Controller::ShardMachineKind, std::size_t>& Controller::shard_machines() {
   const Ms now = last_input_at_;
-  if (part_machines_at_ != 0 && now < part_machines_at_) return part_machines_;
-  part_machines_at_ = now + k::kSizeEveryMs;
-  part_machines_.clear();
+  if (shard_machines_at_ != 0 && now < shard_machines_at_) return shard_machines_;
+  shard_machines_at_ = now + k::kSizeEveryMs;
+  shard_machines_.clear();
   for (const auto& [id, record] : replica_.machines()) {
     if (record.standing != wire::MachineStanding::ready || record.session == 0) continue;
-    ++part_machines_[{membership_.machine_owner(id, record.zone), record.type, record.zone,
-                      record.spot}];
+    ++shard_machines_[{cluster_view_.machine_owner(id, record.zone), record.type, record.zone,
+                       record.spot}];
   }
-  return part_machines_;
+  return shard_machines_;
 }
 
 // Free room and load of each part, in tasks of this job, from sums: what it could hold, less what
 // its ranges have placed and waiting. Placements of a range are on its owner's machines but for
 // gangs and zoned jobs, which are few.
-std::map<std::string, Controller::PartRoom> Controller::part_rooms(const wire::JobSpec& spec) {
-  std::map<std::string, PartRoom> parts;
-  for (const auto& name : membership_.owners()) parts[name];
-  for (const auto& [kind, machines] : part_machines()) {
+std::map<std::string, Controller::ShardCapacity> Controller::shard_capacities(
+    const wire::JobSpec& spec) {
+  std::map<std::string, ShardCapacity> shards;
+  for (const auto& name : cluster_view_.owners()) shards[name];
+  for (const auto& [kind, machines] : shard_machines()) {
     const auto& [owner, type_name, zone, spot] = kind;
     const auto* type = replica_.type(type_name);
-    auto part = parts.find(owner);
-    if (!type || part == parts.end() || !allowed(spec, type_name, zone, spot)) continue;
+    auto shard = shards.find(owner);
+    if (!type || shard == shards.end() || !allowed(spec, type_name, zone, spot)) continue;
     const double n =
         static_cast<double>(machines) * fit_count(spec, type->cpus, type->gpus, type->memory_gb);
-    part->second.room += n;
-    part->second.capacity += n;
+    shard->second.room += n;
+    shard->second.capacity += n;
   }
   for (const auto& [id, job] : replica_.jobs()) {
     if (!job.known || job.record.cancelled) continue;
@@ -61,27 +63,27 @@
     for (const auto& [number, r] : job.ranges) {
       const double waiting =
           (r.end - r.begin) - r.done_count() - static_cast<double>(r.placed.size());
-      auto part = parts.find(membership_.range_owner(wire::range_key(id, number), r.owner));
-      if (part == parts.end()) continue;
-      part->second.room -= static_cast<double>(r.placed.size()) * scale;
-      if (job.record.spec.priority >= spec.priority) part->second.room -= waiting * scale;
-      part->second.load += waiting * scale;
+      auto shard = shards.find(cluster_view_.range_owner(wire::range_key(id, number), r.owner));
+      if (shard == shards.end()) continue;
+      shard->second.room -= static_cast<double>(r.placed.size()) * scale;
+      if (job.record.spec.priority >= spec.priority) shard->second.room -= waiting * scale;
+      shard->second.load += waiting * scale;
     }
   }
-  return parts;
+  return shards;
 }
 
 // The part with most room left, or else the one that is least loaded for its size; end: no part has
 // machines for the job. `first` is preferred among equals.
-std::map<std::string, Controller::PartRoom>::iterator Controller::roomiest(
-    std::map<std::string, PartRoom>& parts, const std::string& first) {
-  auto best = parts.end();
-  for (auto it = parts.begin(); it != parts.end(); ++it) {
-    const PartRoom& p = it->second;
+std::map<std::string, Controller::ShardCapacity>::iterator Controller::roomiest(
+    std::map<std::string, ShardCapacity>& shards, const std::string& first) {
+  auto best = shards.end();
+  for (auto it = shards.begin(); it != shards.end(); ++it) {
+    const ShardCapacity& p = it->second;
     if (p.capacity <= 0) continue;
-    bool better = best == parts.end();
+    bool better = best == shards.end();
     if (!better) {
-      const PartRoom& other = best->second;
+      const ShardCapacity& other = best->second;
       const bool has = p.room >= 1, other_has = other.room >= 1;
       if (has != other_has) {
         better = has;
@@ -97,21 +99,21 @@
 }
 
 std::vector<wire::JobRecord::Share> Controller::divide(const wire::JobSpec& spec) {
-  auto parts = part_rooms(spec);
+  auto shards = shard_capacities(spec);
   const bool whole = spec.is_gang() || spec.one_zone || spec.spread;
-  const std::string first = rendezvous(wire::job_key(spec.id), membership_.owners());
+  const std::string first = rendezvous(wire::job_key(spec.id), cluster_view_.owners());
   // Step by step. A step is several tasks: each part that takes some has records to write for as
   // long as they run.
   double held = 0;
-  for (const auto& [name, p] : parts) held += p.capacity;
+  for (const auto& [name, p] : shards) held += p.capacity;
   const auto fine = static_cast<std::uint32_t>(
       std::clamp(held / k::kStepOfFleet, 1.0, static_cast<double>(k::kTasksPerStep)));
   const std::uint32_t step = whole ? spec.tasks : std::max(fine, spec.tasks / k::kStepsPerJob);
   std::map<std::string, std::uint32_t> given;
   for (std::uint32_t left = spec.tasks; left > 0;) {
     const std::uint32_t n = std::min(step, left);
-    auto best = roomiest(parts, first);
-    if (best == parts.end()) best = parts.try_emplace(first).first;
+    auto best = roomiest(shards, first);
+    if (best == shards.end()) best = shards.try_emplace(first).first;
     given[best->first] += n;
     best->second.room -= n;
     best->second.load += n;
@@ -161,7 +163,8 @@
     for (const auto& [number, r] : job.ranges) {
       if (r.placed.size() + r.done_count() >= r.end - r.begin) continue;
       const RangeId range{id, number};
-      if (membership_.range_owner(wire::range_key(id, number), r.owner) == settings_.name) continue;
+      if (cluster_view_.range_owner(wire::range_key(id, number), r.owner) == settings_.name)
+        continue;
       RangeWork& w = work_[range];
       if (w.first_seen == 0) w.first_seen = now;
       if (w.busy || !w.freed.empty() || now < w.retry_at) continue;
@@ -220,7 +223,8 @@
   const std::string from_key = wire::range_key(from.job, from.number);
   const std::string to_key = wire::range_key(to.job, to.number);
   Transaction t;
-  t.guards = {view_guard(), store_.guard(wire::job_key(from.job)), store_.guard(from_key)};
+  t.conditions = {view_unchanged(), state_client_.unchanged(wire::job_key(from.job)),
+                  state_client_.unchanged(from_key)};
   if (first == left.begin) {
     left.owner = settings_.name;
   } else {
@@ -232,23 +236,23 @@
     right.next_attempt = left.next_attempt;
     left.end = first;
     left.done.resize(first - left.begin);
-    t.guards.push_back({to_key, 0});
+    t.conditions.push_back({to_key, 0});
     t.writes.push_back({to_key, encode(right), std::nullopt});
   }
   t.writes.push_back({from_key, encode(left), std::nullopt});
   work_[from].busy = true;
-  t.done = [this, from](Ms at, Committed result, const auto&) {
+  t.done = [this, from](Ms at, TxnResult result, const auto&) {
     auto release = [this, from](Ms) {
       work_[from].busy = false;
       dirty_ = true;
     };
-    if (result == Committed::yes) {
+    if (result == TxnResult::committed) {
       release(at);
     } else {
-      store_.settle(at, release);
+      state_client_.wait_until_settled(at, release);
     }
   };
-  store_.submit(std::move(t));
+  state_client_.submit(std::move(t));
 }
 
 // With what is proven, every task of the range is done.
@@ -275,7 +279,7 @@
   if (!job || job->record.cancelled || job->record.spec.is_gang()) return true;
   const Ms waited = now - w.freed_since;
   return (waited >= k::kEndsWithinMs && room) || waited >= 3 * k::kEndsWithinMs ||
-         (waited >= k::kEndsGatherMs && store_.spare(now));
+         (waited >= k::kEndsGatherMs && state_client_.has_write_headroom(now));
 }
 
 // Puts the proven ends of tasks into the record. False when all of them are recorded already.
@@ -330,14 +334,14 @@
                                    Transaction& t) {
   const wire::JobSpec& spec = job.record.spec;
   // A cancellation or a change of a machine's standing in between voids the placement.
-  t.guards.push_back(store_.guard(wire::job_key(spec.id)));
+  t.conditions.push_back(state_client_.unchanged(wire::job_key(spec.id)));
   record.owner = settings_.name;
   std::set<std::string> owners;  // of the machines
   for (const auto& [task, placement] : work.placing) {
     record.placed[task] = placement;
     record.next_attempt = std::max(record.next_attempt, placement.attempt + 1);
     const auto* machine = replica_.machine(placement.machine);
-    owners.insert(machine ? membership_.machine_owner(placement.machine, machine->zone)
+    owners.insert(machine ? cluster_view_.machine_owner(placement.machine, machine->zone)
                           : settings_.name);
   }
   // One stamp stands for all machines of a part: whoever places on another part's machines
@@ -345,16 +349,17 @@
   // A condition for each machine would not fit into a transaction for an array spread over
   // hundreds.
   for (const auto& owner : owners) {
-    const std::string claim = wire::claim_key(owner);
-    t.guards.push_back(store_.guard(claim));
+    const std::string guard_key = wire::shard_guard_key(owner);
+    t.conditions.push_back(state_client_.unchanged(guard_key));
     if (owner != settings_.name)
-      t.writes.push_back({claim, wire::claim_body(settings_.name), std::nullopt});
+      t.writes.push_back({guard_key, wire::shard_guard_body(settings_.name), std::nullopt});
   }
   // Guards against two controllers that place ranges of one job bound to zones at the same time:
   // what the zones may still take is counted over all of them.
   if (!spec.one_zone && !spec.spread) return;
   for (const auto& [number, other] : job.ranges)
-    if (number != record.number) t.guards.push_back(store_.guard(wire::range_key(spec.id, number)));
+    if (number != record.number)
+      t.conditions.push_back(state_client_.unchanged(wire::range_key(spec.id, number)));
 }
 
 // Adds the writes of the record, cut into several where it would not fit. False when it cannot be
@@ -379,7 +384,7 @@
       do {
         number = random_();
       } while (number == 0 || job.ranges.contains(number) || !numbers.insert(number).second);
-      t.guards.push_back({wire::range_key(spec.id, number), 0});
+      t.conditions.push_back({wire::range_key(spec.id, number), 0});
     }
     t.writes.push_back({wire::range_key(spec.id, number), value, std::nullopt});
   }
@@ -401,7 +406,7 @@
   const std::string key = wire::range_key(id.job, id.number);
   wire::RangeRecord next = *range;
   Transaction t;
-  t.guards = {view_guard(), store_.guard(key)};
+  t.conditions = {view_unchanged(), state_client_.unchanged(key)};
   bool changed = record_ends(spec, w, next);
   const bool stop = record_stop(spec, w, next);
   w.want_stop = false;
@@ -425,30 +430,30 @@
     w.retry_at = last_input_at_ + k::kRejectedPauseMs;
     return;
   }
-  log(LogLevel::debug, "writing " + key + " stamp " + std::to_string(store_.version(key)) +
+  log(LogLevel::debug, "writing " + key + " stamp " + std::to_string(state_client_.version(key)) +
                            " placing " + std::to_string(w.placing.size()) + " freed " +
                            std::to_string(w.freed.size()));
   w.freed_since = 0;
   // A user waits for the end of a cancelled job.
   t.urgent = spec.priority >= wire::Priority::high || job->record.cancelled;
   w.busy = true;
-  t.done = [this, id](Ms at, Committed result, const auto&) { on_range_written(at, id, result); };
-  store_.submit(std::move(t));
+  t.done = [this, id](Ms at, TxnResult result, const auto&) { on_range_written(at, id, result); };
+  state_client_.submit(std::move(t));
 }
 
-void Controller::on_range_written(Ms now, const RangeId& id, Committed result) {
+void Controller::on_range_written(Ms now, const RangeId& id, TxnResult result) {
   auto it = work_.find(id);
   if (it == work_.end()) return;
   RangeWork& work = it->second;
   dirty_ = true;
-  const bool not_executed = result == Committed::refused || result == Committed::rejected;
-  if (result == Committed::unknown) {
+  const bool not_executed = result == TxnResult::refused || result == TxnResult::rejected;
+  if (result == TxnResult::unknown) {
     // Guards against a late write that fills a grant or a machine a second time.
     work.uncertain = true;
-  } else if (result == Committed::yes || (not_executed && !work.uncertain)) {
+  } else if (result == TxnResult::committed || (not_executed && !work.uncertain)) {
     clear_placing(work);
   }
-  if (result == Committed::yes) {
+  if (result == TxnResult::committed) {
     work.busy = false;
     return;  // starts follow from the changed machines
   }
@@ -457,12 +462,12 @@
     work.retry_at = now + k::kRefusedRetryMs;
     return;
   }
-  store_.settle(now, [this, id, result](Ms) {
+  state_client_.wait_until_settled(now, [this, id, result](Ms) {
     auto again = work_.find(id);
     if (again != work_.end()) {
       // Guards against a conflict with a repeat of this very write, which was executed: until the
       // replica shows it, its placements count as made. Others would exceed the team's limit.
-      if (result == Committed::conflict) clear_placing(again->second);
+      if (result == TxnResult::conflict) clear_placing(again->second);
       again->second.busy = false;
     }
     dirty_ = true;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -312,7 +312,7 @@
   pass.left = k::kPlacementsPerPass;
   // Few writes wait at once: which work goes next is decided when it can be written, not before a
   // queue of seconds, and what gathers meanwhile goes in one write.
-  pass.writes = k::kWritesQueued - static_cast<int>(store_.queued());
+  pass.writes = k::kWritesQueued - static_cast<int>(state_client_.queued());
   for (const auto& [id, m] : machines_)
     if (usable(now, m)) {
       pass.pool.push_back(&candidate(now, m));
@@ -351,7 +351,8 @@
     bool waits = job.done_tasks() + job.placed_tasks() < job.record.spec.tasks;
     for (const auto& [number, r] : job.ranges) {
       const RangeId range{id, number};
-      if (membership_.range_owner(wire::range_key(id, number), r.owner) != settings_.name) continue;
+      if (cluster_view_.range_owner(wire::range_key(id, number), r.owner) != settings_.name)
+        continue;
       if (old) old_cpus += job.record.spec.cpus * static_cast<double>(r.placed.size());
       RangeWork& w = work_[range];
       if (open_tasks(w, r) == 0) continue;
@@ -415,7 +416,7 @@
   }
   std::erase_if(work_,
                 [this](const auto& w) { return !w.second.busy && !replica_.range(w.first); });
-  store_.tick(now);
+  state_client_.tick(now);
 }
 
 // Keeps the machines with most room for what must begin and finds none yet. Guards against large
--- a/src/scheduling/services.cpp
+++ b/src/scheduling/services.cpp
@@ -11,21 +11,21 @@
 
 namespace k = constants;
 
-void Controller::keep_format(Ms now) {
-  if (format_busy_ || !can_write(now)) return;
-  std::optional<Transaction> transaction = format_switch_.propose(replica_, store_);
+void Controller::switch_format(Ms now) {
+  if (format_write_in_flight_ || !can_write(now)) return;
+  std::optional<Transaction> transaction = format_switch_.propose(replica_, state_client_);
   if (!transaction) return;
-  format_busy_ = true;
-  transaction->done = [this](Ms at, Committed result, const auto&) {
-    if (result == Committed::yes) {
-      format_busy_ = false;
+  format_write_in_flight_ = true;
+  transaction->done = [this](Ms at, TxnResult result, const auto&) {
+    if (result == TxnResult::committed) {
+      format_write_in_flight_ = false;
       log(LogLevel::info, "all controllers read record format " +
                               std::to_string(replica_.format()) + "; services are accepted");
       return;
     }
-    store_.settle(at, [this](Ms) { format_busy_ = false; });
+    state_client_.wait_until_settled(at, [this](Ms) { format_write_in_flight_ = false; });
   };
-  store_.submit(std::move(*transaction));
+  state_client_.submit(std::move(*transaction));
 }
 
 // ---- share of the team's limit ----
@@ -37,7 +37,7 @@
     if (!job.known || !spec.is_service() || job.record.cancelled) continue;
     for (const auto& [number, range] : job.ranges) {
       const std::string key = wire::range_key(id, number);
-      if (membership_.range_owner(key, range.owner) != settings_.name) continue;
+      if (cluster_view_.range_owner(key, range.owner) != settings_.name) continue;
       const auto missing =
           static_cast<double>(range.end - range.begin) - static_cast<double>(range.placed.size());
       Usage& reserve = service_reserve_[spec.team];
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 template <typename Record>
-bool store(std::map<std::string, Record>& into, const std::string& name,
-           const std::optional<std::string>& value) {
+bool state_client(std::map<std::string, Record>& into, const std::string& name,
+                  const std::optional<std::string>& value) {
   if (!value) {
     into.erase(name);
     return true;
@@ -98,30 +98,30 @@
     }
     return true;
   }
-  if (key.starts_with(wire::kOverPrefix)) {
-    wire::OverRecord record;
+  if (key.starts_with(wire::kFinalStatePrefix)) {
+    wire::FinalStateRecord record;
     if (!item.value || !decode(*item.value, record)) return false;
-    remember_over(rest(key, wire::kOverPrefix), record);
+    remember_final_state(rest(key, wire::kFinalStatePrefix), record);
     return true;
   }
   if (key.starts_with(wire::kFleetPrefix)) {
     std::uint32_t group = 0;
     return wire::parse_fleet_key(key, group) && apply_fleet(group, item.value);
   }
-  if (key.starts_with(wire::kPartPrefix)) {
+  if (key.starts_with(wire::kShardPrefix)) {
     std::string who;
     std::uint32_t group = 0;
-    return wire::parse_part_key(key, who, group) && apply_part(who, group, item.value);
+    return wire::parse_shard_key(key, who, group) && apply_shard(who, group, item.value);
   }
-  if (key.starts_with(wire::kClaimPrefix)) return true;  // only its stamp matters
+  if (key.starts_with(wire::kShardGuardPrefix)) return true;  // only its stamp matters
   if (key.starts_with(wire::kLivePrefix)) {
     view_changed_ = true;
-    return store(live_, rest(key, wire::kLivePrefix), item.value);
+    return state_client(live_, rest(key, wire::kLivePrefix), item.value);
   }
   if (key.starts_with(wire::kRentalPrefix))
-    return store(rentals_, rest(key, wire::kRentalPrefix), item.value);
+    return state_client(rentals_, rest(key, wire::kRentalPrefix), item.value);
   if (key.starts_with(wire::kQuotaPrefix))
-    return store(quotas_, rest(key, wire::kQuotaPrefix), item.value);
+    return state_client(quotas_, rest(key, wire::kQuotaPrefix), item.value);
   if (key == wire::kViewKey) {
     wire::ViewRecord record;
     if (!item.value || !decode(*item.value, record)) return false;
@@ -245,11 +245,11 @@
   return true;
 }
 
-bool Replica::apply_part(const std::string& who, std::uint32_t group,
-                         const std::optional<std::string>& value) {
-  wire::PartRecord record;
+bool Replica::apply_shard(const std::string& who, std::uint32_t group,
+                          const std::optional<std::string>& value) {
+  wire::ShardRecord record;
   if (value && !decode(*value, record)) return false;
-  const wire::PartRecord before = std::exchange(parts_[{who, group}], record);
+  const wire::ShardRecord before = std::exchange(shards_[{who, group}], record);
   for (const auto& [id, h] : before.machines) {
     if (record.machines.contains(id)) continue;
     auto at = heard_.find(id);
@@ -262,7 +262,7 @@
     heard_[id][{who, group}] = h;
     merge(id);
   }
-  if (!value) parts_.erase({who, group});
+  if (!value) shards_.erase({who, group});
   return true;
 }
 
@@ -271,16 +271,16 @@
   return it == group_of_.end() ? std::nullopt : std::optional(it->second);
 }
 
-const wire::PartRecord* Replica::part(const std::string& controller, std::uint32_t group) const {
-  auto it = parts_.find({controller, group});
-  return it == parts_.end() ? nullptr : &it->second;
+const wire::ShardRecord* Replica::shard(const std::string& controller, std::uint32_t group) const {
+  auto it = shards_.find({controller, group});
+  return it == shards_.end() ? nullptr : &it->second;
 }
 
-std::vector<std::pair<std::uint32_t, const wire::PartRecord*>> Replica::parts_of(
+std::vector<std::pair<std::uint32_t, const wire::ShardRecord*>> Replica::shards_of(
     const std::string& controller) const {
-  std::vector<std::pair<std::uint32_t, const wire::PartRecord*>> out;
-  for (auto it = parts_.lower_bound({controller, 0});
-       it != parts_.end() && it->first.first == controller; ++it)
+  std::vector<std::pair<std::uint32_t, const wire::ShardRecord*>> out;
+  for (auto it = shards_.lower_bound({controller, 0});
+       it != shards_.end() && it->first.first == controller; ++it)
     out.emplace_back(it->first.second, &it->second);
   return out;
 }
@@ -308,17 +308,17 @@
   return nullptr;
 }
 
-const wire::OverRecord* Replica::over(const std::string& id) const {
-  auto it = over_.find(id);
-  return it == over_.end() ? nullptr : &it->second;
+const wire::FinalStateRecord* Replica::final_state(const std::string& id) const {
+  auto it = final_states_.find(id);
+  return it == final_states_.end() ? nullptr : &it->second;
 }
 
-void Replica::remember_over(const std::string& id, const wire::OverRecord& record) {
-  if (!over_.emplace(id, record).second) return;
-  over_order_.push_back(id);
-  if (over_order_.size() > constants::kOverCached) {
-    over_.erase(over_order_.front());
-    over_order_.pop_front();
+void Replica::remember_final_state(const std::string& id, const wire::FinalStateRecord& record) {
+  if (!final_states_.emplace(id, record).second) return;
+  final_state_order_.push_back(id);
+  if (final_state_order_.size() > constants::kFinalStatesCached) {
+    final_states_.erase(final_state_order_.front());
+    final_state_order_.pop_front();
   }
 }
 
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -69,13 +69,13 @@
   const std::map<std::uint32_t, wire::FleetRecord>& fleet() const { return fleet_; }
   // The group that a machine is recorded in; none if the machine is not recorded.
   std::optional<std::uint32_t> group_of(const std::string& id) const;
-  const wire::PartRecord* part(const std::string& controller, std::uint32_t group) const;
+  const wire::ShardRecord* shard(const std::string& controller, std::uint32_t group) const;
   // Every record of that controller, by group.
-  std::vector<std::pair<std::uint32_t, const wire::PartRecord*>> parts_of(
+  std::vector<std::pair<std::uint32_t, const wire::ShardRecord*>> shards_of(
       const std::string& controller) const;
   const wire::MachineType* type(const std::string& name) const;
-  const wire::OverRecord* over(const std::string& id) const;
-  void remember_over(const std::string& id, const wire::OverRecord& record);
+  const wire::FinalStateRecord* final_state(const std::string& id) const;
+  void remember_final_state(const std::string& id, const wire::FinalStateRecord& record);
 
   const std::set<TaskRef>& placed_on(const std::string& machine) const;
   // Whether replicas of services are placed on the machine.
@@ -101,20 +101,20 @@
   void count_placement(const Job& job, const wire::Placement& p, int sign);
   void count_job(const Job& job, int sign);
   bool apply_fleet(std::uint32_t group, const std::optional<std::string>& value);
-  bool apply_part(const std::string& who, std::uint32_t group,
-                  const std::optional<std::string>& value);
+  bool apply_shard(const std::string& who, std::uint32_t group,
+                   const std::optional<std::string>& value);
   void merge(const std::string& id);
 
   wire::ViewRecord view_;
   std::map<std::string, wire::LiveRecord> live_;
   std::map<std::uint32_t, wire::FleetRecord> fleet_;
-  std::map<std::pair<std::string, std::uint32_t>, wire::PartRecord> parts_;
+  std::map<std::pair<std::string, std::uint32_t>, wire::ShardRecord> shards_;
   std::unordered_map<std::string, std::uint32_t> group_of_;
   // A controller's record of one group.
-  using PartId = std::pair<std::string, std::uint32_t>;
+  using ShardId = std::pair<std::string, std::uint32_t>;
   // What controllers have written of a machine. While a group is being cut, a machine's entries may
   // stand in records of its former group.
-  std::unordered_map<std::string, std::map<PartId, wire::PartRecord::Heard>> heard_;
+  std::unordered_map<std::string, std::map<ShardId, wire::ShardRecord::Heard>> heard_;
   std::map<std::string, wire::MachineRecord> machines_;        // merged from all these
   std::map<std::string, std::map<std::string, Usage>> usage_;  // team -> grant
   std::map<std::string, wire::RentRequest> rentals_;
@@ -123,8 +123,8 @@
   bool has_catalog_ = false;
   wire::FormatRecord format_;
   std::unordered_map<std::string, Job> jobs_;
-  std::unordered_map<std::string, wire::OverRecord> over_;
-  std::deque<std::string> over_order_;
+  std::unordered_map<std::string, wire::FinalStateRecord> final_states_;
+  std::deque<std::string> final_state_order_;
 
   std::unordered_map<std::string, std::set<TaskRef>> placed_on_;
   std::unordered_map<std::string, int> replicas_on_;  // of services, by machine; none: not there
--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -13,35 +13,35 @@
 
 namespace {
 // Read at the start, in this order; final states stay out of recovery's way.
-const std::string_view kLoaded[] = {wire::kViewKey,      wire::kFormatKey,   wire::kCatalogKey,
-                                    wire::kLivePrefix,   wire::kFleetPrefix, wire::kPartPrefix,
-                                    wire::kJobPrefixKey, wire::kRangePrefix, wire::kRentalPrefix,
-                                    wire::kQuotaPrefix,  wire::kClaimPrefix};
+const std::string_view kLoadedPrefixes[] = {
+    wire::kViewKey,      wire::kFormatKey,   wire::kCatalogKey,      wire::kLivePrefix,
+    wire::kFleetPrefix,  wire::kShardPrefix, wire::kJobPrefixKey,    wire::kRangePrefix,
+    wire::kRentalPrefix, wire::kQuotaPrefix, wire::kShardGuardPrefix};
 // Never written: asking for it tells the current revision.
 constexpr std::string_view kBarrierKey = "barrier";
 }  // namespace
 
-Store::Store(const Settings& settings, Send send, Apply apply, Log log)
+StateClient::StateClient(const Settings& settings, Send send, Apply apply, Log log)
     : settings_(settings),
       send_(std::move(send)),
       apply_(std::move(apply)),
       log_(std::move(log)),
-      sharers_(std::max(1, settings.controllers)) {}
+      rate_sharers_(std::max(1, settings.controllers)) {}
 
-void Store::start(Ms now) {
+void StateClient::start(Ms now) {
   write_refilled_ = now;
   write_tokens_ = share(settings_.state_write_rps) / 2;
   load_retry_at_ = now;
   tick(now);
 }
 
-std::uint64_t Store::version(const std::string& key) const {
+std::uint64_t StateClient::version(const std::string& key) const {
   auto it = versions_.find(key);
   return it == versions_.end() ? 0 : it->second;
 }
 
-void Store::call(Ms sent, std::string method, std::string path, std::string body,
-                 OutcomeHandler done) {
+void StateClient::call(Ms sent, std::string method, std::string path, std::string body,
+                       OutcomeHandler done) {
   send_(Target::state, "", std::move(method), std::move(path), std::move(body), k::kStateTimeoutMs,
         [this, sent, pauses = pauses_, done = std::move(done)](Ms now, const Outcome& outcome) {
           // Guards against taking single answers that were lost for a service that is down: what
@@ -52,17 +52,17 @@
         });
 }
 
-void Store::on_pause(Ms now) {
+void StateClient::on_pause(Ms now) {
   ++pauses_;
   link_.on_pause(now, k::kProbeEveryMs);
-  hold_at_ = next_barrier_ = now;
+  lease_due_ = next_barrier_ = now;
   behind_since_ = now;
-  std::vector<Barrier> old = std::exchange(barriers_, {});
-  for (auto& w : std::exchange(barrier_wait_, {})) old.push_back(std::move(w.barrier));
+  std::vector<Barrier> old = std::exchange(queued_barriers_, {});
+  for (auto& w : std::exchange(revision_waits_, {})) old.push_back(std::move(w.barrier));
   for (auto& b : old) b.done(now, false);
 }
 
-void Store::note(Ms now, const Outcome& outcome, bool current) {
+void StateClient::note(Ms now, const Outcome& outcome, bool current) {
   if (!current && outcome.status != 429) return;
   if (outcome.status == kNoAnswer) {
     link_.unanswered(now);
@@ -75,29 +75,30 @@
   }
 }
 
-void Store::tick(Ms now) {
-  if (load_ == Load::none && now >= load_retry_at_) begin_load(now);
-  if (watches()) {
+void StateClient::tick(Ms now) {
+  if (load_phase_ == LoadPhase::none && now >= load_retry_at_) begin_load(now);
+  if (watch_allowed()) {
     // Guards against a watch whose answer was lost: other answers name revisions that it should
     // have brought long ago. Whatever it still answers is ignored.
-    const bool behind = told_revision_ > watched_ && now - behind_since_ > k::kWatchBehindMs;
+    const bool behind =
+        newest_known_revision_ > applied_revision_ && now - behind_since_ > k::kWatchBehindMs;
     if (watching_ && (behind || now - watch_opened_ > k::kWatchMs + k::kWatchGraceMs)) {
       ++watch_generation_;
       watching_ = false;
       behind_since_ = now;
     }
     if (!watching_ && now >= watch_at_) open_watch(now);
-    keep_hold(now);
+    renew_lease(now);
     // While nothing else is asked, a barrier read tells whether the service answers.
     const Ms quiet = now - link_.last_word();
-    const bool probe = answering(now) ? quiet > k::kExtendEveryMs : quiet > k::kProbeEveryMs;
-    if ((probe || !barriers_.empty()) && !barrier_in_flight_ && now >= next_barrier_)
+    const bool probe = answering(now) ? quiet > k::kLeaseRenewalMs : quiet > k::kProbeEveryMs;
+    if ((probe || !queued_barriers_.empty()) && !barrier_in_flight_ && now >= next_barrier_)
       send_barrier(now);
   }
   std::vector<Barrier> late;
   auto expire = [&](auto& list, auto&& of) {
     for (std::size_t i = 0; i < list.size();) {
-      if (of(list[i]).give_up && now >= of(list[i]).give_up) {
+      if (of(list[i]).deadline && now >= of(list[i]).deadline) {
         late.push_back(std::move(of(list[i])));
         list.erase(list.begin() + static_cast<std::ptrdiff_t>(i));
       } else {
@@ -105,8 +106,8 @@
       }
     }
   };
-  expire(barriers_, [](Barrier& b) -> Barrier& { return b; });
-  expire(barrier_wait_, [](Waiting& w) -> Barrier& { return w.barrier; });
+  expire(queued_barriers_, [](Barrier& b) -> Barrier& { return b; });
+  expire(revision_waits_, [](RevisionWait& w) -> Barrier& { return w.barrier; });
   for (auto& b : late) b.done(now, false);
   release_rejected(now);
   flush(now);
@@ -114,8 +115,8 @@
 
 // ---- reading everything ----
 
-void Store::begin_load(Ms now) {
-  load_ = Load::reading;
+void StateClient::begin_load(Ms now) {
+  load_phase_ = LoadPhase::reading;
   load_prefix_ = 0;
   load_after_.clear();
   load_revision_known_ = false;
@@ -124,16 +125,16 @@
   load_next(now);
 }
 
-void Store::load_next(Ms now) {
-  const std::string prefix(kLoaded[load_prefix_]);
+void StateClient::load_next(Ms now) {
+  const std::string prefix(kLoadedPrefixes[load_prefix_]);
   call(now, "GET", wire::page_path(prefix, load_after_, k::kPageItems), "",
        [this](Ms at, const Outcome& outcome) {
-         if (load_ != Load::reading) return;
+         if (load_phase_ != LoadPhase::reading) return;
          std::vector<wire::StoredItem> items;
          bool more = false;
          std::uint64_t revision = 0;
          if (outcome.status != 200 || !wire::parse_page(outcome.body, items, more, revision)) {
-           load_ = Load::none;
+           load_phase_ = LoadPhase::none;
            load_retry_at_ = at + k::kProbeEveryMs;
            return;
          }
@@ -150,7 +151,7 @@
            load_after_.clear();
            ++load_prefix_;
          }
-         if (load_prefix_ < std::size(kLoaded)) {
+         if (load_prefix_ < std::size(kLoadedPrefixes)) {
            load_next(at);
            return;
          }
@@ -158,30 +159,31 @@
        });
 }
 
-void Store::on_pages_read(Ms now) {
+void StateClient::on_pages_read(Ms now) {
   // What an earlier reading knew and this one did not find was removed in between.
   std::vector<std::string> vanished;
   for (const auto& [key, version] : versions_) {
     if (version <= load_revision_ && !load_seen_.contains(key) &&
-        !key.starts_with(wire::kOverPrefix))
+        !key.starts_with(wire::kFinalStatePrefix))
       vanished.push_back(key);
   }
   for (auto& key : vanished) apply(now, {std::move(key), std::nullopt, load_revision_ + 1});
   load_seen_.clear();
-  watched_ = load_revision_;
-  load_ = Load::catching_up;
-  log_(LogLevel::info, "state read up to revision " + std::to_string(watched_));
+  applied_revision_ = load_revision_;
+  load_phase_ = LoadPhase::catching_up;
+  log_(LogLevel::info, "state read up to revision " + std::to_string(applied_revision_));
   complete_load();
   tick(now);
 }
 
 // Guards against answers and decisions from pages that were read at different revisions: a job's
 // record from before its end, say, without the range that was removed with it.
-void Store::complete_load() {
-  if (load_ == Load::catching_up && watched_ >= load_newest_) load_ = Load::complete;
+void StateClient::complete_load() {
+  if (load_phase_ == LoadPhase::catching_up && applied_revision_ >= load_newest_)
+    load_phase_ = LoadPhase::complete;
 }
 
-void Store::apply(Ms now, const wire::StoredItem& item) {
+void StateClient::apply(Ms now, const wire::StoredItem& item) {
   if (auto it = removed_.find(item.key); it != removed_.end()) {
     if (item.version <= it->second) return;
     if (item.value) removed_.erase(it);
@@ -200,19 +202,19 @@
 
 // ---- watch ----
 
-void Store::open_watch(Ms now) {
+void StateClient::open_watch(Ms now) {
   watching_ = true;
   watch_opened_ = now;
   const std::uint64_t generation = ++watch_generation_;
-  send_(Target::state, "", "GET", wire::watch_path(watched_, k::kWatchMs), "",
+  send_(Target::state, "", "GET", wire::watch_path(applied_revision_, k::kWatchMs), "",
         k::kWatchMs + k::kWatchGraceMs,
         [this, generation, pauses = pauses_](Ms at, const Outcome& outcome) {
           on_watch(at, generation, pauses, outcome);
         });
 }
 
-void Store::on_watch(Ms now, std::uint64_t generation, std::uint64_t pauses,
-                     const Outcome& outcome) {
+void StateClient::on_watch(Ms now, std::uint64_t generation, std::uint64_t pauses,
+                           const Outcome& outcome) {
   if (generation != watch_generation_) return;
   watching_ = false;
   const double rate = share(settings_.state_rps) * k::kRateShare * k::kWatchRateShare;
@@ -220,7 +222,7 @@
   // Guards against asking for ever for an answer that is longer each time, after a long cut.
   if (outcome.status == 410 || outcome.status == kAnswerTooLarge) {
     log_(LogLevel::info, "watch fell behind; reading the state again");
-    load_ = Load::none;
+    load_phase_ = LoadPhase::none;
     load_retry_at_ = now;
     return;
   }
@@ -232,65 +234,66 @@
   }
   if (pauses == pauses_) link_.answered(now);
   for (const auto& e : events) apply(now, e);
-  watched_ = std::max(watched_, revision);
+  applied_revision_ = std::max(applied_revision_, revision);
   log_read(now, watch_opened_, "watch", revision, events.size());
-  std::erase_if(removed_, [this](const auto& r) { return r.second <= watched_; });
+  std::erase_if(removed_, [this](const auto& r) { return r.second <= applied_revision_; });
   complete_load();
   release_barriers(now);
   if (now >= watch_at_) open_watch(now);
 }
 
-void Store::log_read(Ms now, Ms sent, std::string_view kind, std::uint64_t revision,
-                     std::size_t count) {
+void StateClient::log_read(Ms now, Ms sent, std::string_view kind, std::uint64_t revision,
+                           std::size_t count) {
   if (!settings_.log_debug) return;
   LogEvent event(kind);
-  event.field("revision", revision).field("watched", watched_);
+  event.field("revision", revision).field("watched", applied_revision_);
   event.field("count", count).field("took_ms", now - sent);
   log_(LogLevel::debug, event.text());
 }
 
-void Store::told(Ms now, std::uint64_t revision) {
-  if (told_revision_ <= watched_) behind_since_ = now;
-  told_revision_ = std::max(told_revision_, revision);
+void StateClient::note_revision(Ms now, std::uint64_t revision) {
+  if (newest_known_revision_ <= applied_revision_) behind_since_ = now;
+  newest_known_revision_ = std::max(newest_known_revision_, revision);
 }
 
 // ---- barriers ----
 
-void Store::barrier(Ms now, Ms give_up, std::function<void(Ms, bool)> done) {
-  barriers_.push_back({give_up, std::move(done)});
-  if (watches() && !barrier_in_flight_ && now >= next_barrier_) send_barrier(now);
+void StateClient::barrier_read(Ms now, Ms deadline, std::function<void(Ms, bool)> done) {
+  queued_barriers_.push_back({deadline, std::move(done)});
+  if (watch_allowed() && !barrier_in_flight_ && now >= next_barrier_) send_barrier(now);
 }
 
-void Store::settle(Ms now, std::function<void(Ms)> done) {
-  barrier(now, 0, [this, done = std::move(done)](Ms at, bool passed) {
+void StateClient::wait_until_settled(Ms now, std::function<void(Ms)> done) {
+  barrier_read(now, 0, [this, done = std::move(done)](Ms at, bool passed) {
     if (passed) {
       done(at);
       return;
     }
-    settle(at, done);
+    wait_until_settled(at, done);
   });
 }
 
-void Store::reach(Ms now, std::uint64_t revision, Ms give_up, std::function<void(Ms, bool)> done) {
-  barrier_wait_.push_back({revision, {give_up, std::move(done)}});
+void StateClient::wait_for_revision(Ms now, std::uint64_t revision, Ms deadline,
+                                    std::function<void(Ms, bool)> done) {
+  revision_waits_.push_back({revision, {deadline, std::move(done)}});
   release_barriers(now);
 }
 
-void Store::send_barrier(Ms now) {
+void StateClient::send_barrier(Ms now) {
   barrier_in_flight_ = true;
   const double rate = share(settings_.state_rps) * k::kRateShare * k::kBarrierRateShare;
   next_barrier_ = now + static_cast<Ms>(1000.0 / std::max(rate, 0.1));
-  auto batch = std::make_shared<std::vector<Barrier>>(std::move(barriers_));
-  barriers_.clear();
+  auto batch = std::make_shared<std::vector<Barrier>>(std::move(queued_barriers_));
+  queued_barriers_.clear();
   call(now, "GET", wire::item_path(kBarrierKey), "",
        [this, batch, sent = now, pauses = pauses_](Ms at, const Outcome& outcome) {
          barrier_in_flight_ = false;
          std::uint64_t revision = 0;
          if (pauses == pauses_ && outcome.status == 404 &&
              wire::parse_revision(outcome.body, revision)) {
-           told(at, revision);
+           note_revision(at, revision);
            log_read(at, sent, "barrier", revision, batch->size());
-           for (auto& b : *batch) barrier_wait_.push_back({revision, std::move(b)});
+           for (auto& b : *batch) revision_waits_.push_back({revision, std::move(b)});
            release_barriers(at);
            return;
          }
@@ -298,13 +301,13 @@
        });
 }
 
-void Store::release_barriers(Ms now) {
+void StateClient::release_barriers(Ms now) {
   if (!loaded()) return;
   std::vector<Barrier> ready;
-  for (std::size_t i = 0; i < barrier_wait_.size();) {
-    if (barrier_wait_[i].revision <= watched_) {
-      ready.push_back(std::move(barrier_wait_[i].barrier));
-      barrier_wait_.erase(barrier_wait_.begin() + static_cast<std::ptrdiff_t>(i));
+  for (std::size_t i = 0; i < revision_waits_.size();) {
+    if (revision_waits_[i].revision <= applied_revision_) {
+      ready.push_back(std::move(revision_waits_[i].barrier));
+      revision_waits_.erase(revision_waits_.begin() + static_cast<std::ptrdiff_t>(i));
     } else {
       ++i;
     }
@@ -312,46 +315,46 @@
   for (auto& b : ready) b.done(now, true);
 }
 
-void Store::read(Ms now, const std::string& key, OutcomeHandler done) {
+void StateClient::read(Ms now, const std::string& key, OutcomeHandler done) {
   call(now, "GET", wire::item_path(key), "", std::move(done));
 }
 
 // ---- hold ----
 
-void Store::keep_hold(Ms now) {
-  if (hold_in_flight_ || now < hold_at_) return;
+void StateClient::renew_lease(Ms now) {
+  if (lease_in_flight_ || now < lease_due_) return;
   // Guards against a lease that is kept up by requests whose answers are lost: this controller
   // could neither write nor read, and nobody would take its place. A refusal is no reason: it comes
   // in an outage, after which every lease has its full time again.
-  if (permit_ != 0 && link_.silent(now)) return;
-  hold_in_flight_ = true;
-  if (permit_ == 0) {
-    call(now, "POST", wire::kHoldsPath, wire::hold_body(k::kHoldMs),
+  if (lease_id_ != 0 && link_.silent(now)) return;
+  lease_in_flight_ = true;
+  if (lease_id_ == 0) {
+    call(now, "POST", wire::kLeasesPath, wire::lease_body(k::kSessionLeaseMs),
          [this](Ms at, const Outcome& outcome) {
-           hold_in_flight_ = false;
-           hold_at_ = at + k::kProbeEveryMs;
+           lease_in_flight_ = false;
+           lease_due_ = at + k::kProbeEveryMs;
            std::uint64_t permit = 0;
-           if (outcome.status == 200 && wire::parse_permit(outcome.body, permit)) {
-             permit_ = permit;
-             hold_at_ = at + k::kExtendEveryMs;
+           if (outcome.status == 200 && wire::parse_lease_id(outcome.body, permit)) {
+             lease_id_ = permit;
+             lease_due_ = at + k::kLeaseRenewalMs;
            }
          });
     return;
   }
-  call(now, "POST", wire::extend_path(permit_), "{}", [this](Ms at, const Outcome& outcome) {
-    hold_in_flight_ = false;
-    hold_at_ = at + (outcome.status == 200 ? k::kExtendEveryMs : k::kProbeEveryMs);
+  call(now, "POST", wire::renew_lease_path(lease_id_), "{}", [this](Ms at, const Outcome& outcome) {
+    lease_in_flight_ = false;
+    lease_due_ = at + (outcome.status == 200 ? k::kLeaseRenewalMs : k::kProbeEveryMs);
     if (outcome.status == 404) {
       log_(LogLevel::info, "our hold has ended");
-      permit_ = 0;
-      hold_at_ = at;
+      lease_id_ = 0;
+      lease_due_ = at;
     }
   });
 }
 
 // ---- transactions ----
 
-void Store::submit(Transaction transaction) {
+void StateClient::submit(Transaction transaction) {
   if (transaction.urgent) {
     auto at = std::find_if(queue_.begin(), queue_.end(), [](const auto& t) { return !t.urgent; });
     queue_.insert(at, std::move(transaction));
@@ -360,35 +363,37 @@
   }
 }
 
-bool Store::spare(Ms now) const {
+bool StateClient::has_write_headroom(Ms now) const {
   const double rate = share(settings_.state_write_rps);
   const double tokens = write_tokens_ + rate * static_cast<double>(now - write_refilled_) / 1000.0;
-  return queue_.empty() && in_flight_ < k::kTransactionsInFlight && tokens >= rate * k::kSpareShare;
+  return queue_.empty() && in_flight_ < k::kTransactionsInFlight &&
+         tokens >= rate * k::kWriteHeadroomShare;
 }
 
-Ms Store::next_tick(Ms now) const {
+Ms StateClient::next_tick(Ms now) const {
   Ms at = now + k::kIdleLookMs;
   if (!queue_.empty() && in_flight_ < k::kTransactionsInFlight)
     at = std::min(at, std::max({next_transaction_, paused_until_, now + k::kBusyLookMs}));
-  if (!barriers_.empty() && !barrier_in_flight_) at = std::min(at, std::max(next_barrier_, now));
-  if (watches() && !watching_) at = std::min(at, std::max(watch_at_, now));
+  if (!queued_barriers_.empty() && !barrier_in_flight_)
+    at = std::min(at, std::max(next_barrier_, now));
+  if (watch_allowed() && !watching_) at = std::min(at, std::max(watch_at_, now));
   return at;
 }
 
-void Store::flush(Ms now) {
+void StateClient::flush(Ms now) {
   if (queue_.empty()) return;
   // Refuse at once what cannot be sent; whoever asked decides whether to come back.
   const bool down = link_.status(now) == links::Status::down;
   std::vector<Transaction> refused;
   for (std::size_t i = 0; i < queue_.size();) {
-    if (down || (queue_[i].give_up && now >= queue_[i].give_up)) {
+    if (down || (queue_[i].deadline && now >= queue_[i].deadline)) {
       refused.push_back(std::move(queue_[i]));
       queue_.erase(queue_.begin() + static_cast<std::ptrdiff_t>(i));
     } else {
       ++i;
     }
   }
-  for (auto& t : refused) t.done(now, Committed::refused, {});
+  for (auto& t : refused) t.done(now, TxnResult::refused, {});
   if (down || !loaded() || now < paused_until_) return;
 
   const double rate = share(settings_.state_write_rps);
@@ -401,32 +406,32 @@
   const auto most = static_cast<std::size_t>(std::max(1, settings_.txn_ops));
   while (!queue_.empty() && in_flight_ < k::kTransactionsInFlight && now >= next_transaction_) {
     std::vector<Transaction> group;
-    std::set<std::string> written, guarded;
+    std::set<std::string> written, compared;
     std::size_t writes = 0, bytes = 0;
     for (std::size_t i = 0; i < queue_.size();) {
       Transaction& t = queue_[i];
-      std::size_t size = 0, guards = 0;
+      std::size_t size = 0, conditions = 0;
       bool clash = false;
-      for (const auto& g : t.guards) {
+      for (const auto& g : t.conditions) {
         clash = clash || written.contains(g.key);
         // Conditions that several share, the view above all, are sent once.
-        if (guarded.contains(g.key)) continue;
-        ++guards;
+        if (compared.contains(g.key)) continue;
+        ++conditions;
         size += g.key.size() + 40;
       }
       for (const auto& x : t.writes) {
         size += x.key.size() + 60 + (x.value ? x.value->size() : 0);
         clash = clash || written.contains(x.key);
       }
-      if (!group.empty() && (t.alone || group.front().alone)) break;
+      if (!group.empty() && (t.exclusive || group.front().exclusive)) break;
       const bool allowed = writes + t.writes.size() <= most &&
-                           guarded.size() + guards <= most * k::kGuardsPerWrite &&
+                           compared.size() + conditions <= most * k::kConditionsPerWrite &&
                            bytes + size <= k::kTransactionBytes;
       if (!allowed && group.empty()) {
         // Guards against one that can never be sent holding up all behind it.
         log_(LogLevel::error,
              "a transaction over the service's limits: " + std::to_string(t.writes.size()) +
-                 " writes, " + std::to_string(guards) + " conditions, " + std::to_string(size) +
+                 " writes, " + std::to_string(conditions) + " conditions, " + std::to_string(size) +
                  " bytes");
         oversize.push_back(std::move(t));
         queue_.erase(queue_.begin() + static_cast<std::ptrdiff_t>(i));
@@ -442,7 +447,7 @@
         continue;
       }
       for (const auto& x : t.writes) written.insert(x.key);
-      for (const auto& g : t.guards) guarded.insert(g.key);
+      for (const auto& g : t.conditions) compared.insert(g.key);
       writes += t.writes.size();
       bytes += size;
       group.push_back(std::move(t));
@@ -456,21 +461,21 @@
   for (auto& t : oversize) reject(now, std::move(t));
 }
 
-void Store::send_group(Ms now, std::vector<Transaction> group) {
+void StateClient::send_group(Ms now, std::vector<Transaction> group) {
   ++in_flight_;
-  std::vector<wire::Guard> guards;
+  std::vector<wire::Compare> conditions;
   std::vector<wire::Write> writes;
-  std::set<std::string> guarded;
+  std::set<std::string> compared;
   for (const auto& t : group) {
-    for (const auto& g : t.guards) {
+    for (const auto& g : t.conditions) {
       // The same key with another version would make the whole group fail; keep both, so that it
       // does and the members are told apart by the conflict.
-      if (guarded.insert(g.key + "#" + std::to_string(g.version)).second) guards.push_back(g);
+      if (compared.insert(g.key + "#" + std::to_string(g.version)).second) conditions.push_back(g);
     }
     writes.insert(writes.end(), t.writes.begin(), t.writes.end());
   }
   auto shared = std::make_shared<std::vector<Transaction>>(std::move(group));
-  call(now, "POST", wire::kTransactionPath, wire::transaction_body(guards, writes),
+  call(now, "POST", wire::kTransactionPath, wire::transaction_body(conditions, writes),
        [this, shared, sent = now](Ms at, const Outcome& outcome) {
          --in_flight_;
          log_write(at, sent, shared->front().writes, outcome);
@@ -478,28 +483,29 @@
        });
 }
 
-void Store::log_write(Ms now, Ms sent, const std::vector<wire::Write>& writes,
-                      const Outcome& outcome) {
+void StateClient::log_write(Ms now, Ms sent, const std::vector<wire::Write>& writes,
+                            const Outcome& outcome) {
   if (!settings_.log_debug) return;
   std::uint64_t revision = 0;
   const bool committed = outcome.status == 200 && wire::parse_revision(outcome.body, revision);
   LogEvent event("transaction");
   event.field("status", outcome.status).field("revision", committed ? revision : 0);
-  event.field("watched", watched_).field("first", writes.empty() ? "-" : writes.front().key);
+  event.field("watched", applied_revision_)
+      .field("first", writes.empty() ? "-" : writes.front().key);
   event.field("took_ms", now - sent);
   log_(LogLevel::debug, event.text());
 }
 
-void Store::log_conflict(const std::vector<std::string>& failed) {
+void StateClient::log_conflict(const std::vector<std::string>& failed) {
   if (!settings_.log_debug) return;
   for (const auto& key : failed) {
     LogEvent event("conflict");
-    event.field("key", key).field("version", version(key)).field("watched", watched_);
+    event.field("key", key).field("version", version(key)).field("watched", applied_revision_);
     log_(LogLevel::debug, event.text());
   }
 }
 
-void Store::on_group(Ms now, std::vector<Transaction> group, const Outcome& outcome) {
+void StateClient::on_group(Ms now, std::vector<Transaction> group, const Outcome& outcome) {
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
   if (outcome.status == 200 && wire::parse_revision(outcome.body, revision)) {
@@ -511,16 +517,16 @@
   } else if (outcome.status == 400) {
     on_bad_request(now, std::move(group), outcome.body);
   } else {
-    const Committed result = outcome.status == 503 ? Committed::refused : Committed::unknown;
+    const TxnResult result = outcome.status == 503 ? TxnResult::refused : TxnResult::unknown;
     for (auto& t : group) t.done(now, result, {});
   }
 }
 
-void Store::on_committed(Ms now, std::vector<Transaction> group, std::uint64_t revision) {
-  told(now, revision);
+void StateClient::on_committed(Ms now, std::vector<Transaction> group, std::uint64_t revision) {
+  note_revision(now, revision);
   // Guards against bringing back what the watch has meanwhile seen removed: an answer that comes
   // after the watch has passed its revision tells nothing new.
-  if (revision > watched_) {
+  if (revision > applied_revision_) {
     for (const auto& t : group) {
       for (const auto& w : t.writes) {
         // The view comes by the watch alone, after everything written before it. Guards against
@@ -529,47 +535,48 @@
       }
     }
   }
-  for (auto& t : group) t.done(now, Committed::yes, {});
+  for (auto& t : group) t.done(now, TxnResult::committed, {});
   flush(now);
 }
 
-void Store::on_conflict(Ms now, std::vector<Transaction> group,
-                        const std::vector<std::string>& failed) {
+void StateClient::on_conflict(Ms now, std::vector<Transaction> group,
+                              const std::vector<std::string>& failed) {
   log_conflict(failed);
   std::vector<Transaction> conflicted, innocent;
   for (auto& t : group) {
-    const bool hit = std::any_of(t.guards.begin(), t.guards.end(), [&](const auto& g) {
+    const bool hit = std::any_of(t.conditions.begin(), t.conditions.end(), [&](const auto& g) {
       return std::find(failed.begin(), failed.end(), g.key) != failed.end();
     });
     (hit ? conflicted : innocent).push_back(std::move(t));
   }
   if (conflicted.empty()) conflicted.swap(innocent);
-  put_back(std::move(innocent));
-  for (auto& t : conflicted) t.done(now, Committed::conflict, failed);
+  requeue(std::move(innocent));
+  for (auto& t : conflicted) t.done(now, TxnResult::conflict, failed);
   flush(now);
 }
 
 // The rate was exceeded, by us or by others that share it: nothing is left of this second's.
-void Store::on_throttled(std::vector<Transaction> group) {
+void StateClient::on_throttled(std::vector<Transaction> group) {
   ++throttles_;
   write_tokens_ = std::min(write_tokens_, 0.0);
-  put_back(std::move(group));
+  requeue(std::move(group));
 }
 
-void Store::on_bad_request(Ms now, std::vector<Transaction> group, const std::string& reason) {
+void StateClient::on_bad_request(Ms now, std::vector<Transaction> group,
+                                 const std::string& reason) {
   // A lease that has ended meanwhile is no fault: the next one carries the record.
   if (reason.find("no such lease") != std::string::npos) {
     log_(LogLevel::info, "the state service rejected a transaction: " + reason);
-    permit_ = 0;
-    hold_at_ = now;
-    for (auto& t : group) t.done(now, Committed::refused, {});
+    lease_id_ = 0;
+    lease_due_ = now;
+    for (auto& t : group) t.done(now, TxnResult::refused, {});
     return;
   }
   ++rejections_;
   if (group.size() > 1) {
     // Guards against one that is too large making all that were sent with it fail.
-    for (auto& t : group) t.alone = true;
-    put_back(std::move(group));
+    for (auto& t : group) t.exclusive = true;
+    requeue(std::move(group));
     flush(now);
     return;
   }
@@ -577,27 +584,27 @@
   for (auto& t : group) reject(now, std::move(t));
 }
 
-void Store::put_back(std::vector<Transaction> group) {
+void StateClient::requeue(std::vector<Transaction> group) {
   for (auto it = group.rbegin(); it != group.rend(); ++it) queue_.push_front(std::move(*it));
 }
 
 // Guards against asking for the same again at once and for ever: whoever asked hears of it after a
 // pause, unless a user waits.
-void Store::reject(Ms now, Transaction transaction) {
-  if (transaction.give_up != 0) {
-    transaction.done(now, Committed::rejected, {});
+void StateClient::reject(Ms now, Transaction transaction) {
+  if (transaction.deadline != 0) {
+    transaction.done(now, TxnResult::rejected, {});
     return;
   }
   rejected_.push_back({now + k::kRejectedPauseMs, std::move(transaction)});
 }
 
-void Store::release_rejected(Ms now) {
+void StateClient::release_rejected(Ms now) {
   std::vector<Transaction> due;
   while (!rejected_.empty() && now >= rejected_.front().release_at) {
     due.push_back(std::move(rejected_.front().transaction));
     rejected_.erase(rejected_.begin());
   }
-  for (auto& t : due) t.done(now, Committed::rejected, {});
+  for (auto& t : due) t.done(now, TxnResult::rejected, {});
 }
 
 }  // namespace scheduler
--- a/src/wire/record_keys.cpp
+++ b/src/wire/record_keys.cpp
@@ -7,7 +7,9 @@
 namespace scheduler::wire {
 
 std::string job_key(std::string_view id) { return std::string(kJobPrefixKey) + std::string(id); }
-std::string over_key(std::string_view id) { return std::string(kOverPrefix) + std::string(id); }
+std::string final_state_key(std::string_view id) {
+  return std::string(kFinalStatePrefix) + std::string(id);
+}
 std::string range_key(std::string_view job, std::uint32_t number) {
   return std::string(kRangePrefix) + std::string(job) + "/" + std::to_string(number);
 }
@@ -17,11 +19,11 @@
 std::string fleet_key(std::uint32_t group) {
   return std::string(kFleetPrefix) + std::to_string(group);
 }
-std::string part_key(std::string_view controller, std::uint32_t group) {
-  return std::string(kPartPrefix) + std::string(controller) + "/" + std::to_string(group);
+std::string shard_key(std::string_view controller, std::uint32_t group) {
+  return std::string(kShardPrefix) + std::string(controller) + "/" + std::to_string(group);
 }
-std::string claim_key(std::string_view controller) {
-  return std::string(kClaimPrefix) + std::string(controller);
+std::string shard_guard_key(std::string_view controller) {
+  return std::string(kShardGuardPrefix) + std::string(controller);
 }
 
 bool parse_fleet_key(std::string_view key, std::uint32_t& group) {
@@ -31,10 +33,10 @@
   return error == std::errc{} && end == key.data() + key.size();
 }
 
-bool parse_part_key(std::string_view key, std::string& controller, std::uint32_t& group) {
+bool parse_shard_key(std::string_view key, std::string& controller, std::uint32_t& group) {
   const auto slash = key.rfind('/');
-  if (!key.starts_with(kPartPrefix) || slash < kPartPrefix.size()) return false;
-  controller = key.substr(kPartPrefix.size(), slash - kPartPrefix.size());
+  if (!key.starts_with(kShardPrefix) || slash < kShardPrefix.size()) return false;
+  controller = key.substr(kShardPrefix.size(), slash - kShardPrefix.size());
   const std::string_view number = key.substr(slash + 1);
   auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), group);
   return error == std::errc{} && end == number.data() + number.size();
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -57,7 +57,7 @@
   return object([&](Writer& w) {
     put(w, "epoch", r.epoch);
     put_map(w, "live", r.live);
-    put_map(w, "departed", r.departed);
+    put_map(w, "departed", r.departing);
     w.Key("deaf");
     w.StartArray();
     for (const auto& name : r.unreachable) put_text(w, name);
@@ -68,7 +68,7 @@
 bool decode(std::string_view text, ViewRecord& r) {
   rapidjson::Document doc;
   if (!parse_object(text, doc) || !read(doc, "epoch", r.epoch) || !read_map(doc, "live", r.live) ||
-      !read_map(doc, "departed", r.departed))
+      !read_map(doc, "departed", r.departing))
     return false;
   r.unreachable.clear();
   const Json* deaf = member(doc, "deaf");
@@ -277,8 +277,8 @@
   });
 }
 
-std::string encode(const PartRecord& r) {
-  return machines_body(r, [](Writer& w, const PartRecord::Heard& m) {
+std::string encode(const ShardRecord& r) {
+  return machines_body(r, [](Writer& w, const ShardRecord::Heard& m) {
     put_text(w, m.address);
     w.Uint64(m.session);
     w.Uint(static_cast<unsigned>(m.standing));
@@ -286,8 +286,8 @@
   });
 }
 
-bool decode(std::string_view text, PartRecord& r) {
-  return parse_machines(text, r, [](const Json& v, PartRecord::Heard& m) {
+bool decode(std::string_view text, ShardRecord& r) {
+  return parse_machines(text, r, [](const Json& v, ShardRecord::Heard& m) {
     if (v.Size() < 4 || !v[0].IsString() || !v[1].IsUint64() || !v[3].IsUint64()) return false;
     m.address = v[0].GetString();
     m.session = v[1].GetUint64();
@@ -296,7 +296,7 @@
   });
 }
 
-std::string claim_body(std::string_view by) {
+std::string shard_guard_body(std::string_view by) {
   return object([&](Writer& w) { put(w, "by", by); });
 }
 
@@ -362,14 +362,14 @@
   return !member(doc, "services") || read_amounts(doc, "services", r.service_wanted);
 }
 
-std::string encode(const OverRecord& r) {
+std::string encode(const FinalStateRecord& r) {
   return object([&](Writer& w) {
     put_bool(w, "done", r.done);
     put(w, "tasks", r.tasks);
   });
 }
 
-bool decode(std::string_view text, OverRecord& r) {
+bool decode(std::string_view text, FinalStateRecord& r) {
   rapidjson::Document doc;
   return parse_object(text, doc) && read(doc, "done", r.done) && read(doc, "tasks", r.tasks);
 }
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -17,8 +17,8 @@
 
 struct ViewRecord {
   std::uint64_t epoch = 0;
-  std::map<std::string, std::string> live;      // name -> incarnation
-  std::map<std::string, std::string> departed;  // may still be answering workers
+  std::map<std::string, std::string> live;       // name -> incarnation
+  std::map<std::string, std::string> departing;  // may still be answering workers
   // Live, but without links to workers: they own nothing. Its key in the record is `deaf`.
   std::set<std::string> unreachable;
 };
@@ -104,7 +104,7 @@
 };
 std::string encode(const FleetRecord& r);
 bool decode(std::string_view text, FleetRecord& r);
-struct PartRecord {
+struct ShardRecord {
   struct Heard {
     std::string address;
     std::uint64_t session = 0;
@@ -114,10 +114,10 @@
   };
   std::map<std::string, Heard> machines;
 };
-std::string encode(const PartRecord& r);
-bool decode(std::string_view text, PartRecord& r);
+std::string encode(const ShardRecord& r);
+bool decode(std::string_view text, ShardRecord& r);
 // The value of a claim; only its stamp matters.
-std::string claim_body(std::string_view by);
+std::string shard_guard_body(std::string_view by);
 
 std::string encode(const RentRequest& r);
 bool decode(std::string_view text, RentRequest& r);
@@ -135,11 +135,11 @@
 std::string encode(const QuotaRecord& r);
 bool decode(std::string_view text, QuotaRecord& r);
 
-struct OverRecord {
+struct FinalStateRecord {
   bool done = false;  // else cancelled
   std::uint64_t tasks = 0;
 };
-std::string encode(const OverRecord& r);
-bool decode(std::string_view text, OverRecord& r);
+std::string encode(const FinalStateRecord& r);
+bool decode(std::string_view text, FinalStateRecord& r);
 
 }  // namespace scheduler::wire
--- a/src/wire/state_service.cpp
+++ b/src/wire/state_service.cpp
@@ -16,11 +16,12 @@
 
 }  // namespace
 
-std::string transaction_body(const std::vector<Guard>& guards, const std::vector<Write>& writes) {
+std::string transaction_body(const std::vector<Compare>& conditions,
+                             const std::vector<Write>& writes) {
   return object([&](Writer& w) {
     w.Key("guards");
     w.StartArray();
-    for (const Guard& g : guards) {
+    for (const Compare& g : conditions) {
       w.StartObject();
       put(w, "k", g.key);
       put(w, "stamp", g.version);
@@ -35,7 +36,7 @@
         put(w, "write", x.key);
         w.Key("v");
         w.RawValue(x.value->data(), x.value->size(), rapidjson::kObjectType);
-        if (x.permit) put(w, "permit", *x.permit);
+        if (x.lease_id) put(w, "permit", *x.lease_id);
       } else {
         put(w, "remove", x.key);
       }
@@ -64,12 +65,12 @@
   return true;
 }
 
-bool parse_permit(std::string_view body, std::uint64_t& permit) {
+bool parse_lease_id(std::string_view body, std::uint64_t& lease_id) {
   rapidjson::Document doc;
-  return parse_object(body, doc) && read(doc, "permit", permit);
+  return parse_object(body, doc) && read(doc, "permit", lease_id);
 }
 
-std::string hold_body(std::uint64_t life_ms) {
+std::string lease_body(std::uint64_t life_ms) {
   return object([&](Writer& w) { put(w, "lifeMs", life_ms); });
 }
 
@@ -123,8 +124,8 @@
   return "/changes?starts=&after=" + std::to_string(after) + "&blockMs=" + std::to_string(wait_ms);
 }
 
-std::string extend_path(std::uint64_t permit) {
-  return "/holds/" + std::to_string(permit) + "/extend";
+std::string renew_lease_path(std::uint64_t lease_id) {
+  return "/holds/" + std::to_string(lease_id) + "/extend";
 }
 
 }  // namespace scheduler::wire
--- a/src/wire/state_service.h
+++ b/src/wire/state_service.h
@@ -9,21 +9,22 @@
 
 namespace scheduler::wire {
 
-struct Guard {
+struct Compare {
   std::string key;
   std::uint64_t version = 0;  // 0: must not exist
 };
 struct Write {
   std::string key;
-  std::optional<std::string> value;     // JSON text; none: delete
-  std::optional<std::uint64_t> permit;  // the hold that the key is attached to
+  std::optional<std::string> value;       // JSON text; none: delete
+  std::optional<std::uint64_t> lease_id;  // the hold that the key is attached to
 };
-std::string transaction_body(const std::vector<Guard>& guards, const std::vector<Write>& writes);
+std::string transaction_body(const std::vector<Compare>& conditions,
+                             const std::vector<Write>& writes);
 bool parse_revision(std::string_view body, std::uint64_t& revision);
 bool parse_conflict(std::string_view body, std::uint64_t& revision,
                     std::vector<std::string>& failed);
-bool parse_permit(std::string_view body, std::uint64_t& permit);
-std::string hold_body(std::uint64_t life_ms);
+bool parse_lease_id(std::string_view body, std::uint64_t& lease_id);
+std::string lease_body(std::uint64_t life_ms);
 
 struct StoredItem {
   std::string key;
@@ -39,7 +40,7 @@
 std::string page_path(std::string_view prefix, std::string_view after, std::uint32_t most);
 std::string watch_path(std::uint64_t after, std::uint64_t wait_ms);
 constexpr const char* kTransactionPath = "/multi";
-constexpr const char* kHoldsPath = "/holds";
-std::string extend_path(std::uint64_t permit);
+constexpr const char* kLeasesPath = "/holds";
+std::string renew_lease_path(std::uint64_t lease_id);
 
 }  // namespace scheduler::wire
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -92,7 +92,7 @@
       const auto& spec = job->record.spec;
       if (cpus + k::kAmountSlack < spec.cpus || gpus + k::kAmountSlack < spec.gpus ||
           memory + k::kAmountSlack < spec.memory_gb) {
-        if (!stopping && !spec.is_gang()) give_up_blocked_start(now, m, task, p->attempt);
+        if (!stopping && !spec.is_gang()) abandon_blocked_start(now, m, task, p->attempt);
         continue;  // waits for what is being stopped
       }
       m.blocked_since.erase(task);
@@ -115,14 +115,15 @@
   event.field("task", wire::task_name(command.task.job, command.task.index));
   event.field("attempt", command.attempt).field("machine", m.id).field("token", token(m));
   event.field("session", placement ? placement->session : m.session).field("reason", reason);
-  event.field("revision", newest_revision(command.task.job)).field("watched", store_.watched());
+  event.field("revision", newest_revision(command.task.job))
+      .field("watched", state_client_.applied_revision());
   log(LogLevel::debug, event.text());
 }
 
 // Guards against a start that waits for ever: two controllers may have filled the same machine at
 // the same time, and what runs there may be a service, which does not end. The task is placed anew
 // once the machine has shown that it does not have it.
-void Controller::give_up_blocked_start(Ms now, Machine& m, const wire::TaskId& task,
+void Controller::abandon_blocked_start(Ms now, Machine& m, const wire::TaskId& task,
                                        std::uint64_t attempt) {
   auto [since, fresh] = m.blocked_since.try_emplace(task, now);
   if (fresh || now - since->second < k::kBlockedStartMs) return;
@@ -142,7 +143,7 @@
 }
 
 void Controller::send_orders(Ms now, Machine& m, bool probe) {
-  if (!ready() || m.address.empty() || m.session == 0 || superseded(now) || catching_up(now))
+  if (!ready() || m.address.empty() || m.session == 0 || deposed(now) || resynchronising(now))
     return;
   if (m.orders_in_flight) {
     m.send_again = true;
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -44,17 +44,17 @@
     return;
   }
   if (!Relay::is_relayed(request)) links_.zone(report.zone).report_heard(now);
-  if (!store_.loaded() || !view_known_ || superseded(now) || catching_up(now)) {
+  if (!state_client_.loaded() || !view_known_ || deposed(now) || resynchronising(now)) {
     decline(request, k::kRetryAfterS);
     return;
   }
-  if (Membership::epoch_of(report.token) > membership_.epoch()) {
+  if (ClusterView::epoch_of(report.token) > cluster_view_.epoch()) {
     // Somebody acts on a newer view than we know.
-    newest_epoch_ = std::max(newest_epoch_, Membership::epoch_of(report.token));
+    newest_epoch_seen_ = std::max(newest_epoch_seen_, ClusterView::epoch_of(report.token));
     decline(request, k::kRetryAfterS);
     return;
   }
-  const std::string& owner = membership_.machine_owner(report.machine, report.zone);
+  const std::string& owner = cluster_view_.machine_owner(report.machine, report.zone);
   if (owner != settings_.name) {
     if (owner.empty()) {
       decline(request, k::kRetryAfterS);
@@ -96,8 +96,8 @@
   }
   // Guards against answers that the machine drops for ever because this process has forgotten how
   // far it had raised the fence: only the owner of this epoch, ourselves, can have given it.
-  if (fresh && Membership::epoch_of(report.token) == membership_.epoch())
-    m.fence = std::max(m.fence, Membership::fence_of(report.token));
+  if (fresh && ClusterView::epoch_of(report.token) == cluster_view_.epoch())
+    m.fence = std::max(m.fence, ClusterView::fence_of(report.token));
   if ((stale || !take_report(now, m, report)) && !(fresh && report.session == m.session)) {
     // Guards against late copies: they renew nothing and get no commands. A machine that came back
     // with low counters looks the same; its answer to a message of our own tells (on_orders).
@@ -179,7 +179,8 @@
   m.spot = report.spot;
   m.heard_at = now;
   m.token_seen = std::max(m.token_seen, report.token);
-  if (report.token >= Membership::token(m.owner_since, 0) && !m.touched) m.touched = changed = true;
+  if (report.token >= ClusterView::token(m.owner_since, 0) && !m.touched)
+    m.touched = changed = true;
   if (m.unreached_since != 0 && report.token >= m.reach_token) {
     m.unreached_since = 0;
     m.orders_failed = 0;
--- a/src/workers/machine_checks.cpp
+++ b/src/workers/machine_checks.cpp
@@ -9,9 +9,9 @@
 
 namespace k = constants;
 
-bool Controller::others_yielded(std::uint64_t epoch) const {
+bool Controller::peers_acknowledged_epoch(std::uint64_t epoch) const {
   const auto& view = replica_.view();
-  if (!view.departed.empty()) return false;
+  if (!view.departing.empty()) return false;
   return std::all_of(view.live.begin(), view.live.end(), [&](const auto& member) {
     if (member.first == settings_.name) return true;
     auto live = replica_.live().find(member.first);
@@ -21,7 +21,7 @@
 }
 
 void Controller::learn_lease(Ms now, Machine& m) const {
-  if (m.lease_known || !(m.touched || others_yielded(m.owner_since))) return;
+  if (m.lease_known || !(m.touched || peers_acknowledged_epoch(m.owner_since))) return;
   m.lease_known = true;
   m.lease_from = std::max(m.lease_from, now);
 }
@@ -87,9 +87,9 @@
 }
 
 void Controller::watch_machines(Ms now) {
-  if (!ready() || now < machines_at_ || catching_up(now)) return;
-  const auto part = static_cast<Ms>(machines_.size());
-  machines_at_ = now + std::max(k::kLookEveryMs, part * 1000 / k::kLooksPerS);
+  if (!ready() || now < machines_at_ || resynchronising(now)) return;
+  const auto shard = static_cast<Ms>(machines_.size());
+  machines_at_ = now + std::max(k::kLookEveryMs, shard * 1000 / k::kLooksPerS);
   std::erase_if(machines_, [&](const auto& entry) {
     const Machine& m = entry.second;
     // Guards against forgetting, with the machine, which starts may still be on their way to it.
--- a/src/workers/relay.cpp
+++ b/src/workers/relay.cpp
@@ -130,7 +130,7 @@
   std::vector<OutcomeHandler> late;
   for (auto entry = pending_.begin(); entry != pending_.end();) {
     Pending& pending = entry->second;
-    if (now >= pending.give_up) {
+    if (now >= pending.deadline) {
       late.push_back(std::move(pending.done));
       entry = pending_.erase(entry);
       continue;
--- a/src/workers/relay.h
+++ b/src/workers/relay.h
@@ -55,7 +55,7 @@
     std::string peer;
     std::string bytes;  // sent again until it is answered
     Ms send_at = 0;
-    Ms give_up = 0;
+    Ms deadline = 0;
     OutcomeHandler done;
   };
   // A request of a peer.
--- a/src/workers/shard_records.cpp
+++ b/src/workers/shard_records.cpp
@@ -34,8 +34,8 @@
   const auto group = replica_.group_of(m.id);
   m.standing = std::max(m.standing, standing);
   if (!group) return;  // the fleet's coordinator records it first; then we are asked again
-  PartWrite& w = part_writes_[*group];
-  const wire::PartRecord::Heard heard{m.address, m.session, m.standing, m.owner_since};
+  ShardWrite& w = shard_writes_[*group];
+  const wire::ShardRecord::Heard heard{m.address, m.session, m.standing, m.owner_since};
   auto [at, fresh] = w.pending.try_emplace(m.id, heard);
   if (!fresh && at->second == heard && w.due <= now + within) return;
   at->second = heard;
@@ -43,8 +43,8 @@
 }
 
 void Controller::regroup_pending() {
-  std::vector<std::pair<std::string, wire::PartRecord::Heard>> moved;
-  for (auto& [group, w] : part_writes_) {
+  std::vector<std::pair<std::string, wire::ShardRecord::Heard>> moved;
+  for (auto& [group, w] : shard_writes_) {
     if (w.busy) continue;
     std::erase_if(w.pending, [&, from = group](const auto& entry) {
       const auto now_in = replica_.group_of(entry.first);
@@ -54,21 +54,21 @@
     });
   }
   for (const auto& [id, heard] : moved) {
-    PartWrite& target = part_writes_[*replica_.group_of(id)];
+    ShardWrite& target = shard_writes_[*replica_.group_of(id)];
     target.pending[id] = heard;
     target.due = 1;  // at once: it has waited already
   }
 }
 
-bool Controller::has_strays(const wire::PartRecord& record, std::uint32_t group) const {
+bool Controller::has_strays(const wire::ShardRecord& record, std::uint32_t group) const {
   return std::any_of(record.machines.begin(), record.machines.end(), [&](const auto& entry) {
     const auto now_in = replica_.group_of(entry.first);
     return now_in && *now_in != group;
   });
 }
 
-void Controller::move_strays(std::uint32_t group, const wire::PartRecord& record) {
-  std::map<std::uint32_t, wire::PartRecord> next;
+void Controller::move_strays(std::uint32_t group, const wire::ShardRecord& record) {
+  std::map<std::uint32_t, wire::ShardRecord> next;
   next[group];
   const auto most = static_cast<std::size_t>(settings_.txn_ops);
   for (const auto& [id, heard] : record.machines) {
@@ -76,46 +76,46 @@
     if (!now_in) continue;  // no longer recorded
     const bool carried = next.contains(*now_in) || next.size() < most;
     const std::uint32_t target = carried ? *now_in : group;
-    if (part_writes_[target].busy) return;
+    if (shard_writes_[target].busy) return;
     auto [to, fresh] = next.try_emplace(target);
     if (fresh) {
-      if (const auto* old = replica_.part(settings_.name, target)) to->second = *old;
+      if (const auto* old = replica_.shard(settings_.name, target)) to->second = *old;
     }
     // What our record of that group says already is newer.
     to->second.machines.try_emplace(id, heard);
   }
   Transaction t;
-  t.guards = {view_guard()};
+  t.conditions = {view_unchanged()};
   std::vector<std::uint32_t> groups;
-  for (const auto& [target, part] : next) {
-    const std::string key = wire::part_key(settings_.name, target);
-    t.guards.push_back(store_.guard(key));
-    t.writes.push_back({key, encode(part), std::nullopt});
-    part_writes_[target].busy = true;
+  for (const auto& [target, shard] : next) {
+    const std::string key = wire::shard_key(settings_.name, target);
+    t.conditions.push_back(state_client_.unchanged(key));
+    t.writes.push_back({key, encode(shard), std::nullopt});
+    shard_writes_[target].busy = true;
     groups.push_back(target);
   }
   auto release = [this, groups](Ms) {
-    for (const std::uint32_t target : groups) part_writes_[target].busy = false;
+    for (const std::uint32_t target : groups) shard_writes_[target].busy = false;
   };
-  t.done = [this, release](Ms at, Committed result, const auto&) {
-    result == Committed::yes ? release(at) : store_.settle(at, release);
+  t.done = [this, release](Ms at, TxnResult result, const auto&) {
+    result == TxnResult::committed ? release(at) : state_client_.wait_until_settled(at, release);
   };
-  store_.submit(std::move(t));
+  state_client_.submit(std::move(t));
 }
 
-void Controller::write_parts(Ms now) {
+void Controller::write_shard_records(Ms now) {
   if (!can_write(now)) return;
   regroup_pending();
   if (services_enabled() && now >= strays_at_) {
     strays_at_ = now + k::kSizeEveryMs;
-    for (const auto& [group, record] : replica_.parts_of(settings_.name)) {
-      if (!part_writes_[group].busy && has_strays(*record, group)) move_strays(group, *record);
+    for (const auto& [group, record] : replica_.shards_of(settings_.name)) {
+      if (!shard_writes_[group].busy && has_strays(*record, group)) move_strays(group, *record);
     }
   }
-  for (auto& [group, w] : part_writes_) {
+  for (auto& [group, w] : shard_writes_) {
     if (w.busy || w.pending.empty() || now < w.due) continue;
     // Guards against dropping what we know of machines that have gone to another group.
-    const auto* mine = replica_.part(settings_.name, group);
+    const auto* mine = replica_.shard(settings_.name, group);
     if (mine && has_strays(*mine, group)) continue;
     // Verdicts on machines that went to another part meanwhile are not ours to write.
     std::erase_if(w.pending, [this](const auto& p) { return !machines_.contains(p.first); });
@@ -125,8 +125,8 @@
       w.due = 0;
       continue;
     }
-    wire::PartRecord next;
-    if (const auto* record = replica_.part(settings_.name, group)) {
+    wire::ShardRecord next;
+    if (const auto* record = replica_.shard(settings_.name, group)) {
       // What we knew of machines that are another's now stays until they are forgotten: the new
       // owner may not have written it yet.
       for (const auto& [id, heard] : record->machines)
@@ -145,17 +145,17 @@
     // Guards against a fleet of many groups that keeps placements waiting while it comes up.
     if (!verdict && heard_writes_ >= k::kHeardWritesQueued) continue;
     Transaction t;
-    const std::string key = wire::part_key(settings_.name, group);
-    t.guards = {view_guard(), store_.guard(key)};
+    const std::string key = wire::shard_key(settings_.name, group);
+    t.conditions = {view_unchanged(), state_client_.unchanged(key)};
     t.writes = {{key, encode(next), std::nullopt}};
     t.urgent = urgent;
     if (!verdict) ++heard_writes_;
     w.busy = true;
     w.due = 0;
-    t.done = [this, group, verdict, sent = w.pending](Ms at, Committed result, const auto&) {
+    t.done = [this, group, verdict, sent = w.pending](Ms at, TxnResult result, const auto&) {
       if (!verdict) --heard_writes_;
-      PartWrite& written = part_writes_[group];
-      if (result == Committed::yes) {
+      ShardWrite& written = shard_writes_[group];
+      if (result == TxnResult::committed) {
         written.busy = false;
         std::erase_if(written.pending, [&](const auto& p) {
           auto s = sent.find(p.first);
@@ -164,13 +164,13 @@
         if (!written.pending.empty() && written.due == 0) written.due = at + k::kHeardWithinMs;
         return;
       }
-      store_.settle(at, [this, group](Ms then) {
-        PartWrite& again = part_writes_[group];
+      state_client_.wait_until_settled(at, [this, group](Ms then) {
+        ShardWrite& again = shard_writes_[group];
         again.busy = false;
         again.due = then + k::kRefusedRetryMs;
       });
     };
-    store_.submit(std::move(t));
+    state_client_.submit(std::move(t));
   }
 }
 
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -56,7 +56,7 @@
 }
 
 void Controller::probe_zones(Ms now) {
-  if (!ready() || catching_up(now)) return;
+  if (!ready() || resynchronising(now)) return;
   for (const auto& [zone, known] : links_.zones()) {
     if (!known.probe_due(now)) continue;
     std::vector<std::string> sample;
@@ -85,12 +85,12 @@
 void Controller::keep_reachable(Ms now) {
   if (reachable_busy_ || now < reachable_at_ || !can_write(now)) return;
   // Guards against taking workers that report to their new owner already for a link that is down.
-  if (newest_epoch_ > membership_.epoch()) return;
+  if (newest_epoch_seen_ > cluster_view_.epoch()) return;
   if (replica_.view().unreachable.contains(settings_.name)) {
     take_machines_back(now);
     return;
   }
-  std::vector<std::string> others = membership_.owners();
+  std::vector<std::string> others = cluster_view_.owners();
   std::erase(others, settings_.name);
   const links::Verdict verdict = links_.may_keep_machines(moment(now), others);
   if (verdict.allowed) return;
@@ -144,13 +144,13 @@
     next.unreachable.erase(settings_.name);
   }
   Transaction t;
-  t.guards = {view_guard()};
+  t.conditions = {view_unchanged()};
   t.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}};
   t.urgent = true;
-  t.done = [this](Ms at, Committed, const auto&) {
-    store_.settle(at, [this](Ms) { reachable_busy_ = false; });
+  t.done = [this](Ms at, TxnResult, const auto&) {
+    state_client_.wait_until_settled(at, [this](Ms) { reachable_busy_ = false; });
   };
-  store_.submit(std::move(t));
+  state_client_.submit(std::move(t));
 }
 
 void Controller::log_verdict(std::string_view decision, const links::Verdict& verdict) {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -87,12 +87,12 @@
   EXPECT_NEAR(hits / 4000.0, 1 - std::pow(0.75, constants::kSampledMachines), 0.03);
 }
 
-TEST(Membership, MachinesStayInTheirZoneAndMoveLittle) {
+TEST(ClusterView, MachinesStayInTheirZoneAndMoveLittle) {
   Settings s;
   s.name = "a";
   s.zone = "x";
   s.peers = {{"b", "y", ""}, {"c", "x", ""}};
-  Membership m(s);
+  ClusterView m(s);
   wire::ViewRecord v{1, {{"a", "1"}, {"b", "2"}, {"c", "3"}}, {}, {}};
   m.update(v);
   std::map<std::string, std::string> before;
@@ -120,8 +120,8 @@
       EXPECT_EQ(m.machine_owner(id, zone), before[id]);
     }
   }
-  EXPECT_GT(Membership::token(2, 0), Membership::token(1, 1 << 20));
-  EXPECT_EQ(Membership::epoch_of(Membership::token(9, 55)), 9U);
+  EXPECT_GT(ClusterView::token(2, 0), ClusterView::token(1, 1 << 20));
+  EXPECT_EQ(ClusterView::epoch_of(ClusterView::token(9, 55)), 9U);
 }
 
 // Found by the simulation: gangs in three parts, each with a grant too small for its own, waited
@@ -304,7 +304,7 @@
   EXPECT_EQ(p, (std::vector<std::size_t>{1, 0, 3, 2}));
 }
 
-TEST(Membership, ZonesWithoutAControllerGoToWhoHasTime) {
+TEST(ClusterView, ZonesWithoutAControllerGoToWhoHasTime) {
   // One controller alone in its zone carries a third of the machines by that; the third zone is for
   // the two that share one.
   Settings s;
@@ -312,7 +312,7 @@
   s.zone = "x";
   s.zones = {"x", "y", "z"};
   s.peers = {{"p1", "y", ""}, {"p2", "x", ""}};
-  Membership m(s);
+  ClusterView m(s);
   wire::ViewRecord view;
   view.epoch = 1;
   view.live = {{"p0", "a"}, {"p1", "b"}, {"p2", "c"}};
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -34,7 +34,7 @@
 
   void have_group(int group, int first, int end) {
     wire::FleetRecord fleet;
-    wire::PartRecord part;
+    wire::ShardRecord part;
     for (int i = first; i < end; ++i) {
       const std::string id = "n-" + std::to_string(1000 + i);
       wire::MachineRecord record;
@@ -47,7 +47,7 @@
     }
     const auto number = static_cast<std::uint32_t>(group);
     put(wire::fleet_key(number), encode(fleet));
-    put(wire::part_key(kName, number), encode(part));
+    put(wire::shard_key(kName, number), encode(part));
   }
 
   // An array of one-machine tasks that run for ten minutes.
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -312,17 +312,17 @@
 // While a group is cut, what was heard of its machines stands in records of the former group, and
 // the two changes may be read in either order.
 TEST(MachineGroups, WhatWasHeardFollowsInEitherOrder) {
-  const wire::PartRecord::Heard heard{"n-1:1", 5, wire::MachineStanding::sick, 9};
+  const wire::ShardRecord::Heard heard{"n-1:1", 5, wire::MachineStanding::sick, 9};
   wire::FleetRecord fleet;
   fleet.machines["n-1"] = {"n-1:1", "g", "a", false};
-  wire::PartRecord part;
+  wire::ShardRecord part;
   part.machines["n-1"] = heard;
   const wire::FleetRecord no_machines;
-  const wire::PartRecord nothing_heard;
+  const wire::ShardRecord nothing_heard;
   for (const bool removal_first : {true, false}) {
     Replica replica;
     replica.apply({wire::fleet_key(3), encode(fleet), 1});
-    replica.apply({wire::part_key("puffin-0", 3), encode(part), 2});
+    replica.apply({wire::shard_key("puffin-0", 3), encode(part), 2});
     auto change = [&](const std::string& from, const std::string& to, const std::string& left,
                       const std::string& moved, std::uint64_t version) {
       if (removal_first) replica.apply({from, left, version});
@@ -338,7 +338,7 @@
     change(wire::fleet_key(3), wire::fleet_key(7), encode(no_machines), encode(fleet), 3);
     EXPECT_EQ(replica.group_of("n-1"), 7U);
     check();
-    change(wire::part_key("puffin-0", 3), wire::part_key("puffin-0", 7), encode(nothing_heard),
+    change(wire::shard_key("puffin-0", 3), wire::shard_key("puffin-0", 7), encode(nothing_heard),
            encode(part), 4);
     check();
   }
@@ -357,7 +357,7 @@
   start_anew(former);
   wire::FleetRecord fleet = fleet_of(70).at(3);
   fleet.machines["n-1"] = {"n-1:1", "g", "a", false};
-  wire::PartRecord part;
+  wire::ShardRecord part;
   for (const auto& [id, machine] : fleet.machines)
     part.machines[id] = {machine.address, 4, wire::MachineStanding::ready, 1};
   part.machines["n-100033"].standing = wire::MachineStanding::sick;
@@ -421,7 +421,7 @@
       state_.change(key, state_.items[key].value);
     }
     run(5000);
-    EXPECT_TRUE(state_.items.contains(wire::over_key(job.spec.id))) << cancelled;
+    EXPECT_TRUE(state_.items.contains(wire::final_state_key(job.spec.id))) << cancelled;
     EXPECT_EQ(std::count_if(
                   state_.items.begin(), state_.items.end(),
                   [&](const auto& item) { return item.first.starts_with("range/" + job.spec.id); }),
--- a/tests/sim/fake_state_service.h
+++ b/tests/sim/fake_state_service.h
@@ -77,7 +77,7 @@
   std::uint64_t revision = 0, next_permit = 1, writes = 0;
   bool outage = false;
   bool holds_wait = false;  // none ends in this outage
-  bool ignore_guards = false;
+  bool ignore_conditions = false;
   std::uint64_t changes_kept = 10'000;  // older ones are told to no watch: 410
   int watches_too_old = 0;              // that were answered so
   // Of the changes that the rate allows now, and when that was counted.
@@ -187,7 +187,7 @@
     for (const auto& g : doc["guards"].GetArray()) {
       auto it = items.find(g["k"].GetString());
       const std::uint64_t version = it == items.end() ? 0 : it->second.version;
-      if (version != g["stamp"].GetUint64() && !ignore_guards)
+      if (version != g["stamp"].GetUint64() && !ignore_conditions)
         failed += (failed.empty() ? "\"" : ",\"") + std::string(g["k"].GetString()) + "\"";
     }
     if (!failed.empty()) {
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -160,13 +160,13 @@
 }
 
 void World::note_result(const std::string& key, const std::optional<std::string>& value) {
-  if (!key.starts_with(wire::kOverPrefix)) return;
-  const std::string id = key.substr(wire::kOverPrefix.size());
+  if (!key.starts_with(wire::kFinalStatePrefix)) return;
+  const std::string id = key.substr(wire::kFinalStatePrefix.size());
   if (!value) {
     history_.add(now_, history::ResultRemoved{id});
     return;
   }
-  wire::OverRecord record;
+  wire::FinalStateRecord record;
   if (decode(*value, record)) history_.add(now_, history::ResultRecorded{id, record.done});
 }
 
--- a/tests/sim/machines.cpp
+++ b/tests/sim/machines.cpp
@@ -162,7 +162,7 @@
 void World::hold_report(const std::string& id, std::uint64_t token, const std::string& body,
                         Ms until) {
   at(now_ + 20, [this, id, token, body, until] {
-    if (newest_epoch_ <= Membership::epoch_of(token)) {
+    if (newest_epoch_ <= ClusterView::epoch_of(token)) {
       if (now_ < until) hold_report(id, token, body, until);
       return;
     }
@@ -177,7 +177,7 @@
 }
 
 void World::worker_commands(Worker& w, const wire::Json& orders) {
-  newest_epoch_ = std::max(newest_epoch_, Membership::epoch_of(w.token));
+  newest_epoch_ = std::max(newest_epoch_, ClusterView::epoch_of(w.token));
   for (const auto& o : orders.GetArray()) {
     wire::TaskId task;
     if (!wire::parse_task_name(o["load"].GetString(), task)) continue;
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -20,7 +20,7 @@
       random_(options.seed),
       state_(std::make_unique<StateStandIn>()),
       cloud_(std::make_unique<Cloud>()) {
-  state_->ignore_guards = options.state_ignores_guards;
+  state_->ignore_conditions = options.state_ignores_conditions;
   state_->on_change = [this](const std::string& key, const std::optional<std::string>& value) {
     note_result(key, value);
   };
--- a/tests/sim/simulated_cluster.h
+++ b/tests/sim/simulated_cluster.h
@@ -133,7 +133,7 @@
   StateLimits limits_after{8, 2 * 1024, 28};
   std::string trace;  // prints what mentions this (a machine, a job) to standard error
   // Taken out:
-  bool state_ignores_guards = false;
+  bool state_ignores_conditions = false;
   bool workers_ignore_tokens = false;
   bool workers_ignore_sessions = false;
   double report_s = 1, lease_s = 8;   // of workers
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -356,7 +356,7 @@
 
 TEST(Referee, SeesUnguardedWrites) {
   Options o;
-  o.state_ignores_guards = true;
+  o.state_ignores_conditions = true;
   EXPECT_GT(broken_runs(o, ""), 0);
 }
 
--- a/tests/support/component_test.h
+++ b/tests/support/component_test.h
@@ -48,7 +48,7 @@
 
   Component()
       : settings_(component_settings()),
-        store_(
+        state_client_(
             settings_,
             [this](Target target, std::string address, std::string method, std::string path,
                    std::string body, Ms timeout, OutcomeHandler done) {
@@ -58,13 +58,13 @@
             },
             [this](Ms, const wire::StoredItem& item) { apply(item); },
             [](LogLevel, const std::string&) {}),
-        membership_(settings_),
+        cluster_view_(settings_),
         capacity_(capacity_of(settings_)),
         context_{settings_,
                  capacity_,
                  replica_,
-                 store_,
-                 membership_,
+                 state_client_,
+                 cluster_view_,
                  incarnation_,
                  [this](Target target, std::string address, std::string method, std::string path,
                         std::string body, Ms timeout, OutcomeHandler done) {
@@ -73,7 +73,9 @@
                         std::move(done));
                  },
                  [](LogLevel, const std::string&) {},
-                 [this](Ms now) { return writable_ && store_.loaded() && store_.answering(now); }} {
+                 [this](Ms now) {
+                   return writable_ && state_client_.loaded() && state_client_.answering(now);
+                 }} {
     wire::ViewRecord view;
     view.epoch = 1;
     view.live[kName] = incarnation_;
@@ -89,12 +91,12 @@
 
   // Time passes; `tick` is called at each step.
   void run(Ms lasts, const std::function<void(Ms)>& tick) {
-    if (!started_) store_.start(now_);
+    if (!started_) state_client_.start(now_);
     started_ = true;
     for (const Ms end = now_ + lasts; now_ < end; now_ += kStep) {
-      store_.tick(now_);
+      state_client_.tick(now_);
       state_.serve_watchers(now_, [](std::size_t) { return true; });
-      if (store_.loaded()) tick(now_);
+      if (state_client_.loaded()) tick(now_);
     }
   }
 
@@ -104,8 +106,8 @@
   std::string incarnation_ = "0000000000000007";
   sim::StateStandIn state_;
   Replica replica_;
-  Store store_;
-  Membership membership_;
+  StateClient state_client_;
+  ClusterView cluster_view_;
   Capacity capacity_;
   Context context_;
   std::vector<PendingCall> calls_;
@@ -124,7 +126,7 @@
 
   void apply(const wire::StoredItem& item) {
     EXPECT_TRUE(replica_.apply(item)) << item.key;
-    if (item.key == wire::kViewKey) membership_.update(replica_.view());
+    if (item.key == wire::kViewKey) cluster_view_.update(replica_.view());
   }
 
   bool started_ = false;
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -100,15 +100,15 @@
   const auto first = read_fixture<ViewRecord>("view_first.json");
   EXPECT_EQ(first.epoch, 1U);
   EXPECT_EQ(first.live, (std::map<std::string, std::string>{{"puffin-0", "00000000000000a1"}}));
-  EXPECT_TRUE(first.departed.empty());
+  EXPECT_TRUE(first.departing.empty());
   EXPECT_TRUE(first.unreachable.empty());
   const auto full = read_fixture<ViewRecord>("view_full.json");
   EXPECT_EQ(full.epoch, 417U);
   EXPECT_EQ(full.live, (std::map<std::string, std::string>{{"puffin-0", "00000000000000a1"},
                                                            {"puffin-1", "7f3a9c0000000001"},
                                                            {"puffin-2", "ffffffffffffffff"}}));
-  EXPECT_EQ(full.departed, (std::map<std::string, std::string>{{"puffin-3", "0123456789abcdef"},
-                                                               {"puffin-4", "fedcba9876543210"}}));
+  EXPECT_EQ(full.departing, (std::map<std::string, std::string>{{"puffin-3", "0123456789abcdef"},
+                                                                {"puffin-4", "fedcba9876543210"}}));
   EXPECT_EQ(full.unreachable, (std::set<std::string>{"puffin-1", "puffin-2"}));
 }
 
@@ -329,23 +329,23 @@
 }
 
 TEST(UpgradeFormat, Part) {
-  const auto part = read_fixture<PartRecord>("part.json");
+  const auto part = read_fixture<ShardRecord>("part.json");
   ASSERT_EQ(part.machines.size(), 5U);
   for (std::uint32_t i = 0; i < 5; ++i) {
-    const PartRecord::Heard expected{machine_address(i), i == 4 ? kLargest : i,
-                                     static_cast<MachineStanding>(i), 400 + i};
+    const ShardRecord::Heard expected{machine_address(i), i == 4 ? kLargest : i,
+                                      static_cast<MachineStanding>(i), 400 + i};
     EXPECT_EQ(part.machines.at(machine_name(i)), expected) << i;
   }
-  const auto full = read_fixture<PartRecord>("part_70_machines.json");
+  const auto full = read_fixture<ShardRecord>("part_70_machines.json");
   ASSERT_EQ(full.machines.size(), 70U);
   for (std::uint32_t i = 0; i < 70; ++i) {
-    const PartRecord::Heard expected{machine_address(i), 1 + i % 4,
-                                     static_cast<MachineStanding>(i % 5), 410 + i % 8};
+    const ShardRecord::Heard expected{machine_address(i), 1 + i % 4,
+                                      static_cast<MachineStanding>(i % 5), 410 + i % 8};
     EXPECT_EQ(full.machines.at(machine_name(1000 + i)), expected) << i;
   }
 }
 
-TEST(UpgradeFormat, Claim) { EXPECT_EQ(claim_body("puffin-2"), fixture("claim.json")); }
+TEST(UpgradeFormat, ShardGuard) { EXPECT_EQ(shard_guard_body("puffin-2"), fixture("claim.json")); }
 
 TEST(UpgradeFormat, Hire) {
   const auto hire = read_fixture<RentRequest>("hire.json");
@@ -389,10 +389,10 @@
 }
 
 TEST(UpgradeFormat, Over) {
-  const auto done = read_fixture<OverRecord>("over_done.json");
+  const auto done = read_fixture<FinalStateRecord>("over_done.json");
   EXPECT_TRUE(done.done);
   EXPECT_EQ(done.tasks, 1000U);
-  const auto cancelled = read_fixture<OverRecord>("over_cancelled.json");
+  const auto cancelled = read_fixture<FinalStateRecord>("over_cancelled.json");
   EXPECT_FALSE(cancelled.done);
   EXPECT_EQ(cancelled.tasks, 16U);
 }
@@ -489,10 +489,10 @@
   expect_unknown_field_ignored<JobRecord>("job_gang.json");
   expect_unknown_field_ignored<RangeRecord>("range_placed.json");
   expect_unknown_field_ignored<FleetRecord>("fleet.json");
-  expect_unknown_field_ignored<PartRecord>("part.json");
+  expect_unknown_field_ignored<ShardRecord>("part.json");
   expect_unknown_field_ignored<RentRequest>("hire.json");
   expect_unknown_field_ignored<QuotaRecord>("quota.json");
-  expect_unknown_field_ignored<OverRecord>("over_done.json");
+  expect_unknown_field_ignored<FinalStateRecord>("over_done.json");
   for (const std::string& extended : with_unknown_field(fixture("catalog.json"))) {
     std::vector<MachineType> types;
     ASSERT_TRUE(parse_catalog(extended, types));
@@ -564,7 +564,7 @@
   }
   for (const auto& [group, fleet] : replica.fleet()) {
     out += "\nfleet " + std::to_string(group) + encode(fleet);
-    if (const auto* part = replica.part("puffin-0", group)) out += " part " + encode(*part);
+    if (const auto* part = replica.shard("puffin-0", group)) out += " part " + encode(*part);
   }
   wire::FleetRecord merged;
   merged.machines = replica.machines();
@@ -580,7 +580,7 @@
     out += "\nusage " + team + " " + std::to_string(usage.cpus) + " " + std::to_string(usage.gpus);
   }
   out += "\ncatalog " + catalog_body(replica.catalog());
-  if (const auto* over = replica.over("req-000001")) out += "\nover " + encode(*over);
+  if (const auto* over = replica.final_state("req-000001")) out += "\nover " + encode(*over);
   return out;
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -149,17 +149,17 @@
   EXPECT_EQ(fleet.machines, fleet2.machines);
   EXPECT_FALSE(decode(R"({"m":{"n-1":["","t","z",1,5]}})", fleet2));
   EXPECT_FALSE(decode(R"({"m":{"n-1":["","t"]}})", fleet2));
-  PartRecord part, part2;
+  ShardRecord part, part2;
   part.machines["n-1"] = {"1.2.3.4:5", 9, MachineStanding::lost, 4};
   ASSERT_TRUE(decode(encode(part), part2));
   EXPECT_EQ(part.machines, part2.machines);
   EXPECT_FALSE(decode(R"({"m":{"n-1":["",-1,0,1]}})", part2));
   std::string name;
   std::uint32_t group = 0;
-  EXPECT_TRUE(parse_part_key(part_key("puffin-0", 7), name, group));
+  EXPECT_TRUE(parse_shard_key(shard_key("puffin-0", 7), name, group));
   EXPECT_EQ(name, "puffin-0");
   EXPECT_EQ(group, 7U);
-  EXPECT_FALSE(parse_part_key("part/7", name, group));
+  EXPECT_FALSE(parse_shard_key("part/7", name, group));
   EXPECT_FALSE(parse_fleet_key("fleet/x", group));
 }
 
