--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -168,7 +168,7 @@
   });
   each(s, "objectives", [&](const toml::table& t) { read_objective(t, out); });
   const auto& workers = table(s, "workers");
-  c.report_s = number(workers, "report_s", "settings.workers.", 0.01);
+  c.heartbeat_interval_s = number(workers, "report_s", "settings.workers.", 0.01);
   c.lease_s = number(workers, "lease_s", "settings.workers.", 0.1);
   c.gang_wait_s = number(workers, "gang_wait_s", "settings.workers.", 0);
   c.gang_peer_s = number(workers, "gang_peer_s", "settings.workers.", 0);
--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -87,9 +87,9 @@
 constexpr std::int64_t kNoRoomPauseMs = 1500;
 // Report intervals without a report after which a machine gets nothing new; reports come at up to
 // 1.25 intervals, so this allows one to be lost.
-constexpr double kSilentIntervals = 2.6;
+constexpr double kUnresponsiveIntervals = 2.6;
 // Report intervals without a report after which it is asked directly; just above the longest.
-constexpr double kQuietIntervals = 1.4;
+constexpr double kOverdueIntervals = 1.4;
 // Tasks of one range record; the bitmap then takes 2 KiB of the value as hexadecimal digits.
 constexpr std::uint32_t kTasksPerRange = 8192;
 // Share of a range record's value that its bitmap of finished tasks may take: a job of 100,000
@@ -208,18 +208,18 @@
 constexpr std::int64_t kServiceSettledMs = 5000;
 // Milliseconds for which a machine that has a replica's result is avoided for its job: the worker
 // keeps the result for good, and would end each further attempt at once.
-constexpr std::int64_t kDoneMemoryMs = 3'600'000;
+constexpr std::int64_t kKeptResultMemoryMs = 3'600'000;
 // Seconds before its machine is taken at which a replica is stopped to be moved: a halt and the
 // proof of it take about one, and until then it serves.
 constexpr double kServiceMoveS = 3.0;
 // Milliseconds without a word from a machine with replicas after which it is asked, if its reports
 // come less often: two messages can then go unanswered before its next report is overdue.
-constexpr std::int64_t kServiceQuietMs = 3000;
+constexpr std::int64_t kServiceOverdueMs = 3000;
 
 // ---- workers ----
 // Milliseconds until a direct command counts as unanswered. Short, since the token is then raised
 // and the command sent again.
-constexpr std::int64_t kOrdersTimeoutMs = 1500;
+constexpr std::int64_t kCommandTimeoutMs = 1500;
 // Commands in one message to a worker; keeps any body far below 64 KiB.
 constexpr std::size_t kCommandsPerMessage = 200;
 // Direct messages that a machine without reports leaves unanswered before it is returned; one is
@@ -227,44 +227,44 @@
 constexpr int kProbesBeforeReturn = 2;
 // Estimated seconds of high-priority tasks that are begun again rather than waited for when their
 // zone is cut off; cuts last about a minute.
-constexpr double kHurryS = 30.0;
+constexpr double kRestartElsewhereS = 30.0;
 // Milliseconds that a worker waits for the answer to a report before it tries another controller
 // (PROTOCOL): so long its reports may be with one that does not answer.
-constexpr std::int64_t kReportAnswerMs = 4000;
+constexpr std::int64_t kHeartbeatReplyMs = 4000;
 // Milliseconds between direct messages to a machine that does not answer them.
-constexpr std::int64_t kOrdersRetryMs = 1000;
+constexpr std::int64_t kCommandRetryMs = 1000;
 
 // Milliseconds that two unanswered messages take, one after the other.
-constexpr std::int64_t kAskedTwiceMs = 2 * kOrdersTimeoutMs + kOrdersRetryMs;
+constexpr std::int64_t kTwoUnansweredCommandsMs = 2 * kCommandTimeoutMs + kCommandRetryMs;
 // Times that this interval doubles while a machine goes on not answering.
-constexpr int kOrdersRetryDoubles = 3;
+constexpr int kCommandRetryDoublings = 3;
 // Milliseconds between looks whether a machine needs a direct message, if nothing calls for one.
-constexpr std::int64_t kOrdersCheckEveryMs = 1000;
+constexpr std::int64_t kCommandCheckMs = 1000;
 // Milliseconds between looks at silent machines; a tenth of the shortest report interval known.
-constexpr std::int64_t kLookEveryMs = 100;
+constexpr std::int64_t kMachineCheckMs = 100;
 // Machines looked at in a second at most, so that the looks of a large part stay below a hundredth
 // of a core: each takes about a microsecond. A part of 4,000 is then looked at every 0.8 s.
-constexpr std::int64_t kLooksPerS = 5000;
+constexpr std::int64_t kMachineChecksPerS = 5000;
 // Share of a worker lease without a report after which a machine gets nothing new though it answers
 // direct messages: its lease is about to end. After a crash of its controller it finds the next in
 // 5 s as a rule, well within.
-constexpr double kMuteLeaseShare = 0.6;
+constexpr double kHeartbeatsMissingLeaseShare = 0.6;
 // Worker leases for which a machine may be out of reach, though it reports, before it is returned.
-constexpr double kUnreachedLeases = 2.0;
+constexpr double kUnreachableLeases = 2.0;
 // Milliseconds within which it is recorded that a machine was heard: machines come in waves, and
 // one write then carries many.
-constexpr std::int64_t kHeardWithinMs = 1500;
+constexpr std::int64_t kContactWriteDelayMs = 1500;
 // Writes that only say which machines were heard may wait at once: placements go before them, and a
 // fleet of thousands has more such records than a second has writes.
-constexpr std::size_t kHeardWritesQueued = 4;
+constexpr std::size_t kContactWritesQueued = 4;
 
 // ---- machines ----
 // Jobs whose tasks must have failed on a machine before it counts as sick.
-constexpr std::size_t kSickJobs = 2;
+constexpr std::size_t kQuarantineJobs = 2;
 // Machines on which tasks of a job must have failed before the job counts as faulty itself.
 constexpr std::size_t kFaultyJobMachines = 2;
 // Milliseconds after which errors are forgotten.
-constexpr std::int64_t kErrorMemoryMs = 180'000;
+constexpr std::int64_t kFailureMemoryMs = 180'000;
 // Replicas of one range that find no machine in a pass before the rest of it waits for the next:
 // one may be kept from the only machine with room by its own result there, while another is not.
 constexpr std::uint32_t kReplicasWithoutMachine = 4;
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -43,7 +43,7 @@
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   int controllers = 1;
-  double report_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
+  double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
   // Limits of the state service. Where the settings announce lower ones for later, these are the
   // lower ones, since the change comes without notice.
   double state_rps = 0, state_write_rps = 0, value_kb = 0;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -25,7 +25,7 @@
   links::MonitorSettings out;
   out.name = settings.name;
   for (const auto& peer : settings.peers) out.peers.push_back(peer.name);
-  out.report_interval = to_ms(settings.report_s);
+  out.heartbeat_interval = to_ms(settings.heartbeat_interval_s);
   out.hint_interval = k::kHintEveryMs;
   out.relays = settings.relays;
   return out;
@@ -71,7 +71,7 @@
             out_.peers.push_back({peer, std::move(bytes)});
           },
           [this](Ms now, std::uint64_t request, const std::string& body) {
-            on_report(now, request, body);
+            on_heartbeat(now, request, body);
           }),
       format_switch_(settings_) {}
 
@@ -89,7 +89,7 @@
   relay_.tick(now);
   update_membership(now);
   after_changes(now);
-  watch_machines(now);
+  check_machines(now);
   probe_zones(now);
   write_shard_records(now);
   keep_quotas(now);
@@ -110,8 +110,8 @@
   const std::string path = r.path.substr(0, r.path.find('?'));
   const bool get = r.method == "GET", post = r.method == "POST";
   auto method_error = [&] { answer(request, 405, wire::error_body("method not allowed")); };
-  if (path == wire::kReportPath) {
-    post ? on_report(now, request, r.body) : method_error();
+  if (path == wire::kHeartbeatPath) {
+    post ? on_heartbeat(now, request, r.body) : method_error();
   } else if (path == wire::kHealthPath) {
     get ? on_health(now, request) : method_error();
   } else if (path == wire::kJobsPath) {
@@ -158,7 +158,7 @@
 
 void Controller::answer(std::uint64_t request, int status, std::string body, int retry_after_s) {
   if (Relay::is_relayed(request)) {
-    relay_.answer_report(request, status, body);
+    relay_.reply_to_heartbeat(request, status, body);
     return;
   }
   log_reply(request, status);
@@ -240,13 +240,13 @@
     const auto* record = replica_.machine(id);
     if (it == machines_.end() && record && ready() &&
         cluster_view_.machine_owner(id, record->zone) == settings_.name)
-      it = own(now, id);
+      it = add_machine(now, id);
     if (it == machines_.end()) continue;
     Machine& m = it->second;
     m.candidate_known = false;
-    refresh(m);
+    refresh_from_records(m);
     reconcile(now, m);
-    send_orders(now, m);
+    send_commands(now, m);
   }
   bool cancelling = false;
   for (const auto& id : replica_.take_changed_jobs()) {
@@ -259,23 +259,23 @@
 }
 
 // A machine that is recorded and of our part.
-std::map<std::string, Controller::Machine>::iterator Controller::own(Ms now,
-                                                                     const std::string& id) {
+std::map<std::string, Controller::Machine>::iterator Controller::add_machine(
+    Ms now, const std::string& id) {
   auto it = machines_.try_emplace(id).first;
   Machine& m = it->second;
   m.id = id;
-  m.owner_since = cluster_view_.epoch();
-  m.heard_at = m.reported_at = now;  // no verdict before it had time to reach us
-  refresh(m);
+  m.owned_since_epoch = cluster_view_.epoch();
+  m.last_contact = m.last_heartbeat = now;  // no verdict before it had time to reach us
+  refresh_from_records(m);
   return it;
 }
 
 // What we held for proven of a machine's tasks and have not recorded. Guards against a controller
 // back from a cut that frees what its count of a lease said, while the next owner kept that lease:
 // the task ran on, and was started elsewhere. The owner of now proves it again.
-void Controller::forget_proofs(const std::string& machine) {
+void Controller::discard_unrecorded_releases(const std::string& machine) {
   for (const TaskRef& ref : replica_.placed_on(machine)) {
-    if (auto w = work_.find(ref.range); w != work_.end()) w->second.freed.erase(ref.index);
+    if (auto w = work_.find(ref.range); w != work_.end()) w->second.released.erase(ref.index);
   }
 }
 
@@ -304,15 +304,15 @@
   for (auto it = machines_.begin(); it != machines_.end();) {
     const bool ours =
         member && cluster_view_.machine_owner(it->first, it->second.zone) == settings_.name;
-    if (!ours || skipped) forget_proofs(it->first);
+    if (!ours || skipped) discard_unrecorded_releases(it->first);
     if (!ours) {
       it = machines_.erase(it);
       continue;
     }
     if (skipped) {  // may have been another's in between
       it->second.candidate_known = false;
-      it->second.owner_since = view.epoch;
-      it->second.touched = false;
+      it->second.owned_since_epoch = view.epoch;
+      it->second.token_confirmed = false;
       it->second.lease_known = false;
     }
     ++it;
@@ -320,7 +320,7 @@
   if (member) {
     for (const auto& [id, record] : replica_.machines()) {
       if (!machines_.contains(id) && cluster_view_.machine_owner(id, record.zone) == settings_.name)
-        own(now, id);
+        add_machine(now, id);
     }
   }
   take_census(now);  // of the part that is ours now
@@ -337,7 +337,7 @@
   membership_manager_.tick(now);
   if (!ready()) return;
   switch_format(now);
-  keep_reachable(now);
+  update_reachability(now);
 }
 
 }  // namespace scheduler
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -68,58 +68,62 @@
 
  private:
   // A task's attempt on a machine as last reported.
-  struct Seen {
+  struct ReportedTask {
     std::uint64_t attempt = 0;
     wire::TaskState state = wire::TaskState::fetching;
     wire::ExitCause cause = wire::ExitCause::none;
-    bool saved = false;
+    bool checkpointed = false;
     Ms running_since = 0;
   };
   struct Machine {
     std::string id, address, type, zone;
     bool spot = false;
-    std::uint64_t owner_since = 0;  // epoch
-    bool touched = false;           // has shown a token of ours: no other answer counts for it
+    std::uint64_t owned_since_epoch = 0;  // epoch
+    bool token_confirmed = false;  // has shown a token of ours: no other answer counts for it
     std::uint64_t fence = 0;
-    std::uint64_t token_seen = 0;
+    std::uint64_t highest_token_seen = 0;
     std::uint64_t start_token = 0;  // highest token with which a start was sent
-    std::uint64_t session = 0, sequence = 0;
-    std::pair<std::uint64_t, std::uint64_t> last_report;  // counters of the newest report
-    Ms heard_at = 0;                                      // by a report or a direct answer
-    Ms reported_at = 0;                                   // by a report; only these keep its lease
-    Ms lease_from = 0;  // no answer that counts was given after this
+    std::uint64_t incarnation = 0, sequence = 0;
+    std::pair<std::uint64_t, std::uint64_t>
+        last_heartbeat_counters;  // counters of the newest report
+    Ms last_contact = 0;          // by a report or a direct answer
+    Ms last_heartbeat = 0;        // by a report; only these keep its lease
+    Ms lease_granted_at = 0;      // no answer that counts was given after this
     bool lease_known = false;
-    bool notice = false;
-    Ms notice_ends = 0;
-    std::map<wire::TaskId, Seen> tasks;
-    std::map<wire::TaskId, std::pair<std::uint64_t, double>> halts;  // attempt, grace
-    std::map<wire::TaskId, std::uint64_t> unseen_starts;             // attempt -> its last token
-    std::map<wire::TaskId, Ms> blocked_since;  // starts that find no room although none is made
+    bool preemption_notice = false;
+    Ms preemption_at = 0;
+    std::map<wire::TaskId, ReportedTask> tasks;
+    std::map<wire::TaskId, std::pair<std::uint64_t, double>> stop_requests;  // attempt, grace
+    std::map<wire::TaskId, std::uint64_t> unconfirmed_starts;  // attempt -> its last token
+    std::map<wire::TaskId, Ms>
+        start_blocked_since;  // starts that find no room although none is made
     std::vector<std::string> images;
-    Ms no_room_until = 0;
+    Ms full_until = 0;
     // From our records: whether the machine is recorded, and what is to become of it, including a
     // verdict of ours that is still to be written.
     bool recorded = false;
-    wire::MachineStanding standing = wire::MachineStanding::ready;
+    wire::MachineState state = wire::MachineState::ready;
     // Reports show that a machine is there, not that anything reaches it. Only what it received
     // does: an answer to a direct message, a task that we started, a token that only we had given.
-    Ms unreached_since = 0;         // 0: no sign that it is out of reach
-    std::uint64_t reach_token = 0;  // a token that it can only show if something reached it since
-    bool report_answered = false;   // a report of it, since it is of our part
-    bool doubted = false;           // reports look old: late copies, or it has restarted
+    Ms unreachable_since = 0;  // 0: no sign that it is out of reach
+    std::uint64_t reachability_token =
+        0;                            // a token that it can only show if something reached it since
+    bool heartbeat_answered = false;  // a report of it, since it is of our part
+    bool suspect = false;             // reports look old: late copies, or it has restarted
     // What we placed on it as seen by placement; rebuilt when something of it changes.
     mutable Candidate candidate;
     mutable bool candidate_known = false;
-    bool orders_in_flight = false;
-    bool send_again = false;
-    Ms orders_after = 0;
-    Ms send_check_at = 0;  // when to look whether it needs a direct message
-    int orders_failed = 0;
-    bool relayed_unanswered = false;  // nor did it answer what a peer passed on
-    Ms direct_failed_at = 0;  // of the last command that was not passed on; 0: it was answered
+    bool commands_in_flight = false;
+    bool resend_commands = false;
+    Ms next_command_at = 0;
+    Ms next_command_check = 0;  // when to look whether it needs a direct message
+    int unanswered_commands = 0;
+    bool relayed_command_unanswered = false;  // nor did it answer what a peer passed on
+    Ms direct_command_failed_at =
+        0;  // of the last command that was not passed on; 0: it was answered
     double reserved_cpus = 0, reserved_gpus = 0, reserved_memory = 0;
   };
-  struct Freed {
+  struct Released {
     std::uint64_t attempt = 0;
     bool done = false;
   };
@@ -127,11 +131,11 @@
     bool busy = false;
     Ms retry_at = 0;
     Ms first_seen = 0;
-    std::map<std::uint32_t, Freed> freed;              // proven, to be recorded
-    Ms freed_since = 0;                                // of the first of them
+    std::map<std::uint32_t, Released> released;        // proven, to be recorded
+    Ms released_since = 0;                             // of the first of them
     std::map<std::uint32_t, wire::Placement> placing;  // being written
     std::uint32_t cursor = 0;                          // no unstarted task before it
-    bool want_stop = false;                            // gang to be stopped in good order
+    bool stop_requested = false;                       // gang to be stopped in good order
     std::string_view waits_for;                        // of a gang; for the log
     // A write of `placing` got no answer and may still be applied; until the record is written
     // again, which voids it, the placements count as made.
@@ -177,8 +181,8 @@
   void on_item(Ms now, const wire::StoredItem& item);
   void after_changes(Ms now);
   void on_view(Ms now);
-  void forget_proofs(const std::string& machine);
-  std::map<std::string, Machine>::iterator own(Ms now, const std::string& id);
+  void discard_unrecorded_releases(const std::string& machine);
+  std::map<std::string, Machine>::iterator add_machine(Ms now, const std::string& id);
   void update_membership(Ms now);
   wire::Compare view_unchanged() const { return context_.view_unchanged(); }
   bool can_write(Ms now) const {
@@ -203,23 +207,23 @@
   struct ReplicaChoice {
     const wire::JobSpec* spec = nullptr;
     wire::TaskId replica;
-    std::set<std::string> taken;                                 // machines that have a replica
-    std::optional<std::set<std::string>> zones;                  // none: any
-    std::optional<Ms> avoid_errors = constants::kErrorMemoryMs;  // of the job, for so long
-    bool without_replica = false;                                // not where the job has a replica
-    bool heard_lately = false;                                   // only where a word came lately
+    std::set<std::string> taken;                                     // machines that have a replica
+    std::optional<std::set<std::string>> zones;                      // none: any
+    std::optional<Ms> avoid_failures = constants::kFailureMemoryMs;  // of the job, for so long
+    bool without_replica = false;     // not where the job has a replica
+    bool contacted_recently = false;  // only where a word came lately
   };
   int choose_for_replica(Pass& pass, const Job& job, std::uint32_t task);
   bool other_machine_left(const Pass& pass, const ReplicaChoice& choice) const;
   // One of our own machines, or -1.
   int choose_own(Pass& pass, ReplicaChoice choice);
   std::vector<int> replica_candidates(const Pass& pass, const ReplicaChoice& choice,
-                                      bool own) const;
-  bool heard_lately(Ms now, const std::string& machine) const;
+                                      bool add_machine) const;
+  bool contacted_recently(Ms now, const std::string& machine) const;
   // Machines that have a replica of the job, or are to get one.
   std::set<std::string> machines_of(const Job& job) const;
   // What a replica's end says about its job.
-  void on_replica_end(Ms now, const Machine& m, const TaskRef& ref, const Seen& seen);
+  void on_replica_end(Ms now, const Machine& m, const TaskRef& ref, const ReportedTask& seen);
   // Stops a replica whose machine is about to go, so that it starts elsewhere.
   static void move_replica(Machine& m, const wire::TaskId& task, std::uint64_t attempt);
 
@@ -265,61 +269,61 @@
   void log_answer(const std::string& job, wire::JobState state);
 
   // ---- reports.cpp ----
-  void on_report(Ms now, std::uint64_t request, const std::string& body);
+  void on_heartbeat(Ms now, std::uint64_t request, const std::string& body);
   // False when the report says nothing new.
-  bool take_report(Ms now, Machine& m, const wire::MachineReport& report);
-  void restarted(Ms now, Machine& m, const wire::MachineReport& report);
-  void out_of_reach(Ms now, Machine& m);
+  bool apply_heartbeat(Ms now, Machine& m, const wire::Heartbeat& heartbeat);
+  void on_agent_restart(Ms now, Machine& m, const wire::Heartbeat& heartbeat);
+  void mark_unreachable(Ms now, Machine& m);
   void reconcile(Ms now, Machine& m);
-  void free_task(const TaskRef& ref, std::uint64_t attempt, bool done);
-  void on_exit(Ms now, Machine& m, const TaskRef& ref, const Seen& seen);
+  void release_task(const TaskRef& ref, std::uint64_t attempt, bool done);
+  void on_exit(Ms now, Machine& m, const TaskRef& ref, const ReportedTask& seen);
   std::uint64_t token(const Machine& m) const {
     return ClusterView::token(cluster_view_.epoch(), m.fence);
   }
 
   // ---- commands.cpp ----
-  std::vector<wire::Command> commands(Ms now, Machine& m);
+  std::vector<wire::Command> commands_for(Ms now, Machine& m);
   void abandon_blocked_start(Ms now, Machine& m, const wire::TaskId& task, std::uint64_t attempt);
-  bool direct_needed(const Machine& m, const std::vector<wire::Command>& commands) const;
+  bool needs_direct_command(const Machine& m, const std::vector<wire::Command>& commands_for) const;
   void log_command(const Machine& m, const wire::Command& command, const wire::Placement* placement,
                    std::string_view reason);
   // The task is not to be on any machine: cancelled, being stopped, or of a gang that failed.
-  bool unwanted(const Machine& m, const TaskRef& ref, const wire::Placement& p) const;
-  bool absence_open(const Machine& m) const;
-  void send_orders(Ms now, Machine& m, bool probe = false);
+  bool must_not_run(const Machine& m, const TaskRef& ref, const wire::Placement& p) const;
+  bool has_unproven_absence(const Machine& m) const;
+  void send_commands(Ms now, Machine& m, bool probe = false);
   // Session and sequence of a machine, by which messages are ordered.
   using Counters = std::pair<std::uint64_t, std::uint64_t>;
   // What is known of a message when it is sent.
-  struct SentOrders {
+  struct SentCommands {
     std::string machine;
-    std::uint64_t owner_since = 0;  // epoch
-    Counters counters;              // of the machine
-    bool doubtful = false;          // it left a message unanswered, or is silent
-    bool relayed = false;           // through a peer
+    std::uint64_t owned_since_epoch = 0;  // epoch
+    Counters counters;                    // of the machine
+    bool suspect = false;                 // it left a message unanswered, or is silent
+    bool relayed = false;                 // through a peer
     std::uint64_t pauses = 0;
   };
-  void on_orders(Ms now, const SentOrders& sent, const Outcome& outcome);
-  void on_unanswered_orders(Ms now, Machine& m, const SentOrders& sent);
+  void on_command_result(Ms now, const SentCommands& sent, const Outcome& outcome);
+  void on_commands_unanswered(Ms now, Machine& m, const SentCommands& sent);
 
   // ---- watch.cpp ----
-  void watch_machines(Ms now);
-  void empty_machine(Machine& m);
-  void heed_notice(Ms now, Machine& m);
+  void check_machines(Ms now);
+  void drain(Machine& m);
+  void drain_before_preemption(Ms now, Machine& m);
   void learn_lease(Ms now, Machine& m) const;
-  bool lease_over(Ms now, const Machine& m) const;
+  bool lease_expired(Ms now, const Machine& m) const;
   bool usable(Ms now, const Machine& m) const;
-  bool mute(Ms now, const Machine& m) const;
+  bool heartbeats_missing(Ms now, const Machine& m) const;
   bool peers_acknowledged_epoch(std::uint64_t epoch) const;
-  Ms silent_after() const;
-  Ms quiet_after() const;
+  Ms unresponsive_after() const;
+  Ms overdue_after() const;
   // How long a machine may be quiet before it is asked directly.
-  Ms ask_after(const Machine& m) const;
+  Ms probe_after(const Machine& m) const;
   // The machine is asked before its next report is overdue.
-  bool asked_early(const Machine& m) const { return ask_after(m) < quiet_after(); }
+  bool probed_early(const Machine& m) const { return probe_after(m) < overdue_after(); }
   // It has been asked and has not answered, for so long that it is most likely dead. `early`: of
   // the machines of its zone that are asked early.
-  bool presumed_dead(Ms now, const Machine& m, const links::HeardCount& early) const;
-  bool hurries(const Machine& m) const;
+  bool presumed_dead(Ms now, const Machine& m, const links::ContactCount& early) const;
+  bool restart_elsewhere_first(const Machine& m) const;
 
   // ---- worker_links.cpp ----
   links::Moment moment(Ms now) const { return {now, now + wall_offset_}; }
@@ -332,27 +336,27 @@
                      const std::function<void(Ms now, bool answered)>& done);
   // Gives up our machines when our links to all of them are down and another's are not, and takes
   // them back once ours have been up for long enough.
-  void keep_reachable(Ms now);
-  void take_machines_back(Ms now);
+  void update_reachability(Ms now);
+  void reclaim_shard(Ms now);
   void set_unreachable(bool unreachable);
   // A decision that rests on the links, with its evidence.
-  void log_verdict(std::string_view decision, const links::Verdict& verdict);
+  void log_decision(std::string_view subject, const links::Decision& decision);
   // Who is to pass a command on to the machine; none: it is sent directly.
   std::optional<std::string> relay_for(Ms now, const Machine& m) const;
   // A peer may reach the machine, and has not tried yet.
   bool may_be_reached(Ms now, const Machine& m) const;
-  void redirect_report(Ms now, std::uint64_t request, const std::string& owner,
-                       const wire::MachineReport& report, const std::string& body);
+  void redirect_heartbeat(Ms now, std::uint64_t request, const std::string& owner,
+                          const wire::Heartbeat& heartbeat, const std::string& body);
 
   // ---- machine_records.cpp ----
   // What this controller wants recorded of machines of one group; written together.
   struct ShardWrite {
     bool busy = false;
     Ms due = 0;
-    std::map<std::string, wire::ShardRecord::Heard> pending;
+    std::map<std::string, wire::ShardRecord::Contact> pending;
   };
-  void refresh(Machine& m) const;  // from the records
-  void note_machine(Ms now, Machine& m, wire::MachineStanding standing, Ms within);
+  void refresh_from_records(Machine& m) const;  // from the records
+  void record_machine_state(Ms now, Machine& m, wire::MachineState state, Ms within);
   void write_shard_records(Ms now);
   // Pending entries follow their machines into the groups that these are in now.
   void regroup_pending();
@@ -409,7 +413,7 @@
   Ms pass_interval() const;
   void assign(Pass& pass, RangeWork& work, const Job& job, std::uint32_t task,
               std::uint64_t attempt, int machine, bool booked);
-  bool freed(const TaskRef& ref, std::uint64_t attempt) const;
+  bool released(const TaskRef& ref, std::uint64_t attempt) const;
   static std::size_t open_tasks(const RangeWork& work, const wire::RangeRecord& range);
   void drop_placing(RangeWork& work, std::size_t count);
   void clear_placing(RangeWork& work);
@@ -476,7 +480,7 @@
   void note_cancelled(Ms now, const std::string& id);
   void take_stop_hints(Ms now, const std::vector<std::string>& jobs);
   // Cancelled by our records, or by a peer's word while we can't read them.
-  bool called_off(const std::string& id, const Job& job) const {
+  bool is_cancelled(const std::string& id, const Job& job) const {
     return job.record.cancelled || stop_hints_.contains(id);
   }
   // A newer view exists that we cannot read: whoever it names gives the commands now.
@@ -496,7 +500,7 @@
   StateClient state_client_;
   ClusterView cluster_view_;
   Context context_;
-  Health health_;
+  FailureTracker failure_tracker_;
   FleetCoordinator fleet_;
   links::Monitor links_;
   MembershipManager membership_manager_;
@@ -508,8 +512,8 @@
   Ms last_input_at_ = 0;          // last input
   Ms resynchronising_until_ = 0;  // 0: not catching up after a pause
   std::uint64_t pauses_ = 0;
-  bool reachable_busy_ = false;
-  Ms reachable_at_ = 0;
+  bool reachability_write_in_flight_ = false;
+  Ms next_reachability_check_ = 0;
   bool view_known_ = false;
   std::uint64_t known_epoch_ = 0;
 
@@ -521,9 +525,9 @@
   std::map<ShardMachineKind, std::size_t> shard_machines_;
   Ms shard_machines_at_ = 0;
   std::map<std::uint32_t, ShardWrite> shard_writes_;
-  std::size_t heard_writes_ = 0;         // under way that carry no verdict on a machine
-  Ms strays_at_ = 0;                     // when to look for them next
-  int orders_out_ = 0, probes_out_ = 0;  // direct messages under way
+  std::size_t contact_writes_in_flight_ = 0;  // under way that carry no verdict on a machine
+  Ms next_stray_check_ = 0;                   // when to look for them next
+  int direct_commands_in_flight_ = 0, probes_in_flight_ = 0;  // direct messages under way
   std::set<std::string> finishing_;
   std::set<std::string> jobs_to_check_;
   bool dirty_ = false;
@@ -542,13 +546,13 @@
   std::map<std::string, YieldMemory> quota_yields_;  // by team
   Ms quota_after_ = 0;
 
-  bool served_users_ = true;  // by the last verdict
+  bool serving_users_ = true;  // by the last verdict
   Ms peers_at_ = 0;
   wire::LinkRow told_row_;                  // our own links, as last told
   std::map<std::string, Ms> cancelled_at_;  // jobs, by when we read of it
   std::set<std::string> stop_hints_;        // jobs that a peer says are cancelled
   std::uint64_t newest_epoch_seen_ = 0;     // of any view heard of
-  Ms machines_at_ = 0;
+  Ms next_machine_check_ = 0;
 };
 
 }  // namespace scheduler
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -146,7 +146,7 @@
     for (const auto& [number, range] : job->ranges)
       for (const auto& [task, placement] : range.placed)
         if (auto m = machines_.find(placement.machine); m != machines_.end())
-          m->second.send_again = true;
+          m->second.resend_commands = true;
   }
 }
 
--- a/src/controller/process_pause.cpp
+++ b/src/controller/process_pause.cpp
@@ -24,12 +24,12 @@
   state_client_.on_pause(now);
   membership_manager_.on_pause();
   links_.on_pause(now);
-  reachable_at_ = std::max(reachable_at_, now + silent_after());
+  next_reachability_check_ = std::max(next_reachability_check_, now + unresponsive_after());
   for (auto& [id, m] : machines_) {
-    m.heard_at = m.reported_at = now;
-    m.lease_from = now;
+    m.last_contact = m.last_heartbeat = now;
+    m.lease_granted_at = now;
     m.lease_known = false;
-    if (m.unreached_since != 0) m.unreached_since = now;
+    if (m.unreachable_since != 0) m.unreachable_since = now;
   }
   fleet_.on_pause(now, gap);
   wait_until_resynchronised(now, pauses_);
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -9,7 +9,7 @@
 namespace scheduler {
 
 namespace k = constants;
-using wire::MachineStanding;
+using wire::MachineState;
 
 namespace {
 
@@ -82,7 +82,7 @@
 std::map<MachineKind, int> FleetCoordinator::held() const {
   std::map<MachineKind, int> held;
   for (const auto& [id, record] : context_.replica.machines()) {
-    if (record.standing == MachineStanding::ready) ++held[{record.type, record.zone, record.spot}];
+    if (record.state == MachineState::ready) ++held[{record.type, record.zone, record.spot}];
   }
   for (const auto& [name, rental] : context_.replica.rentals())
     held[{rental.type, rental.zone, rental.spot}] += static_cast<int>(rental.count);
@@ -147,22 +147,22 @@
     fresh.type = listed.type;
     fresh.zone = listed.zone;
     fresh.spot = listed.spot;
-    records_.set_standing(id, fresh, MachineStanding::ready);
+    records_.set_state(id, fresh, MachineState::ready);
     return false;
   }
-  if (record->standing == MachineStanding::gone || record->standing == MachineStanding::lost)
+  if (record->state == MachineState::terminated || record->state == MachineState::lost)
     return false;
   if (failed) {
     context_.log(LogLevel::info, "machine " + id + " has failed");
-    records_.set_standing(id, *record, MachineStanding::gone);
+    records_.set_state(id, *record, MachineState::terminated);
     return true;
   }
   const wire::MachineType* type = context_.replica.type(listed.type);
   const double boot_s = type ? type->boot_s : k::kUnknownBootS;
-  if (listed.state == wire::CloudState::booting && record->session == 0 &&
+  if (listed.state == wire::CloudState::booting && record->incarnation == 0 &&
       listed.held_s > k::kStuckBoots * boot_s + k::kStuckBootS) {
     context_.log(LogLevel::info, "machine " + id + " does not come up");
-    records_.set_standing(id, *record, MachineStanding::lost);
+    records_.set_state(id, *record, MachineState::lost);
   }
   return false;
 }
@@ -180,17 +180,17 @@
     return now - unlisted_since_.emplace(id, now).first->second > patience;
   };
   for (const auto& [id, record] : replica.machines()) {
-    if (list_.contains(id) || record.standing != MachineStanding::ready) continue;
-    if (overdue(id) && record.session == 0) {  // never heard
+    if (list_.contains(id) || record.state != MachineState::ready) continue;
+    if (overdue(id) && record.incarnation == 0) {  // never heard
       context_.log(LogLevel::info, "machine " + id + " is not listed");
-      records_.set_standing(id, record, MachineStanding::lost);
+      records_.set_state(id, record, MachineState::lost);
     }
   }
   // Placements on a machine that is neither recorded nor listed: it is returned, which proves them
   // gone. Guards against tasks that nobody could ever free.
   for (const auto& id : replica.unrecorded()) {
     if (list_.contains(id) || records_.pending(id)) continue;
-    if (overdue(id)) records_.set_standing(id, {}, MachineStanding::lost);
+    if (overdue(id)) records_.set_state(id, {}, MachineState::lost);
   }
 }
 
@@ -233,10 +233,10 @@
     if (count == 0) return;
     const auto of_type = surplus.find(record.type);
     if (of_type == surplus.end() || of_type->second <= 0) continue;
-    const bool usable = record.session != 0 && record.standing == MachineStanding::ready;
+    const bool usable = record.incarnation != 0 && record.state == MachineState::ready;
     if (!usable || !context_.replica.placed_on(id).empty()) continue;
     context_.log(LogLevel::info, "returning idle machine " + id);
-    records_.set_standing(id, record, MachineStanding::draining);
+    records_.set_state(id, record, MachineState::draining);
     --of_type->second;
     --count;
   }
@@ -250,7 +250,7 @@
     record.type = request.type;
     record.zone = request.zone;
     record.spot = request.spot;
-    records_.set_standing(id, record, MachineStanding::ready);
+    records_.set_state(id, record, MachineState::ready);
   }
   records_.settle_rental(request.name, {machines.begin(), machines.end()});
   records_.write(now);
@@ -264,21 +264,21 @@
   for (const auto& [id, record] : context_.replica.machines()) {
     if (records_.pending(id)) continue;
     const bool empty = context_.replica.placed_on(id).empty();
-    switch (record.standing) {
-      case MachineStanding::lost:
+    switch (record.state) {
+      case MachineState::lost:
         ids.push_back(id);
         break;
-      case MachineStanding::draining:
-      case MachineStanding::sick:
+      case MachineState::draining:
+      case MachineState::quarantined:
         if (empty) ids.push_back(id);
         break;
-      case MachineStanding::gone: {
+      case MachineState::terminated: {
         const Ms since = gone_since_.emplace(id, now).first->second;
         const Ms kept = k::kGoneKeptMs + static_cast<Ms>(context_.settings.list_lag_s * 3000.0);
         if (empty && now - since >= kept && !list_.contains(id)) records_.forget(id);
         break;
       }
-      case MachineStanding::ready:
+      case MachineState::ready:
         break;
     }
   }
@@ -305,8 +305,8 @@
     gone_since_[id] = now;
     unlisted_since_.erase(id);
     const wire::MachineRecord* record = context_.replica.machine(id);
-    if (record && record->standing != MachineStanding::gone && context_.can_write(now))
-      records_.set_standing(id, *record, MachineStanding::gone);
+    if (record && record->state != MachineState::terminated && context_.can_write(now))
+      records_.set_state(id, *record, MachineState::terminated);
   }
 }
 
--- a/src/fleet/fleet_record_writer.cpp
+++ b/src/fleet/fleet_record_writer.cpp
@@ -13,10 +13,10 @@
 FleetRecordWriter::FleetRecordWriter(const Context& context, Written written)
     : context_(context), written_(std::move(written)) {}
 
-void FleetRecordWriter::set_standing(const std::string& id, wire::MachineRecord record,
-                                     wire::MachineStanding standing) {
-  record.standing = standing;
-  record.session = 0;
+void FleetRecordWriter::set_state(const std::string& id, wire::MachineRecord record,
+                                  wire::MachineState state) {
+  record.state = state;
+  record.incarnation = 0;
   pending_[id] = std::move(record);
 }
 
--- a/src/fleet/fleet_record_writer.h
+++ b/src/fleet/fleet_record_writer.h
@@ -26,8 +26,7 @@
   FleetRecordWriter(const Context& context, Written written);
 
   // Asks for the machine to be recorded with this standing.
-  void set_standing(const std::string& id, wire::MachineRecord record,
-                    wire::MachineStanding standing);
+  void set_state(const std::string& id, wire::MachineRecord record, wire::MachineState state);
   // Asks for the record of a machine that is gone to be removed.
   void forget(const std::string& id);
   // Whether a change of the machine waits to be written.
--- a/src/jobs/job_reads.cpp
+++ b/src/jobs/job_reads.cpp
@@ -213,8 +213,9 @@
   for (const auto& [number, r] : job->ranges) {
     for (const auto& [task, p] : r.placed) {
       auto m = machines_.find(p.machine);
-      if (m != machines_.end() && (m->second.orders_failed > 0 || m->second.unreached_since != 0 ||
-                                   now - m->second.heard_at > silent_after()))
+      if (m != machines_.end() &&
+          (m->second.unanswered_commands > 0 || m->second.unreachable_since != 0 ||
+           now - m->second.last_contact > unresponsive_after()))
         return false;
     }
   }
--- a/src/jobs/job_requests.cpp
+++ b/src/jobs/job_requests.cpp
@@ -23,10 +23,10 @@
 void Controller::on_health(Ms now, std::uint64_t request) {
   bool healthy = ready() && !deposed(now) && !resynchronising(now);
   if (healthy) {
-    const links::Verdict verdict = links_.may_serve_users(moment(now));
-    healthy = verdict.allowed;
-    if (verdict.allowed != served_users_) log_verdict("serve_users", verdict);
-    served_users_ = verdict.allowed;
+    const links::Decision decision = links_.may_serve_users(moment(now));
+    healthy = decision.allowed;
+    if (decision.allowed != serving_users_) log_decision("serve_users", decision);
+    serving_users_ = decision.allowed;
   }
   if (healthy) {
     answer(request, 200, "{}");
@@ -242,7 +242,7 @@
   for (const auto& id : std::exchange(jobs_to_check_, {})) {
     auto it = replica_.jobs().find(id);
     if (it == replica_.jobs().end()) {
-      health_.forget_job(id);
+      failure_tracker_.forget_job(id);
       continue;
     }
     if (!is_leader_of(wire::job_key(id))) {
--- a/src/links/census.h
+++ b/src/links/census.h
@@ -7,28 +7,28 @@
 
 namespace scheduler::links {
 
-struct HeardCount {
-  std::size_t heard = 0, silent = 0;
+struct ContactCount {
+  std::size_t heard = 0, unresponsive = 0;
 
-  void add(bool is_heard) { ++(is_heard ? heard : silent); }
-  bool mostly_heard() const { return heard >= silent; }
+  void add(bool is_heard) { ++(is_heard ? heard : unresponsive); }
+  bool mostly_responsive() const { return heard >= unresponsive; }
 };
 
 // Counted anew in each pass over the machines of this controller's part. Silence of a few is
 // theirs; silence of most is that of a link.
 struct Census {
-  HeardCount all;
-  std::map<std::string, HeardCount> zones;
+  ContactCount all;
+  std::map<std::string, ContactCount> zones;
   // Of those that are asked before their next report is overdue.
-  std::map<std::string, HeardCount> asked_early;
+  std::map<std::string, ContactCount> probed_early;
 
-  const HeardCount& zone(const std::string& name) const { return of(zones, name); }
-  const HeardCount& early(const std::string& name) const { return of(asked_early, name); }
+  const ContactCount& zone(const std::string& name) const { return of(zones, name); }
+  const ContactCount& early(const std::string& name) const { return of(probed_early, name); }
 
  private:
-  static const HeardCount& of(const std::map<std::string, HeardCount>& counts,
-                              const std::string& name) {
-    static const HeardCount none;
+  static const ContactCount& of(const std::map<std::string, ContactCount>& counts,
+                                const std::string& name) {
+    static const ContactCount none;
     const auto found = counts.find(name);
     return found == counts.end() ? none : found->second;
   }
--- a/src/links/constants.h
+++ b/src/links/constants.h
@@ -25,19 +25,19 @@
 
 // ---- workers of a zone ----
 // Report intervals between two reports of one worker at most (PROTOCOL: a quarter more).
-constexpr double kLongestReport = 1.25;
+constexpr double kLongestHeartbeatGap = 1.25;
 // Report intervals without any report after which a single worker counts as silent: one of its
 // reports may be lost. Of several workers not all lose one at the same time, so that this falls
 // towards kLongestReport with their number.
-constexpr double kSilentReports = 2.6;
+constexpr double kSilentHeartbeats = 2.6;
 // Milliseconds beyond these: reports wait for a busy processor.
-constexpr std::int64_t kReportMarginMs = 600;
+constexpr std::int64_t kHeartbeatMarginMs = 600;
 // Milliseconds until a probe of a worker counts as unanswered, and between rounds of probes.
 constexpr std::int64_t kProbeTimeoutMs = 1000;
 constexpr std::int64_t kProbeEveryMs = 2000;
 // Part of a report interval without a report, at least, before workers are probed: single workers
 // report that far apart as a rule.
-constexpr double kSuspectReports = 0.5;
+constexpr double kSuspectHeartbeats = 0.5;
 // Workers probed in a round. All must leave it unanswered: workers that hang or died on their own
 // are hardly ever a whole sample.
 constexpr std::size_t kProbedAtOnce = 5;
--- a/src/links/decision.cpp
+++ b/src/links/decision.cpp
@@ -14,9 +14,9 @@
       return "nobody_reaches";
     case Reason::isolated:
       return "isolated";
-    case Reason::mostly_heard:
+    case Reason::mostly_responsive:
       return "mostly_heard";
-    case Reason::mostly_silent:
+    case Reason::mostly_unresponsive:
       return "mostly_silent";
     case Reason::patience_over:
       return "patience_over";
--- a/src/links/monitor.cpp
+++ b/src/links/monitor.cpp
@@ -28,7 +28,7 @@
 
 ZoneLinks& Monitor::zone(const std::string& name) {
   const bool fits = zones_.contains(name) || zones_.size() < k::kMostEntries;
-  return zones_.try_emplace(fits ? name : "", settings_.report_interval).first->second;
+  return zones_.try_emplace(fits ? name : "", settings_.heartbeat_interval).first->second;
 }
 
 void Monitor::expect_workers(Ms now, const std::map<std::string, std::size_t>& by_zone) {
@@ -74,10 +74,10 @@
   }
   for (const auto& [name, links] : zones_)
     row.workers[name] = {links.reports(moment.now), links.commands(moment.now),
-                         links.last_report() == 0
+                         links.last_heartbeat() == 0
                              ? 0
                              : static_cast<std::uint64_t>(std::max<Ms>(
-                                   1, moment.wall - (moment.now - links.last_report())))};
+                                   1, moment.wall - (moment.now - links.last_heartbeat())))};
   return row;
 }
 
@@ -93,7 +93,7 @@
 // The others' rows tell them apart, also those of controllers that only a third one hears. Without
 // any: a state service that refuses us is there, so it is an outage as far as we know, but one that
 // is silent is beyond a cut of ours.
-Verdict Monitor::may_serve_users(const Moment& moment) const {
+Decision Monitor::may_serve_users(const Moment& moment) const {
   const Ms age = moment.now - state_.last_answer();
   if (state_.answering(moment.now)) return {true, Reason::link_up, "", age};
   const auto rows = matrix_.fresh(moment.wall, k::kStateWordFreshMs);
@@ -145,41 +145,41 @@
 
 // Machines are kept while any zone's links work. Guards against giving them to somebody who can't
 // reach them either: then the part would go round among all, and the leases would end meanwhile.
-Verdict Monitor::may_keep_machines(const Moment& moment,
-                                   const std::vector<std::string>& others) const {
+Decision Monitor::may_keep_machines(const Moment& moment,
+                                    const std::vector<std::string>& others) const {
   std::vector<std::string> lost;
   Ms newest_report = 0;
   for (const auto& [name, links] : zones_) {
     if (links.workers() == 0) continue;
     if (links.usable(moment.now))
-      return {true, Reason::link_up, "", moment.now - links.last_report()};
+      return {true, Reason::link_up, "", moment.now - links.last_heartbeat()};
     lost.push_back(name);
-    newest_report = std::max(newest_report, links.last_report());
+    newest_report = std::max(newest_report, links.last_heartbeat());
   }
   if (lost.empty()) return {true, Reason::link_up, "", 0};
   if (others.empty()) return {true, Reason::nobody_else, "", moment.now - newest_report};
   const Ms silent = moment.now - newest_report;
-  Verdict verdict{true, Reason::nobody_reaches, "", silent};
+  Decision decision{true, Reason::nobody_reaches, "", silent};
   for (const auto& other : others) {
     const auto* entry = matrix_.find(other);
     const bool fresh = entry && Matrix::age(moment.wall, entry->row) <= k::kRowFreshMs;
     // Of who doesn't say (an older version, or one that isn't heard) the best is assumed.
     const bool reaches = !fresh || heard_since(moment, *entry, lost, moment.wall - silent / 2);
     if (!reaches) continue;
-    verdict = {false, Reason::peer_reaches, other,
-               fresh ? Matrix::age(moment.wall, entry->row) : 0};
+    decision = {false, Reason::peer_reaches, other,
+                fresh ? Matrix::age(moment.wall, entry->row) : 0};
     if (fresh) break;
   }
-  return verdict;
+  return decision;
 }
 
-Verdict Monitor::may_take_machines_back(Ms now) const {
+Decision Monitor::may_reclaim_machines(Ms now) const {
   const Ms up = workers_up_since_ == 0 ? 0 : now - workers_up_since_;
   const bool steady = workers_up_since_ != 0 && up >= workers_damper_.steady_ms(now);
   return {steady, steady ? Reason::steady : Reason::unsteady, "", up};
 }
 
-void Monitor::gave_machines_up(Ms now) {
+void Monitor::on_machines_given_up(Ms now) {
   workers_damper_.failed(now);
   workers_up_since_ = 0;
 }
@@ -198,7 +198,7 @@
   state_damper_.failed(now);
 }
 
-Verdict Monitor::may_join(Ms now, bool others_live) const {
+Decision Monitor::may_join(Ms now, bool others_live) const {
   if (!others_live) return {true, Reason::nobody_else, "", 0};
   const Ms up = state_up_since_ == 0 ? 0 : now - state_up_since_;
   const Ms needed = state_damper_.steady_ms(now);
@@ -208,17 +208,17 @@
 
 void Monitor::note_census(Ms now, const Census& census) {
   for (const auto& [zone, count] : census.zones) {
-    const bool known = mostly_silent_at_.contains(zone);
-    if (!count.mostly_heard() && (known || mostly_silent_at_.size() < k::kMostEntries))
-      mostly_silent_at_[zone] = now;
+    const bool known = mostly_unresponsive_at_.contains(zone);
+    if (!count.mostly_responsive() && (known || mostly_unresponsive_at_.size() < k::kMostEntries))
+      mostly_unresponsive_at_[zone] = now;
   }
 }
 
 // Who hears nothing of most machines may be cut off itself, and a zone of which most is silent is
 // cut off rather than dead: what runs there goes on, and returning it would end that.
-Verdict Monitor::may_declare_dead(const Moment& moment, const std::string& zone,
-                                  const Census& census, Ms quiet) const {
-  if (!census.all.mostly_heard()) return {false, Reason::mostly_silent, "", quiet};
+Decision Monitor::may_declare_dead(const Moment& moment, const std::string& zone,
+                                   const Census& census, Ms quiet) const {
+  if (!census.all.mostly_responsive()) return {false, Reason::mostly_unresponsive, "", quiet};
   const bool patience_over = quiet > k::kZoneCutPatienceMs;
   const auto links = zones_.find(zone);
   if (links != zones_.end() && !links->second.usable(moment.now) && !patience_over) {
@@ -230,12 +230,13 @@
     }
   }
   // Guards against returning the last workers of a zone that is just coming back from a cut.
-  const auto silent_at = mostly_silent_at_.find(zone);
-  const bool back_just_now =
-      silent_at != mostly_silent_at_.end() && moment.now - silent_at->second < k::kBackFromCutMs;
-  if (census.zone(zone).mostly_heard() && !back_just_now)
-    return {true, Reason::mostly_heard, "", quiet};
-  return {patience_over, patience_over ? Reason::patience_over : Reason::mostly_silent, "", quiet};
+  const auto silent_at = mostly_unresponsive_at_.find(zone);
+  const bool back_just_now = silent_at != mostly_unresponsive_at_.end() &&
+                             moment.now - silent_at->second < k::kBackFromCutMs;
+  if (census.zone(zone).mostly_responsive() && !back_just_now)
+    return {true, Reason::mostly_responsive, "", quiet};
+  return {patience_over, patience_over ? Reason::patience_over : Reason::mostly_unresponsive, "",
+          quiet};
 }
 
 std::optional<std::string> Monitor::relay_to(const Moment& moment, const std::string& zone) const {
--- a/src/links/monitor.h
+++ b/src/links/monitor.h
@@ -26,7 +26,7 @@
 struct MonitorSettings {
   std::string name;                // of this controller
   std::vector<std::string> peers;  // the other controllers that are configured
-  Ms report_interval = 0;          // of workers
+  Ms heartbeat_interval = 0;       // of workers
   Ms hint_interval = 0;            // of messages between controllers
   bool relays = false;             // this controller passes messages on for others
 };
@@ -59,22 +59,22 @@
 
   // ---- decisions ----
   // Whether users should be sent here, as far as the link to the state service goes.
-  Verdict may_serve_users(const Moment& moment) const;
+  Decision may_serve_users(const Moment& moment) const;
   // Whether to go on owning machines. `others`: who could own them instead.
-  Verdict may_keep_machines(const Moment& moment, const std::vector<std::string>& others) const;
+  Decision may_keep_machines(const Moment& moment, const std::vector<std::string>& others) const;
   // After machines were given up: whether to own them again.
-  Verdict may_take_machines_back(Ms now) const;
-  void gave_machines_up(Ms now);
+  Decision may_reclaim_machines(Ms now) const;
+  void on_machines_given_up(Ms now);
   // Result of a round of probes while machines are given up.
   void probed_while_given_up(Ms now, bool answered);
   // After being removed from the view: whether to join it again. `others_live`: somebody else
   // serves meanwhile.
-  Verdict may_join(Ms now, bool others_live) const;
+  Decision may_join(Ms now, bool others_live) const;
   void removed_from_view(Ms now);
   void joined_view() { out_of_view_ = false; }
   // Whether workers of a zone that are silent count as dead. `quiet`: how long this one is silent.
-  Verdict may_declare_dead(const Moment& moment, const std::string& zone, const Census& census,
-                           Ms quiet) const;
+  Decision may_declare_dead(const Moment& moment, const std::string& zone, const Census& census,
+                            Ms quiet) const;
   // Remembers which zones are mostly silent; to be called with each census.
   void note_census(Ms now, const Census& census);
   // The controller that should pass a message on to a worker of the zone, if any may reach it.
@@ -100,7 +100,8 @@
   Matrix matrix_;
   std::map<std::string, PhiDetector> peers_;
   std::map<std::string, ZoneLinks> zones_;
-  std::map<std::string, Ms> mostly_silent_at_;  // by zone, at the last census that found it so
+  std::map<std::string, Ms>
+      mostly_unresponsive_at_;  // by zone, at the last census that found it so
   // Most cuts from the state service come alone, and the workers of a controller's own zone are
   // best served by it: the first one costs nothing. Probes of workers tell less than their reports
   // do.
--- a/src/links/zone_links.cpp
+++ b/src/links/zone_links.cpp
@@ -26,29 +26,30 @@
 }
 
 void ZoneLinks::on_pause(Ms now) {
-  if (last_report_ != 0) last_report_ = now;
+  if (last_heartbeat_ != 0) last_heartbeat_ = now;
   if (expected_since_ != 0) expected_since_ = now;
   unanswered_rounds_ = 0;
 }
 
-Ms ZoneLinks::silent_for(Ms now) const { return now - std::max(last_report_, expected_since_); }
+Ms ZoneLinks::silent_for(Ms now) const { return now - std::max(last_heartbeat_, expected_since_); }
 
 Ms ZoneLinks::silence_limit(std::size_t workers) const {
-  const double several = (k::kSilentReports - k::kLongestReport) /
+  const double several = (k::kSilentHeartbeats - k::kLongestHeartbeatGap) /
                          static_cast<double>(std::max<std::size_t>(1, workers));
-  const double intervals = k::kLongestReport + several;
-  return static_cast<Ms>(static_cast<double>(report_interval_) * intervals) + k::kReportMarginMs;
+  const double intervals = k::kLongestHeartbeatGap + several;
+  return static_cast<Ms>(static_cast<double>(heartbeat_interval_) * intervals) +
+         k::kHeartbeatMarginMs;
 }
 
 Status ZoneLinks::reports(Ms now) const {
   if (expected_since_ == 0) {
-    const bool lately = last_report_ != 0 && now - last_report_ <= silence_limit(1);
+    const bool lately = last_heartbeat_ != 0 && now - last_heartbeat_ <= silence_limit(1);
     return lately ? Status::up : Status::unknown;
   }
   // That nobody answers a probe either confirms the silence; without that it gets the longer time.
   const Ms limit = silence_limit(unanswered_rounds_ > 0 ? workers_ : 1);
   if (silent_for(now) > limit) return Status::down;
-  return last_report_ != 0 ? Status::up : Status::unknown;
+  return last_heartbeat_ != 0 ? Status::up : Status::unknown;
 }
 
 Status ZoneLinks::commands(Ms /*now*/) const {
@@ -63,8 +64,9 @@
 bool ZoneLinks::probe_due(Ms now) const {
   if (workers_ == 0 || (probed_at_ != 0 && now - probed_at_ < k::kProbeEveryMs)) return false;
   if (suspected_ || unanswered_rounds_ > 0) return true;
-  const Ms earliest = static_cast<Ms>(static_cast<double>(report_interval_) * k::kSuspectReports);
-  const Ms before_limit = silence_limit(workers_) - k::kProbeTimeoutMs - k::kReportMarginMs / 2;
+  const Ms earliest =
+      static_cast<Ms>(static_cast<double>(heartbeat_interval_) * k::kSuspectHeartbeats);
+  const Ms before_limit = silence_limit(workers_) - k::kProbeTimeoutMs - k::kHeartbeatMarginMs / 2;
   return silent_for(now) > std::max(earliest, before_limit);
 }
 
--- a/src/links/zone_links.h
+++ b/src/links/zone_links.h
@@ -12,11 +12,11 @@
 // how many workers are silent at once; a sample of them is probed as soon as that looks unusual.
 class ZoneLinks {
  public:
-  explicit ZoneLinks(Ms report_interval) : report_interval_(report_interval) {}
+  explicit ZoneLinks(Ms heartbeat_interval) : heartbeat_interval_(heartbeat_interval) {}
 
   // So many workers of the zone report to this controller, as far as it knows.
   void expect(Ms now, std::size_t workers);
-  void report_heard(Ms now) { last_report_ = now; }
+  void heartbeat_received(Ms now) { last_heartbeat_ = now; }
   // A worker has answered a command or a probe.
   void answered(Ms now);
   // None of a sample of workers has answered.
@@ -32,7 +32,7 @@
   // A sample of workers should be probed now.
   bool probe_due(Ms now) const;
   void probe_sent(Ms now) { probed_at_ = now; }
-  Ms last_report() const { return last_report_; }
+  Ms last_heartbeat() const { return last_heartbeat_; }
   std::size_t workers() const { return workers_; }
 
  private:
@@ -40,10 +40,10 @@
   // Milliseconds without a report after which so many workers count as silent.
   Ms silence_limit(std::size_t workers) const;
 
-  Ms report_interval_;
+  Ms heartbeat_interval_;
   std::size_t workers_ = 0;
   Ms expected_since_ = 0;  // 0: no worker is expected to report
-  Ms last_report_ = 0;     // 0: never
+  Ms last_heartbeat_ = 0;  // 0: never
   Ms last_answer_ = 0;
   Ms probed_at_ = 0;
   int unanswered_rounds_ = 0;  // in a row
--- a/src/scheduling/placement.h
+++ b/src/scheduling/placement.h
@@ -23,7 +23,7 @@
   std::string type;
   bool spot = false;
   bool own = true;  // of this controller's part
-  std::uint64_t session = 0;
+  std::uint64_t incarnation = 0;
   double cpus = 0, gpus = 0, memory_gb = 0;  // free
   double fetch_gb_per_s = 1;
   std::vector<std::string> images;  // known to be there or on their way
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -55,7 +55,7 @@
     const Candidate& c = *pass.pool[i];
     auto at = machines_.find(c.id);
     if (!c.own || at == machines_.end() || !allowed(spec, c.type, c.zone, c.spot) ||
-        (zones && !zones->contains(c.zone)) || health_.failed_here(now, c.id, spec.id))
+        (zones && !zones->contains(c.zone)) || failure_tracker_.has_failed_on(now, c.id, spec.id))
       continue;
     const Machine& m = at->second;
     std::vector<Victim> victims;
@@ -68,22 +68,26 @@
       if (!lower && !borrowed) continue;
       const wire::TaskId task{ref.range.job, ref.index};
       auto seen = m.tasks.find(task);
-      if (m.halts.contains(task) || seen == m.tasks.end() || seen->second.attempt != p->attempt ||
-          seen->second.state == wire::TaskState::exited ||
-          seen->second.state == wire::TaskState::saving)
+      if (m.stop_requests.contains(task) || seen == m.tasks.end() ||
+          seen->second.attempt != p->attempt || seen->second.state == wire::TaskState::exited ||
+          seen->second.state == wire::TaskState::checkpointing)
         continue;
       const auto& v = job->record.spec;
       const double ran = elapsed_s(now, m, ref, p->attempt);
       // Work that can wait a little does not stop what will soon end by itself: measured, each stop
       // costs more than it brings (docs/design.md).
       if (spec.priority < wire::Priority::high && v.estimate_s - ran < k::kLongVictimS) continue;
-      const bool saves = v.checkpoint_s > 0 && v.save_s + 1.0 < wait_aim_s / 2;
+      const bool checkpoints =
+          v.checkpoint_interval_s > 0 && v.checkpoint_write_s + 1.0 < wait_aim_s / 2;
       // Whole machines come free by themselves every second; what would be lost for one outweighs
       // the waiting until little time is left (docs/results.md, round 7).
-      if (!pressed && v.checkpoint_s <= 0 && ran > k::kLittleLostS) continue;
+      if (!pressed && v.checkpoint_interval_s <= 0 && ran > k::kLittleLostS) continue;
       const double lost =
-          v.checkpoint_s > 0 ? (saves ? v.save_s : std::min(ran, v.checkpoint_s / 2)) : ran;
-      victims.push_back({task, p->attempt, saves ? v.save_s : 0.0, (lost + 1.0) * v.cpus, &v});
+          v.checkpoint_interval_s > 0
+              ? (checkpoints ? v.checkpoint_write_s : std::min(ran, v.checkpoint_interval_s / 2))
+              : ran;
+      victims.push_back(
+          {task, p->attempt, checkpoints ? v.checkpoint_write_s : 0.0, (lost + 1.0) * v.cpus, &v});
     }
     std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
       if (a.spec->priority != b.spec->priority) return a.spec->priority < b.spec->priority;
@@ -111,9 +115,9 @@
   Candidate& c = *pass.pool[static_cast<std::size_t>(best)];
   Machine& m = machines_.at(c.id);
   for (const Victim& v : best_victims) {
-    m.halts[v.task] = {v.attempt, v.grace};
+    m.stop_requests[v.task] = {v.attempt, v.grace};
     // The room counts as free below, in the candidate as it stands.
-    m.send_again = true;
+    m.resend_commands = true;
     c.cpus += v.spec->cpus;
     c.gpus += v.spec->gpus;
     c.memory_gb += v.spec->memory_gb;
--- a/src/scheduling/ranges.cpp
+++ b/src/scheduling/ranges.cpp
@@ -33,7 +33,7 @@
   shard_machines_at_ = now + k::kSizeEveryMs;
   shard_machines_.clear();
   for (const auto& [id, record] : replica_.machines()) {
-    if (record.standing != wire::MachineStanding::ready || record.session == 0) continue;
+    if (record.state != wire::MachineState::ready || record.incarnation == 0) continue;
     ++shard_machines_[{cluster_view_.machine_owner(id, record.zone), record.type, record.zone,
                        record.spot}];
   }
@@ -153,7 +153,7 @@
     const auto& spec = job.record.spec;
     if (!job.known || job.record.cancelled || spec.is_gang() || spec.one_zone || spec.spread ||
         job.done_tasks() + job.placed_tasks() >= spec.tasks || !job.whole() ||
-        health_.not_before(id) > now)
+        failure_tracker_.next_attempt_at(id) > now)
       continue;
     // Guards against work that stays for ever with a part that has no machine for it: a job that
     // cannot be divided further is still taken over by whole ranges, which makes no new record.
@@ -167,7 +167,7 @@
         continue;
       RangeWork& w = work_[range];
       if (w.first_seen == 0) w.first_seen = now;
-      if (w.busy || !w.freed.empty() || now < w.retry_at) continue;
+      if (w.busy || !w.released.empty() || now < w.retry_at) continue;
       // Over the limit on values: its owner cuts it first.
       if (r.placed.size() > placed_most(r.end - r.begin)) continue;
       // A few tasks are left to their owner for longer: each taking makes one more record.
@@ -257,11 +257,11 @@
 
 // With what is proven, every task of the range is done.
 bool Controller::completes(const RangeId& id, const RangeWork& w) const {
-  if (w.freed.empty()) return false;
+  if (w.released.empty()) return false;
   const auto* range = replica_.range(id);
   if (!range) return false;
-  const auto done = static_cast<std::size_t>(
-      std::count_if(w.freed.begin(), w.freed.end(), [](const auto& f) { return f.second.done; }));
+  const auto done = static_cast<std::size_t>(std::count_if(
+      w.released.begin(), w.released.end(), [](const auto& f) { return f.second.done; }));
   return range->done_count() + done >= range->end - range->begin;
 }
 
@@ -269,15 +269,15 @@
 // tasks ended can wait a little, to be written together: their room is free already, and their
 // machines list them until it is recorded.
 bool Controller::pressing(Ms now, const RangeId& id, RangeWork& w, bool room) const {
-  if (!w.placing.empty() || w.want_stop || w.uncertain) return true;
-  if (w.freed.empty()) {
-    w.freed_since = 0;
+  if (!w.placing.empty() || w.stop_requested || w.uncertain) return true;
+  if (w.released.empty()) {
+    w.released_since = 0;
     return false;
   }
-  if (w.freed_since == 0) w.freed_since = now;
+  if (w.released_since == 0) w.released_since = now;
   const Job* job = replica_.job(id.job);
   if (!job || job->record.cancelled || job->record.spec.is_gang()) return true;
-  const Ms waited = now - w.freed_since;
+  const Ms waited = now - w.released_since;
   return (waited >= k::kEndsWithinMs && room) || waited >= 3 * k::kEndsWithinMs ||
          (waited >= k::kEndsGatherMs && state_client_.has_write_headroom(now));
 }
@@ -286,10 +286,10 @@
 bool Controller::record_ends(const wire::JobSpec& spec, RangeWork& work,
                              wire::RangeRecord& record) {
   bool changed = false;
-  for (auto it = work.freed.begin(); it != work.freed.end();) {
+  for (auto it = work.released.begin(); it != work.released.end();) {
     const auto placed = record.placed.find(it->first);
     if (placed == record.placed.end() || placed->second.attempt != it->second.attempt) {
-      it = work.freed.erase(it);  // recorded already
+      it = work.released.erase(it);  // recorded already
       continue;
     }
     record.placed.erase(placed);
@@ -310,7 +310,7 @@
 // Takes over whether the gang is to be stopped in good order.
 bool Controller::record_stop(const wire::JobSpec& spec, const RangeWork& work,
                              wire::RangeRecord& record) {
-  const bool stop = work.want_stop && spec.is_gang() && !record.placed.empty() &&
+  const bool stop = work.stop_requested && spec.is_gang() && !record.placed.empty() &&
                     record.done_count() == 0 && !record.stopping;
   if (stop) record.stopping = true;
   if (record.placed.empty()) record.stopping = false;
@@ -398,8 +398,8 @@
   if (w.busy) return;
   if (!range || !job) {
     clear_placing(w);
-    w.freed.clear();
-    w.want_stop = false;
+    w.released.clear();
+    w.stop_requested = false;
     return;
   }
   const auto& spec = job->record.spec;
@@ -409,7 +409,7 @@
   t.conditions = {view_unchanged(), state_client_.unchanged(key)};
   bool changed = record_ends(spec, w, next);
   const bool stop = record_stop(spec, w, next);
-  w.want_stop = false;
+  w.stop_requested = false;
   changed = changed || stop;
   changed = changed || w.uncertain;  // the same again, with a new stamp
   if (!w.placing.empty() && !w.uncertain) {
@@ -426,14 +426,14 @@
   if (!write_pieces(*job, next, t)) {
     log(LogLevel::info, key + " does not fit the state service's limits yet");
     clear_placing(w);
-    w.want_stop = stop;
+    w.stop_requested = stop;
     w.retry_at = last_input_at_ + k::kRejectedPauseMs;
     return;
   }
   log(LogLevel::debug, "writing " + key + " stamp " + std::to_string(state_client_.version(key)) +
                            " placing " + std::to_string(w.placing.size()) + " freed " +
-                           std::to_string(w.freed.size()));
-  w.freed_since = 0;
+                           std::to_string(w.released.size()));
+  w.released_since = 0;
   // A user waits for the end of a cancelled job.
   t.urgent = spec.priority >= wire::Priority::high || job->record.cancelled;
   w.busy = true;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -36,7 +36,7 @@
   c.zone = m.zone;
   c.type = m.type;
   c.spot = m.spot;
-  c.session = m.session;
+  c.incarnation = m.incarnation;
   c.images = m.images;
   const auto* type = replica_.type(m.type);
   if (!type) return c;
@@ -52,9 +52,11 @@
     auto seen = m.tasks.find(task);
     const bool listed = seen != m.tasks.end() && seen->second.attempt == p->attempt;
     if (listed && seen->second.state == wire::TaskState::exited) continue;
-    if (freed(ref, p->attempt)) continue;
+    if (released(ref, p->attempt)) continue;
     // What is being stopped to make room counts as gone; starts wait until it is.
-    if (auto h = m.halts.find(task); h != m.halts.end() && h->second.first == p->attempt) continue;
+    if (auto h = m.stop_requests.find(task);
+        h != m.stop_requests.end() && h->second.first == p->attempt)
+      continue;
     const auto& spec = job->second.record.spec;
     const Ms since = listed && seen->second.running_since ? seen->second.running_since : now;
     c.book(spec, ends_at(since, spec));
@@ -81,7 +83,7 @@
   c.zone = record.zone;
   c.type = record.type;
   c.spot = record.spot;
-  c.session = record.session;
+  c.incarnation = record.incarnation;
   c.own = false;
   const auto* type = replica_.type(record.type);
   if (!type) return c;
@@ -104,8 +106,8 @@
   if (pass.foreign_added) return;
   pass.foreign_added = true;
   for (const auto& [id, record] : replica_.machines()) {
-    if (machines_.contains(id) || record.session == 0 ||
-        record.standing != wire::MachineStanding::ready)
+    if (machines_.contains(id) || record.incarnation == 0 ||
+        record.state != wire::MachineState::ready)
       continue;
     auto known = foreign_candidates_.find(id);
     if (known == foreign_candidates_.end())
@@ -131,11 +133,11 @@
   return found->second;
 }
 
-bool Controller::freed(const TaskRef& ref, std::uint64_t attempt) const {
+bool Controller::released(const TaskRef& ref, std::uint64_t attempt) const {
   auto w = work_.find(ref.range);
   if (w == work_.end()) return false;
-  auto f = w->second.freed.find(ref.index);
-  return f != w->second.freed.end() && f->second.attempt == attempt;
+  auto f = w->second.released.find(ref.index);
+  return f != w->second.released.end() && f->second.attempt == attempt;
 }
 
 // What is proven gone, though not recorded yet, is recorded together with its next placement.
@@ -144,8 +146,8 @@
   if (range.done[task - range.begin] || work.placing.contains(task)) return false;
   auto p = range.placed.find(task);
   if (p == range.placed.end()) return true;
-  auto f = work.freed.find(task);
-  return !range.stopping && f != work.freed.end() && !f->second.done &&
+  auto f = work.released.find(task);
+  return !range.stopping && f != work.released.end() && !f->second.done &&
          f->second.attempt == p->second.attempt;
 }
 
@@ -153,7 +155,7 @@
 std::size_t Controller::open_tasks(const RangeWork& work, const wire::RangeRecord& range) {
   const std::size_t held = range.placed.size() + range.done_count();
   const auto lost = static_cast<std::size_t>(std::count_if(
-      work.freed.begin(), work.freed.end(), [](const auto& f) { return !f.second.done; }));
+      work.released.begin(), work.released.end(), [](const auto& f) { return !f.second.done; }));
   const std::size_t all = range.end - range.begin;
   return std::min(all, all - std::min(all, held) + lost);
 }
@@ -162,7 +164,7 @@
                         std::uint64_t attempt, int machine, bool booked) {
   Candidate& c = *pass.pool[static_cast<std::size_t>(machine)];
   const auto& spec = job.record.spec;
-  work.placing[task] = {attempt, c.id, c.session, settings_.name};
+  work.placing[task] = {attempt, c.id, c.incarnation, settings_.name};
   work.cpus = spec.cpus;
   work.gpus = spec.gpus;
   work.memory_gb = spec.memory_gb;
@@ -296,7 +298,7 @@
   fleet_cpus_at_ = now + k::kSizeEveryMs;
   fleet_cpus_ = 0;
   for (const auto& [id, record] : replica_.machines()) {
-    if (record.standing != wire::MachineStanding::ready || record.session == 0) continue;
+    if (record.state != wire::MachineState::ready || record.incarnation == 0) continue;
     if (const auto* type = replica_.type(record.type)) fleet_cpus_ += type->cpus;
   }
   return fleet_cpus_;
@@ -396,7 +398,9 @@
       break;
     }
     RangeWork& w = work_[e.id];
-    if (w.busy || w.uncertain || now < w.retry_at || health_.not_before(e.id.job) > now) continue;
+    if (w.busy || w.uncertain || now < w.retry_at ||
+        failure_tracker_.next_attempt_at(e.id.job) > now)
+      continue;
     if (pass.writes <= 0 && e.job->record.spec.priority < wire::Priority::high) {
       dirty_ = true;
       continue;
@@ -442,7 +446,7 @@
   for (const auto& [number, r] : job.ranges) {
     // What is proven gone though not yet recorded holds its zone no longer.
     for (const auto& [task, p] : r.placed)
-      if (!freed({{spec.id, number}, task}, p.attempt)) count(p);
+      if (!released({{spec.id, number}, task}, p.attempt)) count(p);
     if (auto w = work_.find({spec.id, number}); w != work_.end())
       for (const auto& [task, p] : w->second.placing) count(p);
   }
@@ -512,16 +516,16 @@
   const std::vector<int>& of_kind = machines_for(pass, spec, "", zoned);
   const bool keep_reserved = urgency.begun && !pass.reserved.empty();
   std::vector<int> some;  // of those, if not all may be used
-  const bool all = !keep_reserved && !health_.has_failed(spec.id);
+  const bool all = !keep_reserved && !failure_tracker_.has_failed(spec.id);
   if (!all) {
     std::copy_if(of_kind.begin(), of_kind.end(), std::back_inserter(some), [&](int i) {
       if (keep_reserved && pass.reserved.contains(i)) return false;
       const Candidate& c = *pass.pool[static_cast<std::size_t>(i)];
-      return !health_.failed_here(pass.now, c.id, spec.id);
+      return !failure_tracker_.has_failed_on(pass.now, c.id, spec.id);
     });
   }
   // Failed everywhere: try again anywhere, at the pace of its back-off.
-  const bool anywhere = !all && some.empty() && health_.faulty_job(spec.id);
+  const bool anywhere = !all && some.empty() && failure_tracker_.is_faulty_job(spec.id);
   const std::vector<int>& eligible = all        ? of_kind
                                      : anywhere ? machines_for(pass, spec, "", false)
                                                 : some;
--- a/src/scheduling/services.cpp
+++ b/src/scheduling/services.cpp
@@ -73,7 +73,7 @@
   std::uint32_t without_grant = 0, without_machine = 0;
   for (std::uint32_t task = range.begin; task < range.end; ++task) {
     if (!unstarted(work, range, task)) continue;
-    if (pass.left <= 0 || range.placed.size() + work.placing.size() >= most + work.freed.size())
+    if (pass.left <= 0 || range.placed.size() + work.placing.size() >= most + work.released.size())
       break;
     if (!grant_allows(pass, spec)) {
       ++without_grant;
@@ -94,9 +94,9 @@
 // against replicas that are begun on machines which have died together with the one they were on.
 int Controller::choose_own(Pass& pass, ReplicaChoice choice) {
   for (const bool without_replica : {true, false}) {
-    for (const bool heard_lately : {true, false}) {
+    for (const bool contacted_recently : {true, false}) {
       choice.without_replica = without_replica;
-      choice.heard_lately = heard_lately;
+      choice.contacted_recently = contacted_recently;
       const int machine = choose(pass.now, pass.pool, *choice.spec,
                                  replica_candidates(pass, choice, true), random_);
       if (machine >= 0) return machine;
@@ -134,16 +134,16 @@
   }
   // Guards against a replica that waits for as long as errors are remembered because the only room
   // is on a machine that has failed it once.
-  const bool others = !health_.faulty_job(spec.id) && other_machine_left(pass, choice);
-  choice.avoid_errors.reset();
-  if (others) choice.avoid_errors = k::kRetryFailedMachineMs;
+  const bool others = !failure_tracker_.is_faulty_job(spec.id) && other_machine_left(pass, choice);
+  choice.avoid_failures.reset();
+  if (others) choice.avoid_failures = k::kRetryFailedMachineMs;
   return choose(pass.now, pass.pool, spec, replica_candidates(pass, choice, true), random_);
 }
 
-bool Controller::heard_lately(Ms now, const std::string& machine) const {
+bool Controller::contacted_recently(Ms now, const std::string& machine) const {
   const auto known = machines_.find(machine);
   return known != machines_.end() &&
-         now - known->second.heard_at <= std::min(quiet_after(), k::kServiceQuietMs);
+         now - known->second.last_contact <= std::min(overdue_after(), k::kServiceOverdueMs);
 }
 
 // Whether some machine on which the job has not failed is allowed, with room or without.
@@ -151,8 +151,8 @@
   const wire::JobSpec& spec = *choice.spec;
   return std::any_of(pass.pool.begin(), pass.pool.end(), [&](const Candidate* c) {
     return allowed(spec, c->type, c->zone, c->spot) &&
-           !health_.failed_here(pass.now, c->id, spec.id) &&
-           !health_.result_kept(pass.now, c->id, choice.replica);
+           !failure_tracker_.has_failed_on(pass.now, c->id, spec.id) &&
+           !failure_tracker_.has_kept_result(pass.now, c->id, choice.replica);
   });
 }
 
@@ -165,10 +165,10 @@
     if (c.own != own || !c.fits(spec) || !allowed(spec, c.type, c.zone, c.spot)) continue;
     if (choice.zones && !choice.zones->contains(c.zone)) continue;
     if (choice.without_replica && choice.taken.contains(c.id)) continue;
-    if (choice.heard_lately && !heard_lately(pass.now, c.id)) continue;
-    if (choice.avoid_errors &&
-        (health_.failed_here(pass.now, c.id, spec.id, *choice.avoid_errors) ||
-         health_.result_kept(pass.now, c.id, choice.replica)))
+    if (choice.contacted_recently && !contacted_recently(pass.now, c.id)) continue;
+    if (choice.avoid_failures &&
+        (failure_tracker_.has_failed_on(pass.now, c.id, spec.id, *choice.avoid_failures) ||
+         failure_tracker_.has_kept_result(pass.now, c.id, choice.replica)))
       continue;
     out.push_back(static_cast<int>(i));
   }
@@ -177,20 +177,21 @@
 
 // ---- the end of a replica ----
 
-void Controller::on_replica_end(Ms now, const Machine& m, const TaskRef& ref, const Seen& seen) {
+void Controller::on_replica_end(Ms now, const Machine& m, const TaskRef& ref,
+                                const ReportedTask& seen) {
   const bool settled = seen.running_since != 0 && now - seen.running_since > k::kServiceSettledMs;
-  if (settled) health_.settled(ref.range.job);
+  if (settled) failure_tracker_.on_stable(ref.range.job);
   // Guards against a loop of instant ends: a worker remembers that a task is done, and ends every
   // further attempt at once.
   if (seen.cause != wire::ExitCause::done) return;
-  health_.keeps_result(now, m.id, {ref.range.job, ref.index});
-  if (!settled) health_.ended_early(now, m.id, ref.range.job);
+  failure_tracker_.on_result_kept(now, m.id, {ref.range.job, ref.index});
+  if (!settled) failure_tracker_.on_early_exit(now, m.id, ref.range.job);
 }
 
 void Controller::move_replica(Machine& m, const wire::TaskId& task, std::uint64_t attempt) {
-  m.halts[task] = {attempt, 0.0};
+  m.stop_requests[task] = {attempt, 0.0};
   m.candidate_known = false;
-  m.send_again = true;
+  m.resend_commands = true;
 }
 
 }  // namespace scheduler
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -210,17 +210,17 @@
     return;
   }
   wire::MachineRecord sum = fleet_.at(group->second).machines.at(id);
-  if (auto heard = heard_.find(id); heard != heard_.end()) {
+  if (auto heard = contacts_.find(id); heard != contacts_.end()) {
     std::uint64_t newest = 0;
     for (const auto& [who, h] : heard->second) {
       if (h.epoch >= newest) {
         // Not the highest session: a machine that has restarted counts from one again.
         newest = h.epoch;
-        sum.session = h.session;
+        sum.incarnation = h.incarnation;
         if (!h.address.empty()) sum.address = h.address;
       }
       // A verdict is never taken back: sick, draining, lost, gone in this order.
-      sum.standing = std::max(sum.standing, h.standing);
+      sum.state = std::max(sum.state, h.state);
     }
   }
   auto [it, added] = machines_.try_emplace(id, sum);
@@ -252,14 +252,14 @@
   const wire::ShardRecord before = std::exchange(shards_[{who, group}], record);
   for (const auto& [id, h] : before.machines) {
     if (record.machines.contains(id)) continue;
-    auto at = heard_.find(id);
-    if (at == heard_.end()) continue;
+    auto at = contacts_.find(id);
+    if (at == contacts_.end()) continue;
     at->second.erase({who, group});
-    if (at->second.empty()) heard_.erase(at);
+    if (at->second.empty()) contacts_.erase(at);
     merge(id);
   }
   for (const auto& [id, h] : record.machines) {
-    heard_[id][{who, group}] = h;
+    contacts_[id][{who, group}] = h;
     merge(id);
   }
   if (!value) shards_.erase({who, group});
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -114,7 +114,7 @@
   using ShardId = std::pair<std::string, std::uint32_t>;
   // What controllers have written of a machine. While a group is being cut, a machine's entries may
   // stand in records of its former group.
-  std::unordered_map<std::string, std::map<ShardId, wire::ShardRecord::Heard>> heard_;
+  std::unordered_map<std::string, std::map<ShardId, wire::ShardRecord::Contact>> contacts_;
   std::map<std::string, wire::MachineRecord> machines_;        // merged from all these
   std::map<std::string, std::map<std::string, Usage>> usage_;  // team -> grant
   std::map<std::string, wire::RentRequest> rentals_;
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -33,11 +33,12 @@
                                                                 {"running", JobState::running},
                                                                 {"done", JobState::done},
                                                                 {"withdrawn", JobState::cancelled}};
-constexpr std::pair<std::string_view, TaskState> kTaskStates[] = {{"fetching", TaskState::fetching},
-                                                                  {"gathering", TaskState::waiting},
-                                                                  {"running", TaskState::running},
-                                                                  {"saving", TaskState::saving},
-                                                                  {"exited", TaskState::exited}};
+constexpr std::pair<std::string_view, TaskState> kTaskStates[] = {
+    {"fetching", TaskState::fetching},
+    {"gathering", TaskState::waiting},
+    {"running", TaskState::running},
+    {"saving", TaskState::checkpointing},
+    {"exited", TaskState::exited}};
 constexpr std::pair<std::string_view, ExitCause> kCauses[] = {
     {"done", ExitCause::done},   {"stopped", ExitCause::stopped}, {"peers", ExitCause::peers},
     {"alone", ExitCause::alone}, {"error", ExitCause::error},     {"no_room", ExitCause::no_room},
@@ -127,8 +128,8 @@
   if (!read(o, "standby", out.spot)) return "standby is missing or invalid";
   if (!read_amount(o, "haulS", out.estimate_s)) return "haulS is missing or invalid";
   if (out.is_service() && out.estimate_s != 0) return "haulS of a daemon must be 0";
-  if (!read_amount(o, "tipS", out.checkpoint_s)) return "tipS is missing or invalid";
-  if (!read_amount(o, "stowS", out.save_s)) return "stowS is missing or invalid";
+  if (!read_amount(o, "tipS", out.checkpoint_interval_s)) return "tipS is missing or invalid";
+  if (!read_amount(o, "stowS", out.checkpoint_write_s)) return "stowS is missing or invalid";
   out.deadline_s.reset();
   if (member(o, "dueS")) {
     double due = 0;
@@ -161,8 +162,8 @@
   put_bool(w, "scatter", job.spread);
   put_bool(w, "standby", job.spot);
   put(w, "haulS", job.estimate_s);
-  put(w, "tipS", job.checkpoint_s);
-  put(w, "stowS", job.save_s);
+  put(w, "tipS", job.checkpoint_interval_s);
+  put(w, "stowS", job.checkpoint_write_s);
   if (job.deadline_s) put(w, "dueS", *job.deadline_s);
 }
 
@@ -199,49 +200,49 @@
   return true;
 }
 
-bool parse_report(std::string_view body, MachineReport& out) {
+bool parse_heartbeat(std::string_view body, Heartbeat& out) {
   rapidjson::Document doc;
   if (!parse_object(body, doc)) return false;
   if (!read_name(doc, "rig", out.machine) || !read_name(doc, "endpoint", out.address) ||
       !read_name(doc, "fleet", out.type) || !read_name(doc, "yard", out.zone) ||
-      !read(doc, "standby", out.spot) || !read(doc, "shift", out.session) ||
+      !read(doc, "standby", out.spot) || !read(doc, "shift", out.incarnation) ||
       !read(doc, "tally", out.sequence) || !read(doc, "baton", out.token))
     return false;
-  out.notice_s.reset();
+  out.preemption_notice_s.reset();
   if (member(doc, "warningS")) {
     double notice = 0;
     if (!read(doc, "warningS", notice)) return false;
-    out.notice_s = std::max(0.0, notice);
+    out.preemption_notice_s = std::max(0.0, notice);
   }
   out.tasks.clear();
   const Json* loads = member(doc, "loads");
   if (!loads) return true;
   if (!loads->IsArray()) return false;
   for (const Json& l : loads->GetArray()) {
-    TaskReport t;
+    TaskStatus t;
     std::string name;
     if (!read(l, "load", name) || !parse_task_name(name, t.task) || !read(l, "try", t.attempt) ||
         !read_enum(l, "status", kTaskStates, t.state))
       return false;
     if (t.state == TaskState::exited && !read_enum(l, "cause", kCauses, t.cause)) return false;
-    if (member(l, "saved") && !read(l, "saved", t.saved)) return false;
+    if (member(l, "saved") && !read(l, "saved", t.checkpointed)) return false;
     out.tasks.push_back(std::move(t));
   }
   return true;
 }
 
-std::string report_answer(std::uint64_t token, const std::vector<Command>& commands) {
+std::string heartbeat_reply(std::uint64_t token, const std::vector<Command>& commands) {
   return object([&](Writer& w) {
     put(w, "baton", token);
     write_commands(w, commands);
   });
 }
 
-std::string orders_body(std::uint64_t token, std::uint64_t session,
-                        const std::vector<Command>& commands) {
+std::string commands_body(std::uint64_t token, std::uint64_t incarnation,
+                          const std::vector<Command>& commands) {
   return object([&](Writer& w) {
     put(w, "baton", token);
-    put(w, "shift", session);
+    put(w, "shift", incarnation);
     write_commands(w, commands);
   });
 }
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -39,8 +39,8 @@
   bool spread = false;
   bool spot = false;
   double estimate_s = 0;
-  double checkpoint_s = 0;
-  double save_s = 0;
+  double checkpoint_interval_s = 0;
+  double checkpoint_write_s = 0;
   std::optional<double> deadline_s;
 
   bool is_gang() const { return shape == JobShape::gang; }
@@ -68,7 +68,7 @@
 std::string task_name(std::string_view job, std::uint32_t index);
 bool parse_task_name(std::string_view text, TaskId& out);
 
-enum class TaskState : std::uint8_t { fetching, waiting, running, saving, exited };
+enum class TaskState : std::uint8_t { fetching, waiting, running, checkpointing, exited };
 enum class ExitCause : std::uint8_t {
   none,
   done,
@@ -81,27 +81,27 @@
   unknown
 };
 
-struct TaskReport {
+struct TaskStatus {
   TaskId task;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
   ExitCause cause = ExitCause::none;
-  bool saved = false;
+  bool checkpointed = false;
 };
 
-struct MachineReport {
+struct Heartbeat {
   std::string machine;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t session = 0;
+  std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
   std::uint64_t token = 0;
-  std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::optional<double> preemption_notice_s;
+  std::vector<TaskStatus> tasks;
 };
-bool parse_report(std::string_view body, MachineReport& out);
+bool parse_heartbeat(std::string_view body, Heartbeat& out);
 
 enum class CommandKind : std::uint8_t { start, stop, forget };
 struct Command {
@@ -110,9 +110,9 @@
   std::uint64_t attempt = 0;
   double grace_s = 0;
 };
-std::string report_answer(std::uint64_t token, const std::vector<Command>& commands);
-std::string orders_body(std::uint64_t token, std::uint64_t session,
-                        const std::vector<Command>& commands);
+std::string heartbeat_reply(std::uint64_t token, const std::vector<Command>& commands);
+std::string commands_body(std::uint64_t token, std::uint64_t incarnation,
+                          const std::vector<Command>& commands);
 std::string redirect_body(std::string_view controller);
 
 struct MachineType {
@@ -150,10 +150,10 @@
 constexpr const char* kReturnPath = "/hosts/return";
 std::string machine_list_path(std::string_view after, std::uint32_t most);
 // Requests to workers.
-constexpr const char* kOrdersPath = "/orders";
+constexpr const char* kCommandsPath = "/orders";
 constexpr const char* kStatusPath = "/status";
 // Requests to controllers.
-constexpr const char* kReportPath = "/hello";
+constexpr const char* kHeartbeatPath = "/hello";
 constexpr const char* kJobsPath = "/v1/jobs";
 constexpr const char* kHealthPath = "/healthz";
 constexpr const char* kCancelSuffix = "/withdraw";
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -177,7 +177,7 @@
   }
   RelayRequest request;
   if (kind != static_cast<std::uint64_t>(RelayKind::command) &&
-      kind != static_cast<std::uint64_t>(RelayKind::report))
+      kind != static_cast<std::uint64_t>(RelayKind::heartbeat))
     return {};
   request.kind = static_cast<RelayKind>(kind);
   const bool complete =
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -27,8 +27,8 @@
 
 // A message that the receiver is to pass on for a controller that has no link to its destination.
 enum class RelayKind : std::uint8_t {
-  command = 1,  // to a worker, from the controller that owns it
-  report = 2    // from a worker, to the receiver, which owns it
+  command = 1,   // to a worker, from the controller that owns it
+  heartbeat = 2  // from a worker, to the receiver, which owns it
 };
 struct RelayRequest {
   std::string from;
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -165,8 +165,8 @@
              std::vector<std::pair<std::uint32_t, std::uint64_t>>>
         groups;
     for (const auto& [task, p] : r.placed)
-      groups[{p.machine, p.session, p.grant == r.owner ? "" : p.grant}].emplace_back(task,
-                                                                                     p.attempt);
+      groups[{p.machine, p.incarnation, p.grant == r.owner ? "" : p.grant}].emplace_back(task,
+                                                                                         p.attempt);
     w.Key("p");
     w.StartArray();
     for (const auto& [where, tasks] : groups) {
@@ -202,7 +202,7 @@
       return false;
     Placement p;
     p.machine = g[0].GetString();
-    p.session = g[1].GetUint64();
+    p.incarnation = g[1].GetUint64();
     p.grant = g[2].GetString();
     if (p.grant.empty()) p.grant = r.owner;
     for (rapidjson::SizeType i = 3; i < g.Size(); i += 2) {
@@ -248,9 +248,9 @@
   return true;
 }
 
-bool standing_of(const Json& v, MachineStanding& out) {
-  if (!v.IsUint() || v.GetUint() > static_cast<unsigned>(MachineStanding::gone)) return false;
-  out = static_cast<MachineStanding>(v.GetUint());
+bool machine_state_from(const Json& v, MachineState& out) {
+  if (!v.IsUint() || v.GetUint() > static_cast<unsigned>(MachineState::terminated)) return false;
+  out = static_cast<MachineState>(v.GetUint());
   return true;
 }
 }  // namespace
@@ -261,7 +261,7 @@
     put_text(w, m.type);
     put_text(w, m.zone);
     w.Uint(m.spot ? 1 : 0);
-    w.Uint(static_cast<unsigned>(m.standing));
+    w.Uint(static_cast<unsigned>(m.state));
   });
 }
 
@@ -273,26 +273,26 @@
     m.type = v[1].GetString();
     m.zone = v[2].GetString();
     m.spot = v[3].GetUint() != 0;
-    return standing_of(v[4], m.standing);
+    return machine_state_from(v[4], m.state);
   });
 }
 
 std::string encode(const ShardRecord& r) {
-  return machines_body(r, [](Writer& w, const ShardRecord::Heard& m) {
+  return machines_body(r, [](Writer& w, const ShardRecord::Contact& m) {
     put_text(w, m.address);
-    w.Uint64(m.session);
-    w.Uint(static_cast<unsigned>(m.standing));
+    w.Uint64(m.incarnation);
+    w.Uint(static_cast<unsigned>(m.state));
     w.Uint64(m.epoch);
   });
 }
 
 bool decode(std::string_view text, ShardRecord& r) {
-  return parse_machines(text, r, [](const Json& v, ShardRecord::Heard& m) {
+  return parse_machines(text, r, [](const Json& v, ShardRecord::Contact& m) {
     if (v.Size() < 4 || !v[0].IsString() || !v[1].IsUint64() || !v[3].IsUint64()) return false;
     m.address = v[0].GetString();
-    m.session = v[1].GetUint64();
+    m.incarnation = v[1].GetUint64();
     m.epoch = v[3].GetUint64();
-    return standing_of(v[2], m.standing);
+    return machine_state_from(v[2], m.state);
   });
 }
 
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -63,7 +63,7 @@
 struct Placement {
   std::uint64_t attempt = 0;
   std::string machine;
-  std::uint64_t session = 0;
+  std::uint64_t incarnation = 0;
   std::string grant;  // controller whose quota grant it uses
   bool operator==(const Placement&) const = default;
 };
@@ -83,18 +83,18 @@
 std::string encode(const RangeRecord& r);
 bool decode(std::string_view text, RangeRecord& r);
 
-enum class MachineStanding : std::uint8_t {
-  ready,     // may be used
-  sick,      // fails what it is given: takes nothing new, to be replaced
-  draining,  // to be returned once empty
-  lost,      // silent or sick beyond its lease: to be returned now
-  gone       // the cloud confirmed that it and all on it are gone
+enum class MachineState : std::uint8_t {
+  ready,        // may be used
+  quarantined,  // fails what it is given: takes nothing new, to be replaced
+  draining,     // to be returned once empty
+  lost,         // silent or failing beyond its lease: to be returned now
+  terminated    // the cloud confirmed that it and all on it are gone
 };
 struct MachineRecord {
   std::string address, type, zone;
   bool spot = false;
-  MachineStanding standing = MachineStanding::ready;
-  std::uint64_t session = 0;  // as last heard; 0: not heard yet
+  MachineState state = MachineState::ready;
+  std::uint64_t incarnation = 0;  // as last heard; 0: not heard yet
   bool operator==(const MachineRecord&) const = default;
 };
 // Machines share records, so that renting, hearing or losing many at once takes few writes. Each
@@ -105,14 +105,14 @@
 std::string encode(const FleetRecord& r);
 bool decode(std::string_view text, FleetRecord& r);
 struct ShardRecord {
-  struct Heard {
+  struct Contact {
     std::string address;
-    std::uint64_t session = 0;
-    MachineStanding standing = MachineStanding::ready;
+    std::uint64_t incarnation = 0;
+    MachineState state = MachineState::ready;
     std::uint64_t epoch = 0;  // since when the machine was of this part; the newest entry counts
-    bool operator==(const Heard&) const = default;
+    bool operator==(const Contact&) const = default;
   };
-  std::map<std::string, Heard> machines;
+  std::map<std::string, Contact> machines;
 };
 std::string encode(const ShardRecord& r);
 bool decode(std::string_view text, ShardRecord& r);
--- a/src/workers/failure_tracker.cpp
+++ b/src/workers/failure_tracker.cpp
@@ -8,77 +8,79 @@
 
 namespace k = constants;
 
-void Health::note_error(Ms now, const std::string& machine, const std::string& job) {
+void FailureTracker::note_error(Ms now, const std::string& machine, const std::string& job) {
   JobErrors& j = jobs_[job];
   j.machines[machine] = now;
   ++j.in_a_row;
   if (j.machines.size() >= k::kFaultyJobMachines) back_off(now, j);
 }
 
-void Health::back_off(Ms now, JobErrors& errors) {
+void FailureTracker::back_off(Ms now, JobErrors& errors) {
   const Ms wait = k::kJobBackoffMs << std::min(errors.in_a_row - 1, 10);
-  errors.not_before = now + std::min(wait, k::kJobBackoffMostMs);
+  errors.next_attempt_at = now + std::min(wait, k::kJobBackoffMostMs);
 }
 
-void Health::ended_early(Ms now, const std::string& machine, const std::string& job) {
+void FailureTracker::on_early_exit(Ms now, const std::string& machine, const std::string& job) {
   note_error(now, machine, job);
   back_off(now, jobs_[job]);
 }
 
-void Health::keeps_result(Ms now, const std::string& machine, const wire::TaskId& replica) {
+void FailureTracker::on_result_kept(Ms now, const std::string& machine,
+                                    const wire::TaskId& replica) {
   results_[machine][replica] = now;
 }
 
-bool Health::result_kept(Ms now, const std::string& machine, const wire::TaskId& replica) const {
+bool FailureTracker::has_kept_result(Ms now, const std::string& machine,
+                                     const wire::TaskId& replica) const {
   const auto kept = results_.find(machine);
   if (kept == results_.end()) return false;
   const auto ended = kept->second.find(replica);
-  return ended != kept->second.end() && now - ended->second < k::kDoneMemoryMs;
+  return ended != kept->second.end() && now - ended->second < k::kKeptResultMemoryMs;
 }
 
-void Health::settled(const std::string& job) { jobs_.erase(job); }
+void FailureTracker::on_stable(const std::string& job) { jobs_.erase(job); }
 
-bool Health::failed(Ms now, const std::string& machine, const std::string& job) {
+bool FailureTracker::failed(Ms now, const std::string& machine, const std::string& job) {
   note_error(now, machine, job);
   auto& m = machines_[machine];
   m[job] = now;
-  std::erase_if(m, [now](const auto& e) { return now - e.second > k::kErrorMemoryMs; });
+  std::erase_if(m, [now](const auto& e) { return now - e.second > k::kFailureMemoryMs; });
   // A job that fails wherever it runs says nothing about the machine.
   const auto telling =
-      std::count_if(m.begin(), m.end(), [this](const auto& e) { return !faulty_job(e.first); });
-  return static_cast<std::size_t>(telling) >= k::kSickJobs;
+      std::count_if(m.begin(), m.end(), [this](const auto& e) { return !is_faulty_job(e.first); });
+  return static_cast<std::size_t>(telling) >= k::kQuarantineJobs;
 }
 
-void Health::completed(const std::string& machine, const std::string& job) {
+void FailureTracker::completed(const std::string& machine, const std::string& job) {
   jobs_.erase(job);
   machines_.erase(machine);
 }
 
-Ms Health::not_before(const std::string& job) const {
+Ms FailureTracker::next_attempt_at(const std::string& job) const {
   auto it = jobs_.find(job);
-  return it == jobs_.end() ? 0 : it->second.not_before;
+  return it == jobs_.end() ? 0 : it->second.next_attempt_at;
 }
 
-bool Health::failed_here(Ms now, const std::string& machine, const std::string& job,
-                         Ms error_memory) const {
+bool FailureTracker::has_failed_on(Ms now, const std::string& machine, const std::string& job,
+                                   Ms failure_memory) const {
   const auto errors = machines_.find(machine);
   if (errors == machines_.end()) return false;
   const auto last = errors->second.find(job);
-  return last != errors->second.end() && now - last->second < error_memory;
+  return last != errors->second.end() && now - last->second < failure_memory;
 }
 
-bool Health::faulty_job(const std::string& job) const {
+bool FailureTracker::is_faulty_job(const std::string& job) const {
   auto it = jobs_.find(job);
   return it != jobs_.end() && it->second.machines.size() >= k::kFaultyJobMachines;
 }
 
-void Health::forget_job(const std::string& job) {
+void FailureTracker::forget_job(const std::string& job) {
   jobs_.erase(job);
   for (auto& [machine, replicas] : results_)
     std::erase_if(replicas, [&job](const auto& entry) { return entry.first.job == job; });
   std::erase_if(results_, [](const auto& entry) { return entry.second.empty(); });
 }
-void Health::forget_machine(const std::string& machine) {
+void FailureTracker::forget_machine(const std::string& machine) {
   machines_.erase(machine);
   results_.erase(machine);
 }
--- a/src/workers/failure_tracker.h
+++ b/src/workers/failure_tracker.h
@@ -10,27 +10,27 @@
 
 namespace scheduler {
 
-class Health {
+class FailureTracker {
  public:
   // A task of `job` failed on `machine`. True when the machine now counts as sick.
   bool failed(Ms now, const std::string& machine, const std::string& job);
   // A replica of a service ended at once without being stopped. Says nothing against the machine;
   // the job is backed off if it goes on.
-  void ended_early(Ms now, const std::string& machine, const std::string& job);
+  void on_early_exit(Ms now, const std::string& machine, const std::string& job);
   // The worker keeps a result of this replica, and would end each further attempt of it at once.
   // Other replicas of the job run there as on any machine.
-  void keeps_result(Ms now, const std::string& machine, const wire::TaskId& replica);
-  bool result_kept(Ms now, const std::string& machine, const wire::TaskId& replica) const;
+  void on_result_kept(Ms now, const std::string& machine, const wire::TaskId& replica);
+  bool has_kept_result(Ms now, const std::string& machine, const wire::TaskId& replica) const;
   // A replica has run for a while: the job is not at fault.
-  void settled(const std::string& job);
+  void on_stable(const std::string& job);
   // A task of `job` completed on `machine`: neither is at fault.
   void completed(const std::string& machine, const std::string& job);
   // Earliest time at which the job's tasks may be started again.
-  Ms not_before(const std::string& job) const;
+  Ms next_attempt_at(const std::string& job) const;
   // The machine failed a task of this job lately: others are tried first.
-  bool failed_here(Ms now, const std::string& machine, const std::string& job,
-                   Ms error_memory = constants::kErrorMemoryMs) const;
-  bool faulty_job(const std::string& job) const;
+  bool has_failed_on(Ms now, const std::string& machine, const std::string& job,
+                     Ms failure_memory = constants::kFailureMemoryMs) const;
+  bool is_faulty_job(const std::string& job) const;
   // A task of the job failed somewhere.
   bool has_failed(const std::string& job) const { return jobs_.contains(job); }
   void forget_job(const std::string& job);
@@ -42,7 +42,7 @@
   struct JobErrors {
     std::map<std::string, Ms> machines;
     int in_a_row = 0;
-    Ms not_before = 0;
+    Ms next_attempt_at = 0;
   };
   static void back_off(Ms now, JobErrors& errors);
 
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -8,58 +8,63 @@
 
 namespace k = constants;
 
-Ms Controller::silent_after() const { return to_ms(settings_.report_s * k::kSilentIntervals); }
+Ms Controller::unresponsive_after() const {
+  return to_ms(settings_.heartbeat_interval_s * k::kUnresponsiveIntervals);
+}
 
-Ms Controller::quiet_after() const { return to_ms(settings_.report_s * k::kQuietIntervals); }
+Ms Controller::overdue_after() const {
+  return to_ms(settings_.heartbeat_interval_s * k::kOverdueIntervals);
+}
 
 // All that it runs is short and must be done soon: it is sooner begun again elsewhere than heard of
 // when a cut is over.
-bool Controller::hurries(const Machine& m) const {
+bool Controller::restart_elsewhere_first(const Machine& m) const {
   const auto& tasks = replica_.placed_on(m.id);
   return std::all_of(tasks.begin(), tasks.end(), [this](const TaskRef& ref) {
     const Job* job = replica_.job(ref.range.job);
     return job && !job->record.spec.is_service() &&
            job->record.spec.priority >= wire::Priority::high &&
-           job->record.spec.estimate_s <= k::kHurryS;
+           job->record.spec.estimate_s <= k::kRestartElsewhereS;
   });
 }
 
 bool Controller::usable(Ms now, const Machine& m) const {
-  return m.recorded && m.standing == wire::MachineStanding::ready && m.sequence > 0 && m.touched &&
-         m.unreached_since == 0 && !m.notice && now - m.heard_at < silent_after() &&
-         !mute(now, m) && now >= m.no_room_until;
+  return m.recorded && m.state == wire::MachineState::ready && m.sequence > 0 &&
+         m.token_confirmed && m.unreachable_since == 0 && !m.preemption_notice &&
+         now - m.last_contact < unresponsive_after() && !heartbeats_missing(now, m) &&
+         now >= m.full_until;
 }
 
 // It answers direct messages, but its reports do not come, and only answers to those renew its
 // lease. Guards against a machine that draws task after task and loses each with its lease.
-bool Controller::mute(Ms now, const Machine& m) const {
-  return now - m.reported_at >
-         std::max(silent_after(), to_ms(settings_.lease_s * k::kMuteLeaseShare));
+bool Controller::heartbeats_missing(Ms now, const Machine& m) const {
+  return now - m.last_heartbeat >
+         std::max(unresponsive_after(), to_ms(settings_.lease_s * k::kHeartbeatsMissingLeaseShare));
 }
 
-void Controller::on_report(Ms now, std::uint64_t request, const std::string& body) {
-  wire::MachineReport report;
-  if (!wire::parse_report(body, report)) {
+void Controller::on_heartbeat(Ms now, std::uint64_t request, const std::string& body) {
+  wire::Heartbeat heartbeat;
+  if (!wire::parse_heartbeat(body, heartbeat)) {
     answer(request, 400, wire::error_body("malformed report"));
     return;
   }
-  if (!Relay::is_relayed(request)) links_.zone(report.zone).report_heard(now);
+  if (!Relay::is_relayed(request)) links_.zone(heartbeat.zone).heartbeat_received(now);
   if (!state_client_.loaded() || !view_known_ || deposed(now) || resynchronising(now)) {
     decline(request, k::kRetryAfterS);
     return;
   }
-  if (ClusterView::epoch_of(report.token) > cluster_view_.epoch()) {
+  if (ClusterView::epoch_of(heartbeat.token) > cluster_view_.epoch()) {
     // Somebody acts on a newer view than we know.
-    newest_epoch_seen_ = std::max(newest_epoch_seen_, ClusterView::epoch_of(report.token));
+    newest_epoch_seen_ = std::max(newest_epoch_seen_, ClusterView::epoch_of(heartbeat.token));
     decline(request, k::kRetryAfterS);
     return;
   }
-  const std::string& owner = cluster_view_.machine_owner(report.machine, report.zone);
+  const std::string& owner = cluster_view_.machine_owner(heartbeat.machine, heartbeat.zone);
   if (owner != settings_.name) {
     if (owner.empty()) {
       decline(request, k::kRetryAfterS);
     } else {
-      redirect_report(now, request, owner, report, body);
+      redirect_heartbeat(now, request, owner, heartbeat, body);
     }
     return;
   }
@@ -67,135 +72,138 @@
     decline(request, k::kRetryAfterS);
     return;
   }
-  const auto* record = replica_.machine(report.machine);
-  if (record && record->standing == wire::MachineStanding::gone) {
+  const auto* record = replica_.machine(heartbeat.machine);
+  if (record && record->state == wire::MachineState::terminated) {
     decline(request, k::kRetryAfterS);  // a late copy
     return;
   }
-  auto it = machines_.find(report.machine);
-  if (it == machines_.end()) it = own(now, report.machine);
+  auto it = machines_.find(heartbeat.machine);
+  if (it == machines_.end()) it = add_machine(now, heartbeat.machine);
   Machine& m = it->second;
   // Guards against a machine that nobody can ask because its address was never recorded.
-  if (m.address.empty()) m.address = report.address;
+  if (m.address.empty()) m.address = heartbeat.address;
   // Guards against copies from a machine's life before it restarted, whose counters may well be the
   // higher ones: within a life its token never falls, and a later session counts only once the
   // machine has said so in answer to a message of our own. Until then it gets no commands.
-  if (m.session != 0 && report.session > m.session && report.token >= m.token_seen) {
-    m.doubted = true;
-    send_orders(now, m);
-    m.lease_from = std::max(m.lease_from, now);
-    answer(request, 200, wire::report_answer(token(m), {}));
+  if (m.incarnation != 0 && heartbeat.incarnation > m.incarnation &&
+      heartbeat.token >= m.highest_token_seen) {
+    m.suspect = true;
+    send_commands(now, m);
+    m.lease_granted_at = std::max(m.lease_granted_at, now);
+    answer(request, 200, wire::heartbeat_reply(token(m), {}));
     return;
   }
-  const bool stale = report.token < m.token_seen;
+  const bool stale = heartbeat.token < m.highest_token_seen;
   // A report may be overtaken by the answer to a direct message; it is genuine all the same.
-  const bool fresh = !stale && Counters(report.session, report.sequence) > m.last_report;
+  const bool fresh =
+      !stale && Counters(heartbeat.incarnation, heartbeat.sequence) > m.last_heartbeat_counters;
   if (fresh) {
-    m.last_report = {report.session, report.sequence};
-    m.reported_at = now;
+    m.last_heartbeat_counters = {heartbeat.incarnation, heartbeat.sequence};
+    m.last_heartbeat = now;
   }
   // Guards against answers that the machine drops for ever because this process has forgotten how
   // far it had raised the fence: only the owner of this epoch, ourselves, can have given it.
-  if (fresh && ClusterView::epoch_of(report.token) == cluster_view_.epoch())
-    m.fence = std::max(m.fence, ClusterView::fence_of(report.token));
-  if ((stale || !take_report(now, m, report)) && !(fresh && report.session == m.session)) {
+  if (fresh && ClusterView::epoch_of(heartbeat.token) == cluster_view_.epoch())
+    m.fence = std::max(m.fence, ClusterView::fence_of(heartbeat.token));
+  if ((stale || !apply_heartbeat(now, m, heartbeat)) &&
+      !(fresh && heartbeat.incarnation == m.incarnation)) {
     // Guards against late copies: they renew nothing and get no commands. A machine that came back
     // with low counters looks the same; its answer to a message of our own tells (on_orders).
-    m.doubted = true;
-    send_orders(now, m);
+    m.suspect = true;
+    send_commands(now, m);
     decline(request, k::kRetryAfterS);
     return;
   }
-  const auto list = commands(now, m);
+  const auto list = commands_for(now, m);
   const std::uint64_t given = token(m);
-  m.report_answered = true;
-  m.lease_from = std::max(m.lease_from, now);
-  answer(request, 200, wire::report_answer(given, list));
+  m.heartbeat_answered = true;
+  m.lease_granted_at = std::max(m.lease_granted_at, now);
+  answer(request, 200, wire::heartbeat_reply(given, list));
 }
 
 // Something that we sent did not reach the machine: everything sent from now on outruns it, and the
 // new token is what the machine must show before it gets new work.
-void Controller::out_of_reach(Ms now, Machine& m) {
+void Controller::mark_unreachable(Ms now, Machine& m) {
   ++m.fence;
-  m.reach_token = token(m);
-  if (m.unreached_since == 0) m.unreached_since = now;
+  m.reachability_token = token(m);
+  if (m.unreachable_since == 0) m.unreachable_since = now;
 }
 
 // The machine's answer to our own message carries counters that it had already passed when we sent
 // it: it has restarted, and what it ran is gone. Starts still on their way are outrun by a new
 // token; what it does not list is freed once it has shown that one (reconcile).
-void Controller::restarted(Ms now, Machine& m, const wire::MachineReport& report) {
+void Controller::on_agent_restart(Ms now, Machine& m, const wire::Heartbeat& heartbeat) {
   log(LogLevel::info, "machine " + m.id + " has restarted");
   m.tasks.clear();
   m.images.clear();
-  m.halts.clear();
-  m.unseen_starts.clear();
-  m.session = report.session;
+  m.stop_requests.clear();
+  m.unconfirmed_starts.clear();
+  m.incarnation = heartbeat.incarnation;
   m.sequence = 0;
-  m.last_report = {};
-  m.token_seen = 0;
-  m.touched = false;
-  m.lease_from = std::max(m.lease_from, now);
+  m.last_heartbeat_counters = {};
+  m.highest_token_seen = 0;
+  m.token_confirmed = false;
+  m.lease_granted_at = std::max(m.lease_granted_at, now);
   m.start_token = token(m);
-  out_of_reach(now, m);
+  mark_unreachable(now, m);
   for (const TaskRef& ref : replica_.placed_on(m.id)) {
     const auto* p = replica_.placement(ref);
     const wire::TaskId task{ref.range.job, ref.index};
-    const bool listed = std::any_of(report.tasks.begin(), report.tasks.end(), [&](const auto& t) {
-      return t.task == task && p && t.attempt == p->attempt;
-    });
+    const bool listed =
+        std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                    [&](const auto& t) { return t.task == task && p && t.attempt == p->attempt; });
     if (!p || listed) continue;
-    m.halts[task] = {p->attempt, 0.0};
-    m.unseen_starts[task] = m.start_token;
+    m.stop_requests[task] = {p->attempt, 0.0};
+    m.unconfirmed_starts[task] = m.start_token;
   }
 }
 
-bool Controller::take_report(Ms now, Machine& m, const wire::MachineReport& report) {
+bool Controller::apply_heartbeat(Ms now, Machine& m, const wire::Heartbeat& heartbeat) {
   if (m.sequence > 0 &&
-      Counters(report.session, report.sequence) <= Counters(m.session, m.sequence))
+      Counters(heartbeat.incarnation, heartbeat.sequence) <= Counters(m.incarnation, m.sequence))
     return false;  // late: says nothing new
-  if (report.session < m.session) return false;
-  if (report.session > m.session) {
+  if (heartbeat.incarnation < m.incarnation) return false;
+  if (heartbeat.incarnation > m.incarnation) {
     m.tasks.clear();
-    m.halts.clear();
-    m.unseen_starts.clear();
-    m.blocked_since.clear();
+    m.stop_requests.clear();
+    m.unconfirmed_starts.clear();
+    m.start_blocked_since.clear();
     m.images.clear();
     // Guards against counting the former session's lease on: heard by a direct command alone, a new
     // session was taken for run out, and what had just started in it was started elsewhere.
-    m.lease_from = std::max(m.lease_from, now);
+    m.lease_granted_at = std::max(m.lease_granted_at, now);
     // Its lease has run out although it reports: perhaps no answer reaches it. Guards against a
     // machine that draws and loses task after task.
-    if (m.sequence > 0) out_of_reach(now, m);
+    if (m.sequence > 0) mark_unreachable(now, m);
   }
-  const bool new_address = m.address != report.address;
-  m.doubted = false;
+  const bool new_address = m.address != heartbeat.address;
+  m.suspect = false;
   bool changed = m.sequence == 0 || new_address;
-  m.session = report.session;
-  m.sequence = report.sequence;
-  m.address = report.address;
-  m.type = report.type;
-  m.zone = report.zone;
-  m.spot = report.spot;
-  m.heard_at = now;
-  m.token_seen = std::max(m.token_seen, report.token);
-  if (report.token >= ClusterView::token(m.owner_since, 0) && !m.touched)
-    m.touched = changed = true;
-  if (m.unreached_since != 0 && report.token >= m.reach_token) {
-    m.unreached_since = 0;
-    m.orders_failed = 0;
+  m.incarnation = heartbeat.incarnation;
+  m.sequence = heartbeat.sequence;
+  m.address = heartbeat.address;
+  m.type = heartbeat.type;
+  m.zone = heartbeat.zone;
+  m.spot = heartbeat.spot;
+  m.last_contact = now;
+  m.highest_token_seen = std::max(m.highest_token_seen, heartbeat.token);
+  if (heartbeat.token >= ClusterView::token(m.owned_since_epoch, 0) && !m.token_confirmed)
+    m.token_confirmed = changed = true;
+  if (m.unreachable_since != 0 && heartbeat.token >= m.reachability_token) {
+    m.unreachable_since = 0;
+    m.unanswered_commands = 0;
     changed = true;
   }
-  changed = changed || m.notice != report.notice_s.has_value();
-  m.notice = report.notice_s.has_value();
-  if (m.notice) m.notice_ends = now + to_ms(*report.notice_s);
-  std::map<wire::TaskId, Seen> tasks;
-  for (const auto& t : report.tasks) {
-    Seen s;
+  changed = changed || m.preemption_notice != heartbeat.preemption_notice_s.has_value();
+  m.preemption_notice = heartbeat.preemption_notice_s.has_value();
+  if (m.preemption_notice) m.preemption_at = now + to_ms(*heartbeat.preemption_notice_s);
+  std::map<wire::TaskId, ReportedTask> tasks;
+  for (const auto& t : heartbeat.tasks) {
+    ReportedTask s;
     s.attempt = t.attempt;
     s.state = t.state;
     s.cause = t.cause;
-    s.saved = t.saved;
+    s.checkpointed = t.checkpointed;
     auto old = m.tasks.find(t.task);
     const bool same = old != m.tasks.end() && old->second.attempt == t.attempt;
     changed = changed || !same || old->second.state != t.state;
@@ -213,18 +221,19 @@
         if (m.images.size() > 16) m.images.erase(m.images.begin());
       }
     }
-    auto start = m.unseen_starts.find(t.task);
-    if (start != m.unseen_starts.end()) m.unseen_starts.erase(start);
+    auto start = m.unconfirmed_starts.find(t.task);
+    if (start != m.unconfirmed_starts.end()) m.unconfirmed_starts.erase(start);
     // The same task may be listed twice: an exited attempt and its successor.
     auto [at, fresh] = tasks.emplace(t.task, s);
     if (!fresh && at->second.state == wire::TaskState::exited) at->second = s;
   }
   changed = changed || tasks.size() != m.tasks.size();
   m.tasks = std::move(tasks);
-  refresh(m);
+  refresh_from_records(m);
   const auto* record = replica_.machine(m.id);
-  if (record && (record->session != m.session || new_address || record->address != m.address))
-    note_machine(now, m, m.standing, k::kHeardWithinMs);
+  if (record &&
+      (record->incarnation != m.incarnation || new_address || record->address != m.address))
+    record_machine_state(now, m, m.state, k::kContactWriteDelayMs);
   reconcile(now, m);
   // Most reports only say that all goes on.
   if (changed) {
@@ -234,15 +243,17 @@
   return true;
 }
 
-bool Controller::unwanted(const Machine& m, const TaskRef& ref, const wire::Placement& p) const {
+bool Controller::must_not_run(const Machine& m, const TaskRef& ref,
+                              const wire::Placement& p) const {
   auto job = replica_.jobs().find(ref.range.job);
-  if (job == replica_.jobs().end() || !job->second.known || called_off(ref.range.job, job->second))
+  if (job == replica_.jobs().end() || !job->second.known ||
+      is_cancelled(ref.range.job, job->second))
     return true;
   const auto& spec = job->second.record.spec;
   // Placed in a session that is over with the machine's former life (restarted).
-  if (m.sequence > 0 && p.session > m.session) return true;
-  if (auto h = m.halts.find({ref.range.job, ref.index});
-      h != m.halts.end() && h->second.first == p.attempt)
+  if (m.sequence > 0 && p.incarnation > m.incarnation) return true;
+  if (auto h = m.stop_requests.find({ref.range.job, ref.index});
+      h != m.stop_requests.end() && h->second.first == p.attempt)
     return true;
   if (!spec.is_gang()) return false;
   const auto* range = replica_.range(ref.range);
@@ -260,8 +271,8 @@
     const auto* p = replica_.placement(ref);
     if (!p) continue;
     const wire::TaskId task{ref.range.job, ref.index};
-    if (p->session < m.session) {
-      free_task(ref, p->attempt, false);
+    if (p->incarnation < m.incarnation) {
+      release_task(ref, p->attempt, false);
       continue;
     }
     auto seen = m.tasks.find(task);
@@ -269,31 +280,31 @@
       if (seen->second.state == wire::TaskState::exited) on_exit(now, m, ref, seen->second);
       continue;
     }
-    if (!m.touched || !unwanted(m, ref, *p)) continue;
-    auto start = m.unseen_starts.find(task);
-    const std::uint64_t sent = start == m.unseen_starts.end() ? 0 : start->second;
-    if (m.token_seen > sent) {
+    if (!m.token_confirmed || !must_not_run(m, ref, *p)) continue;
+    auto start = m.unconfirmed_starts.find(task);
+    const std::uint64_t sent = start == m.unconfirmed_starts.end() ? 0 : start->second;
+    if (m.highest_token_seen > sent) {
       // Guards against a start still in flight: it carries a token that the worker now refuses.
-      m.unseen_starts.erase(task);
-      m.halts.erase(task);
-      free_task(ref, p->attempt, false);
+      m.unconfirmed_starts.erase(task);
+      m.stop_requests.erase(task);
+      release_task(ref, p->attempt, false);
     }
   }
 }
 
-bool Controller::absence_open(const Machine& m) const {
+bool Controller::has_unproven_absence(const Machine& m) const {
   const auto& placed = replica_.placed_on(m.id);
   return std::any_of(placed.begin(), placed.end(), [&](const TaskRef& ref) {
     const auto* p = replica_.placement(ref);
-    if (!p || p->session < m.session || !unwanted(m, ref, *p)) return false;
+    if (!p || p->incarnation < m.incarnation || !must_not_run(m, ref, *p)) return false;
     if (m.tasks.contains({ref.range.job, ref.index})) return false;
     const auto work = work_.find(ref.range);
-    return work == work_.end() || !work->second.freed.contains(ref.index);
+    return work == work_.end() || !work->second.released.contains(ref.index);
   });
 }
 
-void Controller::free_task(const TaskRef& ref, std::uint64_t attempt, bool done) {
-  Freed& f = work_[ref.range].freed[ref.index];
+void Controller::release_task(const TaskRef& ref, std::uint64_t attempt, bool done) {
+  Released& f = work_[ref.range].released[ref.index];
   if (f.attempt == attempt && f.done) return;
   f = {attempt, done};
   log(LogLevel::debug, std::string(done ? "done: " : "free: ") +
@@ -302,29 +313,29 @@
   dirty_ = true;
 }
 
-void Controller::on_exit(Ms now, Machine& m, const TaskRef& ref, const Seen& seen) {
+void Controller::on_exit(Ms now, Machine& m, const TaskRef& ref, const ReportedTask& seen) {
   auto w = work_.find(ref.range);
   if (w != work_.end()) {
-    auto f = w->second.freed.find(ref.index);
-    if (f != w->second.freed.end() && f->second.attempt == seen.attempt) return;  // counted
+    auto f = w->second.released.find(ref.index);
+    if (f != w->second.released.end() && f->second.attempt == seen.attempt) return;  // counted
   }
   const Job* job = replica_.job(ref.range.job);
   const bool service = job && job->record.spec.is_service();
   // A service is never done: a replica that says so has ended like any other.
-  free_task(ref, seen.attempt, seen.cause == wire::ExitCause::done && !service);
-  m.halts.erase({ref.range.job, ref.index});
+  release_task(ref, seen.attempt, seen.cause == wire::ExitCause::done && !service);
+  m.stop_requests.erase({ref.range.job, ref.index});
   if (service) on_replica_end(now, m, ref, seen);
   switch (seen.cause) {
     case wire::ExitCause::done:
-      if (!service) health_.completed(m.id, ref.range.job);
+      if (!service) failure_tracker_.completed(m.id, ref.range.job);
       break;
     case wire::ExitCause::error:
       log(LogLevel::info,
           "task " + wire::task_name(ref.range.job, ref.index) + " failed on " + m.id);
-      if (health_.failed(now, m.id, ref.range.job)) {
-        if (m.recorded && m.standing == wire::MachineStanding::ready) {
+      if (failure_tracker_.failed(now, m.id, ref.range.job)) {
+        if (m.recorded && m.state == wire::MachineState::ready) {
           log(LogLevel::info, "machine " + m.id + " is sick");
-          note_machine(now, m, wire::MachineStanding::sick, 0);
+          record_machine_state(now, m, wire::MachineState::quarantined, 0);
         }
       }
       break;
@@ -333,7 +344,7 @@
     case wire::ExitCause::unknown:
       log(LogLevel::info,
           "start of " + wire::task_name(ref.range.job, ref.index) + " refused by " + m.id);
-      m.no_room_until = now + k::kNoRoomPauseMs;
+      m.full_until = now + k::kNoRoomPauseMs;
       break;
     default:
       break;
--- a/src/workers/machine_checks.cpp
+++ b/src/workers/machine_checks.cpp
@@ -21,39 +21,40 @@
 }
 
 void Controller::learn_lease(Ms now, Machine& m) const {
-  if (m.lease_known || !(m.touched || peers_acknowledged_epoch(m.owner_since))) return;
+  if (m.lease_known || !(m.token_confirmed || peers_acknowledged_epoch(m.owned_since_epoch)))
+    return;
   m.lease_known = true;
-  m.lease_from = std::max(m.lease_from, now);
+  m.lease_granted_at = std::max(m.lease_granted_at, now);
 }
 
-bool Controller::lease_over(Ms now, const Machine& m) const {
+bool Controller::lease_expired(Ms now, const Machine& m) const {
   return m.lease_known &&
-         static_cast<double>(now - m.lease_from) >
+         static_cast<double>(now - m.lease_granted_at) >
              settings_.lease_s * 1000.0 * (1.0 + k::kClockDrift) + k::kLeaseMarginMs;
 }
 
 // What still runs on a sick machine is stopped; it is returned once it is empty.
-void Controller::empty_machine(Machine& m) {
+void Controller::drain(Machine& m) {
   for (const auto& [task, seen] : m.tasks) {
     const Job* job = replica_.job(task.job);
-    if (!job || seen.state == wire::TaskState::exited || m.halts.contains(task)) continue;
-    m.halts[task] = {seen.attempt, job->record.spec.save_s};
-    m.send_again = true;
+    if (!job || seen.state == wire::TaskState::exited || m.stop_requests.contains(task)) continue;
+    m.stop_requests[task] = {seen.attempt, job->record.spec.checkpoint_write_s};
+    m.resend_commands = true;
   }
 }
 
 // The cloud takes the machine away soon.
-void Controller::heed_notice(Ms now, Machine& m) {
+void Controller::drain_before_preemption(Ms now, Machine& m) {
   for (const auto& [task, seen] : m.tasks) {
     const Job* job = replica_.job(task.job);
-    if (!job || seen.state == wire::TaskState::exited || m.halts.contains(task)) continue;
+    if (!job || seen.state == wire::TaskState::exited || m.stop_requests.contains(task)) continue;
     const auto& spec = job->record.spec;
-    const double left_s = static_cast<double>(m.notice_ends - now) / 1000.0;
+    const double left_s = static_cast<double>(m.preemption_at - now) / 1000.0;
     const double ran =
         seen.running_since ? static_cast<double>(now - seen.running_since) / 1000.0 : 0;
     const double need = ran < spec.estimate_s ? spec.estimate_s - ran : k::kOverrunAllowanceS;
     if (spec.is_gang()) {
-      for (const auto& [number, r] : job->ranges) work_[{task.job, number}].want_stop = true;
+      for (const auto& [number, r] : job->ranges) work_[{task.job, number}].stop_requested = true;
       dirty_ = true;
       continue;
     }
@@ -63,89 +64,93 @@
     }
     // It may end in time; what saves is stopped when just enough is left for that.
     if (need < left_s - 1.0) continue;
-    if (spec.checkpoint_s > 0 && left_s > spec.save_s + 2.0) continue;
-    m.halts[task] = {seen.attempt, spec.checkpoint_s > 0 ? spec.save_s : 0.0};
+    if (spec.checkpoint_interval_s > 0 && left_s > spec.checkpoint_write_s + 2.0) continue;
+    m.stop_requests[task] = {seen.attempt,
+                             spec.checkpoint_interval_s > 0 ? spec.checkpoint_write_s : 0.0};
     m.candidate_known = false;
-    m.send_again = true;
+    m.resend_commands = true;
   }
 }
 
-Ms Controller::ask_after(const Machine& m) const {
-  return replica_.hosts_service(m.id) ? std::min(quiet_after(), k::kServiceQuietMs) : quiet_after();
+Ms Controller::probe_after(const Machine& m) const {
+  return replica_.hosts_service(m.id) ? std::min(overdue_after(), k::kServiceOverdueMs)
+                                      : overdue_after();
 }
 
-bool Controller::presumed_dead(Ms now, const Machine& m, const links::HeardCount& early) const {
-  const Ms quiet = now - m.heard_at;
+bool Controller::presumed_dead(Ms now, const Machine& m, const links::ContactCount& early) const {
+  const Ms quiet = now - m.last_contact;
   // Guards against returning a machine for one lost message while its report waits for a controller
   // that it reported to before and that does not answer.
-  const Ms patience = silent_after() + (m.report_answered ? 0 : k::kReportAnswerMs);
-  if (m.orders_failed > 0 && quiet > patience) return true;
-  if (m.orders_failed < k::kProbesBeforeReturn || quiet <= quiet_after()) return false;
+  const Ms patience = unresponsive_after() + (m.heartbeat_answered ? 0 : k::kHeartbeatReplyMs);
+  if (m.unanswered_commands > 0 && quiet > patience) return true;
+  if (m.unanswered_commands < k::kProbesBeforeReturn || quiet <= overdue_after()) return false;
   // Guards against returning all services of a zone in the first seconds of a cut: when the first
   // of their machines has left two messages unanswered, most others have not been asked yet.
-  return !asked_early(m) || early.mostly_heard() || quiet > quiet_after() + k::kAskedTwiceMs;
+  return !probed_early(m) || early.mostly_responsive() ||
+         quiet > overdue_after() + k::kTwoUnansweredCommandsMs;
 }
 
-void Controller::watch_machines(Ms now) {
-  if (!ready() || now < machines_at_ || resynchronising(now)) return;
+void Controller::check_machines(Ms now) {
+  if (!ready() || now < next_machine_check_ || resynchronising(now)) return;
   const auto shard = static_cast<Ms>(machines_.size());
-  machines_at_ = now + std::max(k::kLookEveryMs, shard * 1000 / k::kLooksPerS);
+  next_machine_check_ = now + std::max(k::kMachineCheckMs, shard * 1000 / k::kMachineChecksPerS);
   std::erase_if(machines_, [&](const auto& entry) {
     const Machine& m = entry.second;
     // Guards against forgetting, with the machine, which starts may still be on their way to it.
-    return !m.recorded && !replica_.machine(m.id) && !m.orders_in_flight &&
-           now - m.heard_at > silent_after() && replica_.placed_on(entry.first).empty();
+    return !m.recorded && !replica_.machine(m.id) && !m.commands_in_flight &&
+           now - m.last_contact > unresponsive_after() && replica_.placed_on(entry.first).empty();
   });
   const links::Census census = take_census(now);
   const links::Moment when = moment(now);
   for (auto& [id, m] : machines_) {
-    if (m.session == 0) continue;
+    if (m.incarnation == 0) continue;
     learn_lease(now, m);
-    const bool ready = m.recorded && m.standing == wire::MachineStanding::ready;
-    const bool gone = m.standing == wire::MachineStanding::gone;
+    const bool ready = m.recorded && m.state == wire::MachineState::ready;
+    const bool gone = m.state == wire::MachineState::terminated;
     // Its silence is that of a few, not that of a link.
-    const bool few = links_.may_declare_dead(when, m.zone, census, now - m.heard_at).allowed;
+    const bool few = links_.may_declare_dead(when, m.zone, census, now - m.last_contact).allowed;
     // Without the state service a newer view may exist in which another keeps the lease.
-    if (gone || (can_write(now) && lease_over(now, m))) {
+    if (gone || (can_write(now) && lease_expired(now, m))) {
       // Every task it had is gone, and a start that is still on its way names an older session.
       for (const TaskRef& ref : replica_.placed_on(id)) {
         const auto* p = replica_.placement(ref);
-        if (p && (gone || p->session <= m.session)) free_task(ref, p->attempt, false);
+        if (p && (gone || p->incarnation <= m.incarnation)) release_task(ref, p->attempt, false);
       }
       m.tasks.clear();
       m.candidate_known = false;
       // Replaced, unless it is we who hear nobody.
-      if (!gone && ready && few && now - m.heard_at > silent_after())
-        note_machine(now, m, wire::MachineStanding::lost, 0);
+      if (!gone && ready && few && now - m.last_contact > unresponsive_after())
+        record_machine_state(now, m, wire::MachineState::lost, 0);
       continue;
     }
     // It reports, but nothing reaches it: what it has is stopped by its own lease, and it goes.
-    if (ready && few && m.unreached_since != 0 &&
-        now - m.unreached_since > to_ms(settings_.lease_s * k::kUnreachedLeases)) {
+    if (ready && few && m.unreachable_since != 0 &&
+        now - m.unreachable_since > to_ms(settings_.lease_s * k::kUnreachableLeases)) {
       log(LogLevel::info, "machine " + id + " cannot be reached; returning it");
-      note_machine(now, m, wire::MachineStanding::lost, 0);
+      record_machine_state(now, m, wire::MachineState::lost, 0);
     }
-    if (ready && few && now - m.reported_at > to_ms(settings_.lease_s * k::kUnreachedLeases) &&
-        now - m.heard_at <= silent_after()) {
+    if (ready && few && now - m.last_heartbeat > to_ms(settings_.lease_s * k::kUnreachableLeases) &&
+        now - m.last_contact <= unresponsive_after()) {
       log(LogLevel::info, "machine " + id + " does not report; returning it");
-      note_machine(now, m, wire::MachineStanding::lost, 0);
+      record_machine_state(now, m, wire::MachineState::lost, 0);
     }
-    if (m.standing == wire::MachineStanding::sick) empty_machine(m);
+    if (m.state == wire::MachineState::quarantined) drain(m);
     // Silent to reports and to a direct command while others are heard: most likely dead, hanging
     // or taken. Returning it proves its tasks gone sooner than its lease does.
     if (ready && presumed_dead(now, m, census.early(m.zone)) && !replica_.placed_on(id).empty() &&
-        (few || (census.all.mostly_heard() && hurries(m))) && !may_be_reached(now, m)) {
+        (few || (census.all.mostly_responsive() && restart_elsewhere_first(m))) &&
+        !may_be_reached(now, m)) {
       log(LogLevel::info, "machine " + id + " is silent; returning it");
-      note_machine(now, m, wire::MachineStanding::lost, 0);
+      record_machine_state(now, m, wire::MachineState::lost, 0);
     }
-    if (m.notice && ready) note_machine(now, m, wire::MachineStanding::draining, 0);
-    if (m.notice) heed_notice(now, m);
-    const bool idle_probe =
-        now - m.heard_at > ask_after(m) && now >= m.orders_after && !replica_.placed_on(id).empty();
+    if (m.preemption_notice && ready) record_machine_state(now, m, wire::MachineState::draining, 0);
+    if (m.preemption_notice) drain_before_preemption(now, m);
+    const bool idle_probe = now - m.last_contact > probe_after(m) && now >= m.next_command_at &&
+                            !replica_.placed_on(id).empty();
     // What calls for a direct message sets send_again; the rest is looked at now and then.
-    if (m.send_again || idle_probe || now >= m.send_check_at) {
-      m.send_check_at = now + k::kOrdersCheckEveryMs;
-      send_orders(now, m, idle_probe);
+    if (m.resend_commands || idle_probe || now >= m.next_command_check) {
+      m.next_command_check = now + k::kCommandCheckMs;
+      send_commands(now, m, idle_probe);
     }
   }
 }
--- a/src/workers/relay.cpp
+++ b/src/workers/relay.cpp
@@ -12,10 +12,10 @@
 constexpr int kHexadecimal = 16;  // as incarnations are written
 }
 
-Relay::Relay(const Context& context, Send send, TakeReport take_report)
+Relay::Relay(const Context& context, Send send, TakeHeartbeat apply_heartbeat)
     : context_(context),
       send_(std::move(send)),
-      take_report_(std::move(take_report)),
+      take_heartbeat_(std::move(apply_heartbeat)),
       next_id_(std::stoull(context.incarnation, nullptr, kHexadecimal)) {}
 
 bool Relay::send(Ms now, Ms timeout, const std::string& peer, wire::RelayRequest request,
@@ -41,10 +41,10 @@
   return send(now, k::kRelayedCommandMs, peer, std::move(request), std::move(done));
 }
 
-bool Relay::send_report(Ms now, Ms wall, const std::string& owner, const std::string& worker,
-                        std::string body, OutcomeHandler done) {
+bool Relay::send_heartbeat(Ms now, Ms wall, const std::string& owner, const std::string& worker,
+                           std::string body, OutcomeHandler done) {
   wire::RelayRequest request;
-  request.kind = wire::RelayKind::report;
+  request.kind = wire::RelayKind::heartbeat;
   request.sent_ms = static_cast<std::uint64_t>(wall);
   request.body = std::move(body);
   return send(now, k::kRelayedReportMs, owner, std::move(request),
@@ -81,18 +81,18 @@
     pass_command(request);
     return;
   }
-  const std::uint64_t number = kRelayedBit | next_report_++;
-  reports_[number] = asked;
-  take_report_(now, number, request.body);
+  const std::uint64_t number = kRelayedBit | next_relayed_heartbeat_++;
+  relayed_heartbeats_[number] = asked;
+  take_heartbeat_(now, number, request.body);
 }
 
 void Relay::pass_command(const wire::RelayRequest& request) {
-  if (commands_out_ >= context_.capacity.direct_messages) return;
-  ++commands_out_;
-  context_.call(Target::worker, request.address, "POST", wire::kOrdersPath, request.body,
+  if (commands_in_flight_ >= context_.capacity.direct_messages) return;
+  ++commands_in_flight_;
+  context_.call(Target::worker, request.address, "POST", wire::kCommandsPath, request.body,
                 k::kRelayedWorkerMs,
                 [this, asked = Asked{request.from, request.id}](Ms, const Outcome& outcome) {
-                  --commands_out_;
+                  --commands_in_flight_;
                   if (outcome.status != kNoAnswer) answer_peer(asked, outcome.status, outcome.body);
                 });
 }
@@ -110,11 +110,11 @@
     known->second.answer = std::move(bytes);
 }
 
-void Relay::answer_report(std::uint64_t request, int status, const std::string& body) {
-  const auto report = reports_.find(request);
-  if (report == reports_.end()) return;
-  const Asked asked = std::move(report->second);
-  reports_.erase(report);
+void Relay::reply_to_heartbeat(std::uint64_t request, int status, const std::string& body) {
+  const auto heartbeat = relayed_heartbeats_.find(request);
+  if (heartbeat == relayed_heartbeats_.end()) return;
+  const Asked asked = std::move(heartbeat->second);
+  relayed_heartbeats_.erase(heartbeat);
   answer_peer(asked, status, body);
 }
 
@@ -147,7 +147,7 @@
 
 void Relay::forget(Ms now) {
   std::erase_if(handled_, [now](const auto& h) { return now - h.second.at > k::kRelayKeptMs; });
-  const Ms settled = to_ms(context_.settings.report_s * 2);
+  const Ms settled = to_ms(context_.settings.heartbeat_interval_s * 2);
   std::erase_if(passed_on_at_, [&](const auto& p) { return now - p.second > settled; });
 }
 
--- a/src/workers/relay.h
+++ b/src/workers/relay.h
@@ -23,17 +23,17 @@
   using Send = std::function<void(const std::string& peer, std::string bytes)>;
   // Hands a report that a peer has passed on to the controller; its answer comes by
   // `answer_report` with the same number.
-  using TakeReport = std::function<void(Ms now, std::uint64_t request, const std::string& body)>;
+  using TakeHeartbeat = std::function<void(Ms now, std::uint64_t request, const std::string& body)>;
 
-  Relay(const Context& context, Send send, TakeReport take_report);
+  Relay(const Context& context, Send send, TakeHeartbeat apply_heartbeat);
 
   // Sends a command to a worker through `peer`. `done` is called with the worker's answer, or with
   // kNoAnswer: then it may have been executed, or may still be. False if too many are under way.
   bool send_command(Ms now, Ms wall, const std::string& peer, const std::string& address,
                     std::string body, OutcomeHandler done);
   // Passes a worker's report on to its owner.
-  bool send_report(Ms now, Ms wall, const std::string& owner, const std::string& worker,
-                   std::string body, OutcomeHandler done);
+  bool send_heartbeat(Ms now, Ms wall, const std::string& owner, const std::string& worker,
+                      std::string body, OutcomeHandler done);
   // One worker of a zone in a while is sent to its owner although that doesn't hear the zone, so
   // that it is found out when it does again. True if that is to be this one; never one whose last
   // report was not passed on here, since its lease may be about to end.
@@ -46,7 +46,7 @@
 
   // Whether a request of the controller is a report that a peer has passed on.
   static bool is_relayed(std::uint64_t request) { return (request & kRelayedBit) != 0; }
-  void answer_report(std::uint64_t request, int status, const std::string& body);
+  void reply_to_heartbeat(std::uint64_t request, int status, const std::string& body);
 
  private:
   static constexpr std::uint64_t kRelayedBit = std::uint64_t{1} << 63U;
@@ -78,14 +78,14 @@
 
   const Context& context_;
   Send send_;
-  TakeReport take_report_;
+  TakeHeartbeat take_heartbeat_;
   // Begins with the incarnation: an answer to a former one's request must not pass for one to ours.
   std::uint64_t next_id_;
-  std::map<std::uint64_t, Pending> pending_;  // of ours, by id
-  std::map<std::uint64_t, Asked> reports_;    // of peers, by our number
-  std::uint64_t next_report_ = 1;
+  std::map<std::uint64_t, Pending> pending_;           // of ours, by id
+  std::map<std::uint64_t, Asked> relayed_heartbeats_;  // of peers, by our number
+  std::uint64_t next_relayed_heartbeat_ = 1;
   std::map<Asked, Handled> handled_;
-  int commands_out_ = 0;                    // of peers, under way to workers
+  int commands_in_flight_ = 0;              // of peers, under way to workers
   std::map<std::string, Ms> passed_on_at_;  // by worker, whose report was passed on and answered
   std::map<std::pair<std::string, std::string>, Ms> direct_attempt_at_;  // by owner and zone
 };
--- a/src/workers/shard_records.cpp
+++ b/src/workers/shard_records.cpp
@@ -11,11 +11,11 @@
 
 namespace k = constants;
 
-void Controller::refresh(Machine& m) const {
+void Controller::refresh_from_records(Machine& m) const {
   const auto* record = replica_.machine(m.id);
   m.recorded = record != nullptr;
   if (!record) return;
-  m.standing = std::max(m.standing, record->standing);
+  m.state = std::max(m.state, record->state);
   if (m.address.empty()) m.address = record->address;
   if (m.type.empty()) {
     m.type = record->type;
@@ -25,17 +25,18 @@
   if (m.sequence > 0) return;
   // Not heard yet: the newest session that anybody has recorded, or placed something in. Later ones
   // can only mean that even more of its tasks are gone.
-  m.session = std::max(m.session, record->session);
+  m.incarnation = std::max(m.incarnation, record->incarnation);
   for (const TaskRef& ref : replica_.placed_on(m.id))
-    if (const auto* p = replica_.placement(ref)) m.session = std::max(m.session, p->session);
+    if (const auto* p = replica_.placement(ref))
+      m.incarnation = std::max(m.incarnation, p->incarnation);
 }
 
-void Controller::note_machine(Ms now, Machine& m, wire::MachineStanding standing, Ms within) {
+void Controller::record_machine_state(Ms now, Machine& m, wire::MachineState state, Ms within) {
   const auto group = replica_.group_of(m.id);
-  m.standing = std::max(m.standing, standing);
+  m.state = std::max(m.state, state);
   if (!group) return;  // the fleet's coordinator records it first; then we are asked again
   ShardWrite& w = shard_writes_[*group];
-  const wire::ShardRecord::Heard heard{m.address, m.session, m.standing, m.owner_since};
+  const wire::ShardRecord::Contact heard{m.address, m.incarnation, m.state, m.owned_since_epoch};
   auto [at, fresh] = w.pending.try_emplace(m.id, heard);
   if (!fresh && at->second == heard && w.due <= now + within) return;
   at->second = heard;
@@ -43,7 +44,7 @@
 }
 
 void Controller::regroup_pending() {
-  std::vector<std::pair<std::string, wire::ShardRecord::Heard>> moved;
+  std::vector<std::pair<std::string, wire::ShardRecord::Contact>> moved;
   for (auto& [group, w] : shard_writes_) {
     if (w.busy) continue;
     std::erase_if(w.pending, [&, from = group](const auto& entry) {
@@ -106,8 +107,8 @@
 void Controller::write_shard_records(Ms now) {
   if (!can_write(now)) return;
   regroup_pending();
-  if (services_enabled() && now >= strays_at_) {
-    strays_at_ = now + k::kSizeEveryMs;
+  if (services_enabled() && now >= next_stray_check_) {
+    next_stray_check_ = now + k::kSizeEveryMs;
     for (const auto& [group, record] : replica_.shards_of(settings_.name)) {
       if (!shard_writes_[group].busy && has_strays(*record, group)) move_strays(group, *record);
     }
@@ -137,23 +138,23 @@
     // Guards against verdicts that are lost with the controller that found them, again and again:
     // on them wait users whose cancelled jobs run on a machine that does not answer.
     const bool urgent = std::any_of(w.pending.begin(), w.pending.end(), [](const auto& p) {
-      return p.second.standing == wire::MachineStanding::lost;
+      return p.second.state == wire::MachineState::lost;
     });
-    const bool verdict = std::any_of(w.pending.begin(), w.pending.end(), [](const auto& p) {
-      return p.second.standing != wire::MachineStanding::ready;
+    const bool changes_state = std::any_of(w.pending.begin(), w.pending.end(), [](const auto& p) {
+      return p.second.state != wire::MachineState::ready;
     });
     // Guards against a fleet of many groups that keeps placements waiting while it comes up.
-    if (!verdict && heard_writes_ >= k::kHeardWritesQueued) continue;
+    if (!changes_state && contact_writes_in_flight_ >= k::kContactWritesQueued) continue;
     Transaction t;
     const std::string key = wire::shard_key(settings_.name, group);
     t.conditions = {view_unchanged(), state_client_.unchanged(key)};
     t.writes = {{key, encode(next), std::nullopt}};
     t.urgent = urgent;
-    if (!verdict) ++heard_writes_;
+    if (!changes_state) ++contact_writes_in_flight_;
     w.busy = true;
     w.due = 0;
-    t.done = [this, group, verdict, sent = w.pending](Ms at, TxnResult result, const auto&) {
-      if (!verdict) --heard_writes_;
+    t.done = [this, group, changes_state, sent = w.pending](Ms at, TxnResult result, const auto&) {
+      if (!changes_state) --contact_writes_in_flight_;
       ShardWrite& written = shard_writes_[group];
       if (result == TxnResult::committed) {
         written.busy = false;
@@ -161,7 +162,8 @@
           auto s = sent.find(p.first);
           return s != sent.end() && s->second == p.second;
         });
-        if (!written.pending.empty() && written.due == 0) written.due = at + k::kHeardWithinMs;
+        if (!written.pending.empty() && written.due == 0)
+          written.due = at + k::kContactWriteDelayMs;
         return;
       }
       state_client_.wait_until_settled(at, [this, group](Ms then) {
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -19,15 +19,16 @@
   links::Census census;
   std::map<std::string, std::size_t> reporting;
   for (const auto& [id, m] : machines_) {
-    if (m.session == 0 || m.standing != wire::MachineStanding::ready) continue;
+    if (m.incarnation == 0 || m.state != wire::MachineState::ready) continue;
     // Guards against taking machines that are on their way out, or that have not found us yet, for
     // a sign that we are cut off.
-    if (m.recorded && m.report_answered) ++reporting[m.zone];
-    const bool silent = now - m.heard_at > quiet_after() || mute(now, m) ||
-                        (m.unreached_since != 0 && now - m.unreached_since > silent_after());
+    if (m.recorded && m.heartbeat_answered) ++reporting[m.zone];
+    const bool silent =
+        now - m.last_contact > overdue_after() || heartbeats_missing(now, m) ||
+        (m.unreachable_since != 0 && now - m.unreachable_since > unresponsive_after());
     census.all.add(!silent);
     census.zones[m.zone].add(!silent);
-    if (asked_early(m)) census.asked_early[m.zone].add(now - m.heard_at <= ask_after(m));
+    if (probed_early(m)) census.probed_early[m.zone].add(now - m.last_contact <= probe_after(m));
   }
   links_.expect_workers(now, reporting);
   links_.note_census(now, census);
@@ -46,8 +47,9 @@
     call(Target::worker, address, "GET", wire::kStatusPath, "", links::constants::kProbeTimeoutMs,
          [this, round, done, pauses = pauses_](Ms at, const Outcome& outcome) {
            --round->open;
-           wire::MachineReport report;
-           const bool answers = outcome.status == 200 && wire::parse_report(outcome.body, report);
+           wire::Heartbeat heartbeat;
+           const bool answers =
+               outcome.status == 200 && wire::parse_heartbeat(outcome.body, heartbeat);
            if (pauses != pauses_ || round->answered) return;
            round->answered = answers;
            if (answers || round->open == 0) done(at, answers);
@@ -62,8 +64,8 @@
     std::vector<std::string> sample;
     std::size_t seen = 0;
     for (const auto& [id, m] : machines_) {
-      if (m.zone != zone || m.session == 0 || m.address.empty() || !m.recorded ||
-          m.standing != wire::MachineStanding::ready)
+      if (m.zone != zone || m.incarnation == 0 || m.address.empty() || !m.recorded ||
+          m.state != wire::MachineState::ready)
         continue;
       ++seen;
       if (sample.size() < links::constants::kProbedAtOnce) {
@@ -82,31 +84,31 @@
   }
 }
 
-void Controller::keep_reachable(Ms now) {
-  if (reachable_busy_ || now < reachable_at_ || !can_write(now)) return;
+void Controller::update_reachability(Ms now) {
+  if (reachability_write_in_flight_ || now < next_reachability_check_ || !can_write(now)) return;
   // Guards against taking workers that report to their new owner already for a link that is down.
   if (newest_epoch_seen_ > cluster_view_.epoch()) return;
   if (replica_.view().unreachable.contains(settings_.name)) {
-    take_machines_back(now);
+    reclaim_shard(now);
     return;
   }
   std::vector<std::string> others = cluster_view_.owners();
   std::erase(others, settings_.name);
-  const links::Verdict verdict = links_.may_keep_machines(moment(now), others);
-  if (verdict.allowed) return;
-  log_verdict("keep_machines", verdict);
+  const links::Decision decision = links_.may_keep_machines(moment(now), others);
+  if (decision.allowed) return;
+  log_decision("keep_machines", decision);
   log(LogLevel::info, "no machine reaches us; giving ours up");
-  links_.gave_machines_up(now);
+  links_.on_machines_given_up(now);
   set_unreachable(true);
 }
 
 // Asks machines that would be ours, in our own zone if there are any.
-void Controller::take_machines_back(Ms now) {
-  reachable_at_ = now + links::constants::kProbeEveryMs;
+void Controller::reclaim_shard(Ms now) {
+  next_reachability_check_ = now + links::constants::kProbeEveryMs;
   std::vector<std::string> near, all;
   for (const auto& [id, record] : replica_.machines()) {
-    if (record.session == 0 || record.address.empty() ||
-        record.standing != wire::MachineStanding::ready)
+    if (record.incarnation == 0 || record.address.empty() ||
+        record.state != wire::MachineState::ready)
       continue;
     (record.zone == settings_.zone ? near : all).push_back(record.address);
   }
@@ -123,19 +125,19 @@
   }
   probe_workers(sample, [this](Ms at, bool answered) {
     links_.probed_while_given_up(at, answered);
-    const links::Verdict verdict = links_.may_take_machines_back(at);
-    if (!answered || !verdict.allowed || !ready() ||
+    const links::Decision decision = links_.may_reclaim_machines(at);
+    if (!answered || !decision.allowed || !ready() ||
         !replica_.view().unreachable.contains(settings_.name))
       return;
-    log_verdict("take_machines_back", verdict);
+    log_decision("take_machines_back", decision);
     log(LogLevel::info, "machines reach us again");
     set_unreachable(false);
   });
 }
 
 void Controller::set_unreachable(bool unreachable) {
-  if (reachable_busy_) return;
-  reachable_busy_ = true;
+  if (reachability_write_in_flight_) return;
+  reachability_write_in_flight_ = true;
   wire::ViewRecord next = replica_.view();
   ++next.epoch;
   if (unreachable) {
@@ -148,23 +150,24 @@
   t.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}};
   t.urgent = true;
   t.done = [this](Ms at, TxnResult, const auto&) {
-    state_client_.wait_until_settled(at, [this](Ms) { reachable_busy_ = false; });
+    state_client_.wait_until_settled(at, [this](Ms) { reachability_write_in_flight_ = false; });
   };
   state_client_.submit(std::move(t));
 }
 
-void Controller::log_verdict(std::string_view decision, const links::Verdict& verdict) {
-  LogEvent event("verdict");
-  event.field("decision", decision).field("allowed", static_cast<int>(verdict.allowed));
-  event.field("reason", links::name(verdict.reason));
-  if (!verdict.through.empty()) event.field("through", verdict.through);
-  event.field("evidence_age_ms", verdict.evidence_age_ms);
+void Controller::log_decision(std::string_view subject, const links::Decision& decision) {
+  LogEvent event("decision");
+  event.field("subject", subject).field("allowed", static_cast<int>(decision.allowed));
+  event.field("reason", links::name(decision.reason));
+  if (!decision.through.empty()) event.field("through", decision.through);
+  event.field("evidence_age_ms", decision.evidence_age_ms);
   log(LogLevel::info, event.text());
 }
 
 std::optional<std::string> Controller::relay_for(Ms now, const Machine& m) const {
   if (!settings_.relays) return std::nullopt;
-  const bool failed = m.direct_failed_at != 0 && now - m.direct_failed_at < k::kRelayForMs;
+  const bool failed =
+      m.direct_command_failed_at != 0 && now - m.direct_command_failed_at < k::kRelayForMs;
   const auto zone = links_.zones().find(m.zone);
   const bool zone_down =
       zone != links_.zones().end() && zone->second.commands(now) == links::Status::down;
@@ -175,26 +178,26 @@
 // Guards against returning a machine that is there because our own link to it is down: a peer that
 // may reach it is asked first (indirect probes, after SWIM: Das, Gupta and Motivala, 2002).
 bool Controller::may_be_reached(Ms now, const Machine& m) const {
-  return !m.relayed_unanswered && relay_for(now, m).has_value();
+  return !m.relayed_command_unanswered && relay_for(now, m).has_value();
 }
 
 // A worker that belongs to another controller reports here. Most have only not heard of their owner
 // yet; those that it can't hear are answered for it.
-void Controller::redirect_report(Ms now, std::uint64_t request, const std::string& owner,
-                                 const wire::MachineReport& report, const std::string& body) {
+void Controller::redirect_heartbeat(Ms now, std::uint64_t request, const std::string& owner,
+                                    const wire::Heartbeat& heartbeat, const std::string& body) {
   const bool forward = !Relay::is_relayed(request) &&
-                       links_.should_forward(moment(now), owner, report.zone) &&
-                       !(links_.commands_arrive(owner, report.zone) &&
-                         relay_.direct_attempt_due(now, owner, report.zone, report.machine));
+                       links_.should_forward(moment(now), owner, heartbeat.zone) &&
+                       !(links_.commands_arrive(owner, heartbeat.zone) &&
+                         relay_.direct_attempt_due(now, owner, heartbeat.zone, heartbeat.machine));
   const bool sent =
-      forward && relay_.send_report(now, now + wall_offset_, owner, report.machine, body,
-                                    [this, request](Ms, const Outcome& outcome) {
-                                      if (outcome.status == 200) {
-                                        answer(request, 200, outcome.body);
-                                      } else {
-                                        decline(request, k::kRetryAfterS);
-                                      }
-                                    });
+      forward && relay_.send_heartbeat(now, now + wall_offset_, owner, heartbeat.machine, body,
+                                       [this, request](Ms, const Outcome& outcome) {
+                                         if (outcome.status == 200) {
+                                           answer(request, 200, outcome.body);
+                                         } else {
+                                           decline(request, k::kRetryAfterS);
+                                         }
+                                       });
   if (!sent) answer(request, 421, wire::redirect_body(owner));
 }
 
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -226,7 +226,7 @@
   start_two();
   run(4500);  // it answers direct messages all the while, and its lease lasts
   EXPECT_EQ(starts_, 2);
-  EXPECT_EQ(core_->replica().machine("n-1")->standing, wire::MachineStanding::ready);
+  EXPECT_EQ(core_->replica().machine("n-1")->state, wire::MachineState::ready);
   submit("req-000002");
   run(1500);
   EXPECT_EQ(starts_, 2);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -246,19 +246,19 @@
   EXPECT_TRUE(got_after_wait);
 }
 
-TEST(Health, SeveralJobsMakeAMachineSickOneJobDoesNot) {
-  Health h;
+TEST(FailureTracker, SeveralJobsMakeAMachineSickOneJobDoesNot) {
+  FailureTracker h;
   EXPECT_FALSE(h.failed(1000, "m1", "req-000001"));
   EXPECT_FALSE(h.failed(1100, "m1", "req-000001"));
   EXPECT_TRUE(h.failed(1200, "m1", "req-000002"));
 }
 
-TEST(Health, AJobFailingEverywhereCondemnsNoMachineAndBacksOff) {
-  Health h;
+TEST(FailureTracker, AJobFailingEverywhereCondemnsNoMachineAndBacksOff) {
+  FailureTracker h;
   for (int i = 0; i < 6; ++i)
     EXPECT_FALSE(h.failed(1000 + i, "m" + std::to_string(i), "req-000009"));
-  EXPECT_TRUE(h.faulty_job("req-000009"));
-  EXPECT_GT(h.not_before("req-000009"), 1005 + constants::kJobBackoffMs);
+  EXPECT_TRUE(h.is_faulty_job("req-000009"));
+  EXPECT_GT(h.next_attempt_at("req-000009"), 1005 + constants::kJobBackoffMs);
   EXPECT_FALSE(h.failed(2000, "m1", "req-000010"));  // the faulty job's errors do not count
 }
 
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 namespace k = constants;
-using wire::MachineStanding;
+using wire::MachineState;
 
 class FleetCoordinatorTest : public Component {
  protected:
@@ -42,7 +42,7 @@
       record.zone = "a";
       record.address = id + ":1";
       fleet.machines[id] = record;
-      part.machines[id] = {record.address, 1, MachineStanding::ready, 1};
+      part.machines[id] = {record.address, 1, MachineState::ready, 1};
       listed_[id] = "running";
     }
     const auto number = static_cast<std::uint32_t>(group);
@@ -217,7 +217,7 @@
     wire::MachineRecord record;
     record.type = "g";
     record.zone = "a";
-    writer.set_standing(id, record, MachineStanding::ready);
+    writer.set_state(id, record, MachineState::ready);
     machines.insert(id);
   }
   writer.settle_rental("r", machines);
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -91,8 +91,8 @@
   ZoneLinks many(kReportMs), one(kReportMs);
   many.expect(1000, 50);
   one.expect(1000, 1);
-  for (Ms now = 1000; now <= 10'000; now += 20) many.report_heard(now);
-  one.report_heard(10'000);
+  for (Ms now = 1000; now <= 10'000; now += 20) many.heartbeat_received(now);
+  one.heartbeat_received(10'000);
   many.sample_unanswered();
   one.sample_unanswered();
   EXPECT_EQ(many.reports(11'900), Status::down);
@@ -104,7 +104,7 @@
 TEST(ZoneLinks, WithoutAnUnansweredProbeSilenceCountsLater) {
   ZoneLinks links(kReportMs);
   links.expect(1000, 50);
-  links.report_heard(10'000);
+  links.heartbeat_received(10'000);
   EXPECT_TRUE(links.probe_due(11'000));
   links.probe_sent(11'000);
   links.answered(11'050);
@@ -116,7 +116,7 @@
 TEST(ZoneLinks, CommandsAreDownAfterTwoSamplesWithoutAnAnswer) {
   ZoneLinks links(kReportMs);
   links.expect(1000, 10);
-  links.report_heard(1000);
+  links.heartbeat_received(1000);
   EXPECT_FALSE(links.probe_due(1200));
   links.suspect_commands();
   EXPECT_TRUE(links.probe_due(1200));
@@ -132,7 +132,7 @@
 // Workers that have not reported here yet, and a pause of our own, are no silence.
 TEST(ZoneLinks, OnlyWhoIsExpectedCanBeSilent) {
   ZoneLinks links(kReportMs);
-  links.report_heard(1000);
+  links.heartbeat_received(1000);
   links.expect(50'000, 0);
   EXPECT_EQ(links.reports(50'000), Status::unknown);
   links.expect(50'000, 20);
@@ -206,7 +206,7 @@
   void lose_workers(Ms since) {
     for (const char* zone : {"x", "y"}) {
       monitor_.zone(zone).expect(1000, 20);
-      monitor_.zone(zone).report_heard(since);
+      monitor_.zone(zone).heartbeat_received(since);
       monitor_.zone(zone).sample_unanswered();
     }
   }
@@ -220,7 +220,7 @@
   EXPECT_TRUE(monitor_.may_serve_users(at(now_)).allowed);
   state_.refused(now_ + 100);
   monitor_.merge(at(now_ + 200), row("b", Status::down, now_ + 150));
-  const Verdict verdict = monitor_.may_serve_users(at(now_ + 4000));
+  const Decision verdict = monitor_.may_serve_users(at(now_ + 4000));
   EXPECT_TRUE(verdict.allowed);
   EXPECT_EQ(verdict.reason, Reason::outage);
 }
@@ -228,7 +228,7 @@
 // The row of c comes through b; there is no link between a and c.
 TEST_F(MonitorTest, UsersGoToWhoHasTheStateServiceThoughOnlyAThirdOneHearsIt) {
   state_.refused(now_ + 100);
-  Verdict verdict;
+  Decision verdict;
   for (Ms t = now_ + 200; t < now_ + 3000; t += kHintMs) {
     monitor_.merge(at(t), row("b", Status::down, t - 20));
     monitor_.merge(at(t), row("c", Status::up, t - 60));
@@ -242,7 +242,7 @@
 
 TEST_F(MonitorTest, UsersLeaveWhoIsIsolated) {
   EXPECT_TRUE(monitor_.may_serve_users(at(now_ + k::kSilentMs - 100)).allowed);
-  const Verdict verdict = monitor_.may_serve_users(at(now_ + k::kSilentMs + 100));
+  const Decision verdict = monitor_.may_serve_users(at(now_ + k::kSilentMs + 100));
   EXPECT_FALSE(verdict.allowed);
   EXPECT_EQ(verdict.reason, Reason::isolated);
 }
@@ -259,7 +259,7 @@
     for (const char* zone : {"x", "y"}) other->workers[zone] = {Status::down, Status::unknown, 0};
   monitor_.merge(at(later), b);
   monitor_.merge(at(later), c);
-  const Verdict kept = monitor_.may_keep_machines(at(later), {"b", "c"});
+  const Decision kept = monitor_.may_keep_machines(at(later), {"b", "c"});
   EXPECT_TRUE(kept.allowed);
   EXPECT_EQ(kept.reason, Reason::nobody_reaches);
   c.as_of_ms += 50;
@@ -276,7 +276,7 @@
   b.as_of_ms = c.as_of_ms = static_cast<std::uint64_t>(then + kWallOffset);
   monitor_.merge(at(then), b);
   monitor_.merge(at(then), c);
-  const Verdict given = monitor_.may_keep_machines(at(then), {"b", "c"});
+  const Decision given = monitor_.may_keep_machines(at(then), {"b", "c"});
   EXPECT_FALSE(given.allowed);
   EXPECT_EQ(given.through, "c");
 }
@@ -285,25 +285,25 @@
   lose_workers(now_);
   const Ms later = now_ + 5000;
   monitor_.zone("y").answered(later);
-  monitor_.zone("y").report_heard(later);
+  monitor_.zone("y").heartbeat_received(later);
   EXPECT_TRUE(monitor_.may_keep_machines(at(later), {"b"}).allowed);
 }
 
 TEST_F(MonitorTest, MachinesComeBackOnceTheLinkIsSteady) {
-  monitor_.gave_machines_up(now_);
-  EXPECT_FALSE(monitor_.may_take_machines_back(now_ + 500).allowed);
+  monitor_.on_machines_given_up(now_);
+  EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 500).allowed);
   monitor_.probed_while_given_up(now_ + 500, true);
-  EXPECT_FALSE(monitor_.may_take_machines_back(now_ + 800).allowed);
+  EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 800).allowed);
   monitor_.probed_while_given_up(now_ + 1000, true);
-  EXPECT_FALSE(monitor_.may_take_machines_back(now_ + 2000).allowed);
-  EXPECT_TRUE(monitor_.may_take_machines_back(now_ + 1000 + k::kSteadyMs).allowed);
+  EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 2000).allowed);
+  EXPECT_TRUE(monitor_.may_reclaim_machines(now_ + 1000 + k::kSteadyMs).allowed);
   // It fails again and again.
   for (Ms t = now_ + 4000; t < now_ + 60'000; t += 6000) {
     monitor_.probed_while_given_up(t, false);
     monitor_.probed_while_given_up(t + 2000, true);
     monitor_.probed_while_given_up(t + 4000, true);
   }
-  EXPECT_FALSE(monitor_.may_take_machines_back(now_ + 62'000).allowed);
+  EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 62'000).allowed);
 }
 
 TEST_F(MonitorTest, TheViewIsJoinedAtOnceUnlessItWasLeftForALinkThatComesAndGoes) {
@@ -334,7 +334,7 @@
   wire::LinkRow b = row("b", Status::up, now_ - 100);
   b.workers["x"] = {Status::up, Status::up, 0};
   monitor_.merge(at(now_), b);
-  const Verdict verdict = monitor_.may_declare_dead(at(now_), "x", census, 5000);
+  const Decision verdict = monitor_.may_declare_dead(at(now_), "x", census, 5000);
   EXPECT_FALSE(verdict.allowed);
   EXPECT_EQ(verdict.through, "b");
   EXPECT_TRUE(monitor_.may_declare_dead(at(now_), "x", census, k::kZoneCutPatienceMs + 1).allowed);
@@ -413,11 +413,11 @@
 }
 
 TEST(PeerMessages, PassedOnMessagesRoundTripAndAreNoHints) {
-  const wire::RelayRequest request{"a", 7, 99, wire::RelayKind::report, "w:1", R"({"rig":"n"})"};
+  const wire::RelayRequest request{"a", 7, 99, wire::RelayKind::heartbeat, "w:1", R"({"rig":"n"})"};
   const auto message = wire::decode_peer_message(encode(request));
   const auto* read = std::get_if<wire::RelayRequest>(&message);
   ASSERT_NE(read, nullptr);
-  EXPECT_EQ(read->kind, wire::RelayKind::report);
+  EXPECT_EQ(read->kind, wire::RelayKind::heartbeat);
   EXPECT_EQ(read->body, request.body);
   const auto answer = wire::decode_peer_message(encode(wire::RelayAnswer{"b", 7, 200, "{}"}));
   ASSERT_NE(std::get_if<wire::RelayAnswer>(&answer), nullptr);
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -194,22 +194,22 @@
   EXPECT_EQ(starts_, before);
 }
 
-TEST(Health, AKeptResultIsAvoidedForLongAndCondemnsNoMachine) {
-  Health health;
+TEST(FailureTracker, AKeptResultIsAvoidedForLongAndCondemnsNoMachine) {
+  FailureTracker health;
   const wire::TaskId replica{"req-000001", 3};
-  health.keeps_result(1000, "m", replica);
-  EXPECT_TRUE(health.result_kept(1000 + 2 * k::kErrorMemoryMs, "m", replica));
-  EXPECT_FALSE(health.result_kept(1000, "m", {"req-000001", 4}));  // it would run there
-  EXPECT_FALSE(health.result_kept(1000, "m", {"req-000002", 3}));
-  EXPECT_FALSE(health.result_kept(1000, "n", replica));
-  health.ended_early(1000, "m", "req-000001");
-  health.ended_early(2000, "n", "req-000001");
-  EXPECT_GT(health.not_before("req-000001"), 2000);
-  health.settled("req-000001");
-  EXPECT_EQ(health.not_before("req-000001"), 0);
+  health.on_result_kept(1000, "m", replica);
+  EXPECT_TRUE(health.has_kept_result(1000 + 2 * k::kFailureMemoryMs, "m", replica));
+  EXPECT_FALSE(health.has_kept_result(1000, "m", {"req-000001", 4}));  // it would run there
+  EXPECT_FALSE(health.has_kept_result(1000, "m", {"req-000002", 3}));
+  EXPECT_FALSE(health.has_kept_result(1000, "n", replica));
+  health.on_early_exit(1000, "m", "req-000001");
+  health.on_early_exit(2000, "n", "req-000001");
+  EXPECT_GT(health.next_attempt_at("req-000001"), 2000);
+  health.on_stable("req-000001");
+  EXPECT_EQ(health.next_attempt_at("req-000001"), 0);
   health.forget_job("req-000001");
-  EXPECT_FALSE(health.failed_here(3000, "m", "req-000001"));
-  EXPECT_FALSE(health.result_kept(3000, "m", replica));
+  EXPECT_FALSE(health.has_failed_on(3000, "m", "req-000001"));
+  EXPECT_FALSE(health.has_kept_result(3000, "m", replica));
 }
 
 // ---- cutting records ----
@@ -312,7 +312,7 @@
 // While a group is cut, what was heard of its machines stands in records of the former group, and
 // the two changes may be read in either order.
 TEST(MachineGroups, WhatWasHeardFollowsInEitherOrder) {
-  const wire::ShardRecord::Heard heard{"n-1:1", 5, wire::MachineStanding::sick, 9};
+  const wire::ShardRecord::Contact heard{"n-1:1", 5, wire::MachineState::quarantined, 9};
   wire::FleetRecord fleet;
   fleet.machines["n-1"] = {"n-1:1", "g", "a", false};
   wire::ShardRecord part;
@@ -332,8 +332,8 @@
     auto check = [&] {
       const auto* machine = replica.machine("n-1");
       ASSERT_TRUE(machine);
-      EXPECT_EQ(machine->session, 5U);
-      EXPECT_EQ(machine->standing, wire::MachineStanding::sick);
+      EXPECT_EQ(machine->incarnation, 5U);
+      EXPECT_EQ(machine->state, wire::MachineState::quarantined);
     };
     change(wire::fleet_key(3), wire::fleet_key(7), encode(no_machines), encode(fleet), 3);
     EXPECT_EQ(replica.group_of("n-1"), 7U);
@@ -359,8 +359,8 @@
   fleet.machines["n-1"] = {"n-1:1", "g", "a", false};
   wire::ShardRecord part;
   for (const auto& [id, machine] : fleet.machines)
-    part.machines[id] = {machine.address, 4, wire::MachineStanding::ready, 1};
-  part.machines["n-100033"].standing = wire::MachineStanding::sick;
+    part.machines[id] = {machine.address, 4, wire::MachineState::ready, 1};
+  part.machines["n-100033"].state = wire::MachineState::quarantined;
   ASSERT_GT(encode(fleet).size(), 2048U);
   ASSERT_GT(encode(part).size(), 2048U);
   state_.transact(now_,
@@ -383,8 +383,8 @@
   EXPECT_EQ(machines.size(), 71U);
   const auto* machine = core_->replica().machine("n-100033");
   ASSERT_TRUE(machine);
-  EXPECT_EQ(machine->standing, wire::MachineStanding::sick);
-  EXPECT_EQ(machine->session, 4U);
+  EXPECT_EQ(machine->state, wire::MachineState::quarantined);
+  EXPECT_EQ(machine->incarnation, 4U);
 }
 
 // More ranges than one transaction has conditions for: their job still ends, and all are removed.
--- a/tests/sim/cluster_members.h
+++ b/tests/sim/cluster_members.h
@@ -20,7 +20,7 @@
 
 constexpr Ms kTickMs = 25;
 constexpr double kFetchMs = 400;
-constexpr Ms kReportAnswerMs = 4000;  // that a worker waits for the answer to a report (PROTOCOL)
+constexpr Ms kHeartbeatReplyMs = 4000;  // that a worker waits for the answer to a report (PROTOCOL)
 inline const char* const kZones[] = {"a", "b", "c"};  // no controller in c
 
 inline std::string pad(int n) {
@@ -82,7 +82,7 @@
   Ms deaf_since = 0, mute_since = 0;
   Ms unserved_since = 0;  // a cut began, and no controller's word has reached it since
   std::uint64_t life = 1;
-  std::uint64_t session = 1, sequence = 0, token = 0;
+  std::uint64_t incarnation = 1, sequence = 0, token = 0;
   Ms lease_from = 0, report_at = 0, waits_until = 0;
   bool reporting = false, changed = false;
   std::uint64_t report_number = 0;
--- a/tests/sim/faults.cpp
+++ b/tests/sim/faults.cpp
@@ -205,7 +205,7 @@
       if (Worker* w = machine()) {
         w->up = w->reporting = false;
         clear_tasks(*w);
-        w->session = 1;
+        w->incarnation = 1;
         w->sequence = w->token = 0;
         ++w->report_number;
         ++w->life;
--- a/tests/sim/machines.cpp
+++ b/tests/sim/machines.cpp
@@ -36,11 +36,11 @@
   // The worker's clock may be as much as 0.05% fast or slow; it keeps its tasks a little longer.
   const auto lease = static_cast<Ms>(options_.lease_s * 1000 * 1.0005);
   if (now_ - w.lease_from <= lease) return;
-  trace(w.id + " lease over, session " + std::to_string(w.session + 1));
+  trace(w.id + " lease over, session " + std::to_string(w.incarnation + 1));
   for (const auto& [task, t] : w.tasks)
     if (t.present && t.state != TaskState::exited) job_lost(task);
   clear_tasks(w);
-  ++w.session;
+  ++w.incarnation;
   w.lease_from = now_;
   w.changed = true;
 }
@@ -70,7 +70,7 @@
   p.str("fleet", "t");
   p.str("yard", w.zone);
   p.raw("standby", w.spot ? "true" : "false");
-  p.num("shift", w.session);
+  p.num("shift", w.incarnation);
   p.num("tally", ++w.sequence);
   p.num("baton", w.token);
   p.raw("warningS", w.notice_ends
@@ -97,7 +97,7 @@
   w.reporting = true;
   const std::uint64_t number = ++w.report_number;
   const Ms sent = now_;
-  const std::uint64_t session = w.session;
+  const std::uint64_t incarnation = w.incarnation;
   const std::string id = w.id, body = worker_body(w);
   if (now_ < late_copies_until_ && chance(options_.copied)) {
     at(now_ + 1000 + random(24'000), [this, body] {
@@ -112,7 +112,7 @@
   if (held) hold_report(id, w.token, body, now_ + 40'000);
   // Of those held, half do not arrive in time as well.
   const bool lost = w.mute_since != 0 || (held && chance(0.5));
-  at(now_ + worker_hop(), [this, id, number, sent, session, body, lost] {
+  at(now_ + worker_hop(), [this, id, number, sent, incarnation, body, lost] {
     Worker& x = *workers_.at(id);
     if (lost) {
       if (x.dead || number != x.report_number || !x.reporting) return;
@@ -123,7 +123,7 @@
     }
     ask_node(
         x.node, {"POST", "/hello", body}, x.zone,
-        [this, id, number, sent, session](int status, const std::string& answer) {
+        [this, id, number, sent, incarnation](int status, const std::string& answer) {
           Worker& me = *workers_.at(id);
           if (me.dead || number != me.report_number || !me.reporting) return;
           me.reporting = false;
@@ -134,7 +134,7 @@
           me.changed = false;
           rapidjson::Document doc;
           if (status == 200 && wire::parse_object(answer, doc) && doc.HasMember("baton")) {
-            if (session != me.session || now_ - sent > 4000) return;
+            if (incarnation != me.incarnation || now_ - sent > 4000) return;
             const std::uint64_t token = doc["baton"].GetUint64();
             if (token < me.token && !options_.workers_ignore_tokens) return;
             me.token = std::max(me.token, token);
@@ -223,13 +223,13 @@
       if (t.state == TaskState::exited) continue;
       auto& job = jobs_.at(task.job);
       const double grace = o["leewayS"].GetDouble();
-      const bool saves = job.spec.checkpoint_s > 0 && grace >= job.spec.save_s;
+      const bool saves = job.spec.checkpoint_interval_s > 0 && grace >= job.spec.checkpoint_write_s;
       if (t.state == TaskState::running && saves) {
         if (job.spec.is_gang()) job.gang_first_stop.emplace(attempt, now_);
-        t.state = TaskState::saving;
+        t.state = TaskState::checkpointing;
         t.since = now_;
         w.changed = true;
-      } else if (t.state != TaskState::saving || grace <= 0) {
+      } else if (t.state != TaskState::checkpointing || grace <= 0) {
         end_task(w, task, attempt, ExitCause::stopped, false);
       }
     }
@@ -308,8 +308,8 @@
           break;
         }
         t.work_ms += static_cast<double>(options_.worker_step_ms);
-        if (job.spec.checkpoint_s > 0) {
-          const double interval = job.spec.checkpoint_s * 1000;
+        if (job.spec.checkpoint_interval_s > 0) {
+          const double interval = job.spec.checkpoint_interval_s * 1000;
           job.progress[task.index] =
               std::max(job.progress[task.index], std::floor(t.work_ms / interval) * interval);
         }
@@ -319,8 +319,8 @@
           if (job.completed.size() == job.spec.tasks) ends(task.job);
         }
         break;
-      case TaskState::saving:
-        if (now_ - t.since >= static_cast<Ms>(job.spec.save_s * 1000)) {
+      case TaskState::checkpointing:
+        if (now_ - t.since >= static_cast<Ms>(job.spec.checkpoint_write_s * 1000)) {
           job.progress[task.index] = std::max(job.progress[task.index], t.work_ms);
           end_task(w, task, t.attempt, ExitCause::stopped, true);
         }
@@ -369,8 +369,8 @@
       } else if (whole && count(TaskState::running) == static_cast<long>(job.spec.tasks)) {
         for (auto& m : members) state(m).work_ms += static_cast<double>(options_.check_every_ms);
         const double work = state(members.front()).work_ms;
-        if (job.spec.checkpoint_s > 0) {
-          const double interval = job.spec.checkpoint_s * 1000;
+        if (job.spec.checkpoint_interval_s > 0) {
+          const double interval = job.spec.checkpoint_interval_s * 1000;
           job.gang_progress = std::max(job.gang_progress, std::floor(work / interval) * interval);
         }
         if (work >= job.work_ms) {
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -179,9 +179,9 @@
       rapidjson::Document doc;
       if (!wire::parse_object(call.body, doc)) return respond(400, "{}");
       const std::uint64_t token = doc["baton"].GetUint64();
-      const bool session =
-          doc["shift"].GetUint64() == w->session || options_.workers_ignore_sessions;
-      if ((token < w->token && !options_.workers_ignore_tokens) || !session)
+      const bool same_incarnation =
+          doc["shift"].GetUint64() == w->incarnation || options_.workers_ignore_incarnations;
+      if ((token < w->token && !options_.workers_ignore_tokens) || !same_incarnation)
         return respond(409, worker_body(*w));
       w->token = std::max(w->token, token);
       served(*w);
@@ -276,13 +276,13 @@
     };
   const std::string worker_end = "workers/" + from_zone;
   if (worker && link_cuts_.down(worker_end, n.name)) {
-    at(now_ + kReportAnswerMs, [respond] { respond(0, ""); });
+    at(now_ + kHeartbeatReplyMs, [respond] { respond(0, ""); });
     return;
   }
   if (worker)
     respond = [this, i, worker_end, respond, asked = now_](int status, const std::string& body) {
       if (!link_cuts_.down(nodes_[i]->name, worker_end)) return respond(status, body);
-      at(asked + kReportAnswerMs, [respond] { respond(0, ""); });  // the answer is lost
+      at(asked + kHeartbeatReplyMs, [respond] { respond(0, ""); });  // the answer is lost
     };
   if (!worker && options_.forge)
     respond = [this, request, respond](int status, std::string body) {
@@ -310,7 +310,7 @@
   };
   n.asked[id] = {request.path, finish};
   trace(n.name + " <- " + request.path + " " + request.body);
-  at(now_ + kReportAnswerMs, [finish] { finish(0, ""); });
+  at(now_ + kHeartbeatReplyMs, [finish] { finish(0, ""); });
   input(i, [this, id, request](Controller& c) { c.on_request(now_, id, request); });
 }
 
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -47,8 +47,8 @@
   }
   s.spot = chance(0.5);
   if (chance(0.2)) {
-    s.checkpoint_s = 2;
-    s.save_s = 1;
+    s.checkpoint_interval_s = 2;
+    s.checkpoint_write_s = 1;
   }
   if (chance(kShareOverTheLimit)) {
     s.team = "tight";
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -35,7 +35,7 @@
   settings_.controllers = options.controllers;
   settings_.relays = options.relays;
   settings_.zones = {"a", "b", "c"};
-  settings_.report_s = options.report_s;
+  settings_.heartbeat_interval_s = options.report_s;
   settings_.lease_s = options.lease_s * options.believed_lease_share;
   settings_.gang_wait_s = options.gang_wait_s;
   settings_.gang_peer_s = options.gang_peer_s;
@@ -202,7 +202,7 @@
     if (!w->up || w->dead) continue;
     const bool known = std::any_of(nodes_.begin(), nodes_.end(), [&, id = id](const auto& n) {
       const auto* record = n->controller ? n->controller->replica().machine(id) : nullptr;
-      return record && record->session == w->session;
+      return record && record->incarnation == w->incarnation;
     });
     heard += known ? 1 : 0;
   }
--- a/tests/sim/simulated_cluster.h
+++ b/tests/sim/simulated_cluster.h
@@ -135,7 +135,7 @@
   // Taken out:
   bool state_ignores_conditions = false;
   bool workers_ignore_tokens = false;
-  bool workers_ignore_sessions = false;
+  bool workers_ignore_incarnations = false;
   double report_s = 1, lease_s = 8;   // of workers
   Ms dead_listed_ms = 5000;           // for which a dead machine is still listed as running
   double believed_lease_share = 1.0;  // the lease that cores believe in, of the workers' real one
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -44,8 +44,8 @@
   job.work_ms = 1000 + random((options_.longest_task_s - 1) * 1000);
   s.estimate_s = job.work_ms / 1000 * (0.5 + random(100) / 100.0);
   if (chance(0.4)) {
-    s.checkpoint_s = 2;
-    s.save_s = 1;
+    s.checkpoint_interval_s = 2;
+    s.checkpoint_write_s = 1;
   }
   if (chance(0.5)) s.deadline_s = s.estimate_s * 2 + 5;
   job.mistake = chance(options_.mistaken);
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -363,7 +363,7 @@
 TEST(Referee, SeesCommandsUnderOldTokens) {
   Options o;
   o.workers_ignore_tokens = true;
-  o.workers_ignore_sessions = true;
+  o.workers_ignore_incarnations = true;
   o.repeated = 0.5;
   EXPECT_GT(broken_runs(o, "ran_twice"), 0);
 }
--- a/tests/support/component_test.h
+++ b/tests/support/component_test.h
@@ -34,7 +34,7 @@
     settings.zone = "a";
     settings.zones = {"a"};
     settings.teams = {{"t", 0, 0, 0, 0}};
-    settings.report_s = 1;
+    settings.heartbeat_interval_s = 1;
     settings.lease_s = 8;
     settings.cancel_s = 20;
     settings.state_rps = 400;
--- a/tests/support/single_controller_test.h
+++ b/tests/support/single_controller_test.h
@@ -24,7 +24,7 @@
     s.name = "puffin-0";
     s.zone = "a";
     s.teams = {{"t", 0, 0, 0, 0}};
-    s.report_s = 1;
+    s.heartbeat_interval_s = 1;
     s.lease_s = 8;
     s.gang_wait_s = 6;
     s.gang_peer_s = 2;
@@ -144,14 +144,15 @@
     pump();
   }
 
-  std::string body(std::uint64_t session, std::uint64_t sequence, const char* id = "n-1") const {
+  std::string body(std::uint64_t incarnation, std::uint64_t sequence,
+                   const char* id = "n-1") const {
     sim::Put p;
     p.str("rig", id);
     p.str("endpoint", std::string(id) + ":1");
     p.str("fleet", "g");
     p.str("yard", "a");
     p.raw("standby", "false");
-    p.num("shift", session);
+    p.num("shift", incarnation);
     p.num("tally", sequence);
     p.num("baton", token_);
     std::string loads;
@@ -195,9 +196,9 @@
   }
 
   // A report that was sent before the machine had any task arrives only now.
-  void report_from_before(std::uint64_t session, std::uint64_t sequence) {
+  void report_from_before(std::uint64_t incarnation, std::uint64_t sequence) {
     const auto tasks = std::exchange(tasks_, {});
-    core_->on_request(now_, next_++, {"POST", "/hello", body(session, sequence)});
+    core_->on_request(now_, next_++, {"POST", "/hello", body(incarnation, sequence)});
     tasks_ = tasks;
     pump();
   }
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -74,7 +74,7 @@
   machine.type = place % 4 == 0 ? "g8" : "c16";
   machine.zone = std::string(1, static_cast<char>('a' + place % 3));
   machine.spot = place % 5 == 0;
-  machine.standing = static_cast<MachineStanding>(place % 5);
+  machine.state = static_cast<MachineState>(place % 5);
   return machine;
 }
 
@@ -137,8 +137,8 @@
   EXPECT_TRUE(job.spec.spread);
   EXPECT_TRUE(job.spec.spot);
   EXPECT_EQ(job.spec.estimate_s, 240.0);
-  EXPECT_EQ(job.spec.checkpoint_s, 30.5);
-  EXPECT_EQ(job.spec.save_s, 4.0);
+  EXPECT_EQ(job.spec.checkpoint_interval_s, 30.5);
+  EXPECT_EQ(job.spec.checkpoint_write_s, 4.0);
   EXPECT_EQ(job.spec.deadline_s, 900.0);
   EXPECT_EQ(job.submitted_ms, 1764651436123);
   EXPECT_TRUE(job.cancelled);
@@ -176,8 +176,8 @@
   EXPECT_FALSE(job.spec.spread);
   EXPECT_FALSE(job.spec.spot);
   EXPECT_EQ(job.spec.estimate_s, 0.0);
-  EXPECT_EQ(job.spec.checkpoint_s, 0.0);
-  EXPECT_EQ(job.spec.save_s, 0.0);
+  EXPECT_EQ(job.spec.checkpoint_interval_s, 0.0);
+  EXPECT_EQ(job.spec.checkpoint_write_s, 0.0);
   EXPECT_FALSE(job.spec.deadline_s.has_value());
   EXPECT_EQ(job.submitted_ms, 0);
   EXPECT_FALSE(job.cancelled);
@@ -203,8 +203,8 @@
   EXPECT_FALSE(job.spec.spread);
   EXPECT_FALSE(job.spec.spot);
   EXPECT_EQ(job.spec.estimate_s, 100'000.0);
-  EXPECT_EQ(job.spec.checkpoint_s, 60.0);
-  EXPECT_EQ(job.spec.save_s, 5.0);
+  EXPECT_EQ(job.spec.checkpoint_interval_s, 60.0);
+  EXPECT_EQ(job.spec.checkpoint_write_s, 5.0);
   EXPECT_EQ(job.spec.deadline_s, 0.0);
   EXPECT_EQ(job.submitted_ms, -5);
   EXPECT_FALSE(job.cancelled);
@@ -317,11 +317,11 @@
   ASSERT_EQ(fleet.machines.size(), 5U);
   for (std::uint32_t i = 0; i < 5; ++i)
     EXPECT_EQ(fleet.machines.at(machine_name(i)), machine_at(i)) << i;
-  EXPECT_EQ(fleet.machines.at("n-000000").standing, MachineStanding::ready);
-  EXPECT_EQ(fleet.machines.at("n-000001").standing, MachineStanding::sick);
-  EXPECT_EQ(fleet.machines.at("n-000002").standing, MachineStanding::draining);
-  EXPECT_EQ(fleet.machines.at("n-000003").standing, MachineStanding::lost);
-  EXPECT_EQ(fleet.machines.at("n-000004").standing, MachineStanding::gone);
+  EXPECT_EQ(fleet.machines.at("n-000000").state, MachineState::ready);
+  EXPECT_EQ(fleet.machines.at("n-000001").state, MachineState::quarantined);
+  EXPECT_EQ(fleet.machines.at("n-000002").state, MachineState::draining);
+  EXPECT_EQ(fleet.machines.at("n-000003").state, MachineState::lost);
+  EXPECT_EQ(fleet.machines.at("n-000004").state, MachineState::terminated);
   const auto full = read_fixture<FleetRecord>("fleet_70_machines.json");
   ASSERT_EQ(full.machines.size(), 70U);
   for (std::uint32_t i = 0; i < 70; ++i)
@@ -332,15 +332,15 @@
   const auto part = read_fixture<ShardRecord>("part.json");
   ASSERT_EQ(part.machines.size(), 5U);
   for (std::uint32_t i = 0; i < 5; ++i) {
-    const ShardRecord::Heard expected{machine_address(i), i == 4 ? kLargest : i,
-                                      static_cast<MachineStanding>(i), 400 + i};
+    const ShardRecord::Contact expected{machine_address(i), i == 4 ? kLargest : i,
+                                        static_cast<MachineState>(i), 400 + i};
     EXPECT_EQ(part.machines.at(machine_name(i)), expected) << i;
   }
   const auto full = read_fixture<ShardRecord>("part_70_machines.json");
   ASSERT_EQ(full.machines.size(), 70U);
   for (std::uint32_t i = 0; i < 70; ++i) {
-    const ShardRecord::Heard expected{machine_address(i), 1 + i % 4,
-                                      static_cast<MachineStanding>(i % 5), 410 + i % 8};
+    const ShardRecord::Contact expected{machine_address(i), 1 + i % 4,
+                                        static_cast<MachineState>(i % 5), 410 + i % 8};
     EXPECT_EQ(full.machines.at(machine_name(1000 + i)), expected) << i;
   }
 }
@@ -570,7 +570,7 @@
   merged.machines = replica.machines();
   out += "\nmachines " + encode(merged);
   for (const auto& [id, machine] : replica.machines())
-    out += "\nmachine " + id + " session " + std::to_string(machine.session) + " tasks " +
+    out += "\nmachine " + id + " session " + std::to_string(machine.incarnation) + " tasks " +
            std::to_string(replica.placed_on(id).size());
   for (const auto& id : replica.unrecorded()) out += "\nunrecorded " + id;
   for (const auto& [name, hire] : replica.rentals()) out += "\nhire " + name + encode(hire);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -80,16 +80,16 @@
       R"("shift":1,"tally":88,"baton":41,"warningS":null,"loads":[)"
       R"({"load":"req-000412/3","try":2,"status":"running"},)"
       R"({"load":"req-000398/0","try":1,"status":"exited","cause":"stopped","saved":true}]})";
-  MachineReport r;
-  ASSERT_TRUE(parse_report(good, r));
+  Heartbeat r;
+  ASSERT_TRUE(parse_heartbeat(good, r));
   ASSERT_EQ(r.tasks.size(), 2U);
   EXPECT_EQ(r.tasks[0].task.index, 3U);
-  EXPECT_TRUE(r.tasks[1].saved);
+  EXPECT_TRUE(r.tasks[1].checkpointed);
   EXPECT_EQ(r.tasks[1].cause, ExitCause::stopped);
   for (const char* word : {"rig", "shift", "tally", "baton", "try", "load\"", "cause"}) {
     std::string bad = good;
     bad.replace(bad.rfind(word), 1, "X");
-    EXPECT_FALSE(parse_report(bad, r)) << bad;
+    EXPECT_FALSE(parse_heartbeat(bad, r)) << bad;
   }
 }
 
@@ -143,14 +143,14 @@
   ASSERT_TRUE(decode(encode(quota), quota2));
   EXPECT_EQ(encode(quota), encode(quota2));
   FleetRecord fleet, fleet2;
-  fleet.machines["n-1"] = {"1.2.3.4:5", "t", "z", true, MachineStanding::sick, 0};
-  fleet.machines["n-2"] = {"", "t", "y", false, MachineStanding::gone, 0};
+  fleet.machines["n-1"] = {"1.2.3.4:5", "t", "z", true, MachineState::quarantined, 0};
+  fleet.machines["n-2"] = {"", "t", "y", false, MachineState::terminated, 0};
   ASSERT_TRUE(decode(encode(fleet), fleet2));
   EXPECT_EQ(fleet.machines, fleet2.machines);
   EXPECT_FALSE(decode(R"({"m":{"n-1":["","t","z",1,5]}})", fleet2));
   EXPECT_FALSE(decode(R"({"m":{"n-1":["","t"]}})", fleet2));
   ShardRecord part, part2;
-  part.machines["n-1"] = {"1.2.3.4:5", 9, MachineStanding::lost, 4};
+  part.machines["n-1"] = {"1.2.3.4:5", 9, MachineState::lost, 4};
   ASSERT_TRUE(decode(encode(part), part2));
   EXPECT_EQ(part.machines, part2.machines);
   EXPECT_FALSE(decode(R"({"m":{"n-1":["",-1,0,1]}})", part2));
