--- a/src/base/capacity.cpp
+++ b/src/base/capacity.cpp
@@ -31,8 +31,8 @@
   out.direct_messages = of_sockets(sockets, k::kSocketsPerDirectMessage, k::kDirectMessagesLeast,
                                    k::kDirectMessagesMost);
   out.probes = of_sockets(sockets, k::kSocketsPerProbe, k::kProbesLeast, k::kProbesMost);
-  out.rental_requests =
-      static_cast<std::size_t>(std::max(1.0, std::floor(settings.cloud_rps * k::kRentalRateShare)));
+  out.scale_out_requests = static_cast<std::size_t>(
+      std::max(1.0, std::floor(settings.cloud_rps * k::kScaleOutRateShare)));
   const double value_bytes = std::max(1.0, settings.value_kb * 1024.0);
   const auto by_size = static_cast<std::size_t>(k::kTransactionBytes / value_bytes);
   const auto by_changes = static_cast<std::size_t>(std::max(1, settings.txn_ops));
--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -24,14 +24,14 @@
 // Milliseconds before a refused write is tried again.
 constexpr std::int64_t kRefusedRetryMs = 250;
 // Milliseconds between looks at the grants of teams' limits.
-constexpr std::int64_t kGrantsEveryMs = 100;
+constexpr std::int64_t kQuotaCheckMs = 100;
 // Milliseconds for which a part must have had a grant too small for all that waits before it gives
 // it to whose turn it is, and milliseconds of a turn: long enough to collect and to start.
-constexpr std::int64_t kGrantStuckMs = 2000;
-constexpr std::int64_t kGrantTurnMs = 8000;
+constexpr std::int64_t kQuotaStuckMs = 2000;
+constexpr std::int64_t kQuotaTurnMs = 8000;
 // The same while services wait: long enough to collect, and short enough that each of five
 // controllers has had its turn before a replica has waited for 20 s.
-constexpr std::int64_t kServiceTurnMs = 3000;
+constexpr std::int64_t kServiceQuotaTurnMs = 3000;
 // Ranges of one job, so that one transaction can end it (conditions).
 constexpr std::size_t kRangesPerJob = 48;
 // A job is divided in steps of this part of what the fleet holds of its tasks, so that records do
@@ -42,19 +42,19 @@
 constexpr std::uint32_t kStepsPerJob = 256;
 // Milliseconds within which the ends of tasks are recorded, and for which they are at least
 // gathered: records of a hundred tasks each would otherwise be written at every end.
-constexpr std::int64_t kEndsWithinMs = 4000;
-constexpr std::int64_t kEndsGatherMs = 500;
+constexpr std::int64_t kCompletionWriteMs = 4000;
+constexpr std::int64_t kCompletionBatchMs = 500;
 // Writes that may wait for the state service before scheduling asks for more (high work excepted):
 // about a second's share of the rate.
 constexpr int kWritesQueued = 16;
 // Unstarted tasks from which on another part takes a range soon, and milliseconds after which it
 // takes fewer.
-constexpr std::size_t kTakeAtLeast = 8;
-constexpr std::int64_t kTakeFewAfterMs = 3000;
+constexpr std::size_t kStealAtLeastTasks = 8;
+constexpr std::int64_t kStealFewAfterMs = 3000;
 // Seconds left to start a task in time below which others lose their work for it, and seconds of
 // work that are little to lose at any time.
-constexpr double kPressedS = 6.0;
-constexpr double kLittleLostS = 5.0;
+constexpr double kUrgentStartS = 6.0;
+constexpr double kNegligibleLossS = 5.0;
 // Machines drawn to find the one where making room loses least.
 constexpr int kPreemptionSamples = 20;
 // Seconds from which on a job is old, whatever its aims, and the share of a part's CPUs that old
@@ -82,7 +82,7 @@
 constexpr double kLongVictimS = 300.0;
 // Milliseconds that a range must have waited unstarted before another part may take from it: its
 // owner, which sees it first, gets the first try.
-constexpr std::int64_t kTakeOverAfterMs = 400;
+constexpr std::int64_t kStealAfterMs = 400;
 // Milliseconds for which a machine that refused a start for lack of room is passed over.
 constexpr std::int64_t kNoRoomPauseMs = 1500;
 // Report intervals without a report after which a machine gets nothing new; reports come at up to
@@ -286,7 +286,7 @@
 constexpr int kPageTries = 4;
 constexpr std::int64_t kPageRetryMs = 700;
 // Share of the cloud's rate in a second that rental requests under way may take.
-constexpr double kRentalRateShare = 0.5;
+constexpr double kScaleOutRateShare = 0.5;
 // Milliseconds between catalog reads.
 constexpr std::int64_t kCatalogEveryMs = 60'000;
 // Milliseconds until a cloud request counts as unanswered.
@@ -300,13 +300,13 @@
 // Whole machines held free beyond the demand, if there is any.
 constexpr double kSpareMachines = 2.0;
 // Milliseconds for which the fleet must have been larger than wanted before machines are returned.
-constexpr std::int64_t kShrinkAfterMs = 300'000;
+constexpr std::int64_t kScaleInAfterMs = 300'000;
 // Part of that surplus that is returned in a second (one machine at least): whatever its size, most
 // of it is gone within ten minutes, and one a second is what small fleets always had.
 constexpr int kSurplusParts = 300;
 // The same while no job is unfinished: the pause between two submissions is shorter on any busy
 // day, and a machine is back within a boot.
-constexpr std::int64_t kShrinkIdleAfterMs = 30'000;
+constexpr std::int64_t kScaleInIdleAfterMs = 30'000;
 // Part of an idle fleet's surplus that is returned at once (one machine at least), so that a large
 // fleet is mostly back within a minute and a submission in between still finds machines.
 constexpr int kIdleSurplusParts = 30;
@@ -316,17 +316,17 @@
 // Seconds that a machine of a type that the catalog doesn't name is taken to need to boot.
 constexpr double kUnknownBootS = 60.0;
 // Milliseconds between looks for machines to return.
-constexpr std::int64_t kReturnEveryMs = 500;
+constexpr std::int64_t kScaleInCheckMs = 500;
 // Milliseconds between looks for rental requests to send, and before an unanswered one is repeated.
-constexpr std::int64_t kRentalCheckEveryMs = 250;
-constexpr std::int64_t kRentalRetryMs = 2000;
+constexpr std::int64_t kScaleOutCheckMs = 250;
+constexpr std::int64_t kScaleOutRetryMs = 2000;
 // Names in one request to return machines, and machines in one page of the list (PROTOCOL).
-constexpr std::size_t kReturnMost = 100;
+constexpr std::size_t kMachinesPerScaleIn = 100;
 constexpr std::uint32_t kListPage = 500;
 // Machines rented in one request (PROTOCOL: 50 at most).
-constexpr std::uint32_t kRentAtOnce = 50;
+constexpr std::uint32_t kMachinesPerScaleOut = 50;
 // Requests for one kind of machine at once; further ones wait until these are answered.
-constexpr std::uint32_t kRentRequests = 3;
+constexpr std::uint32_t kScaleOutsPerKind = 3;
 // Bytes that a machine takes of a shared record, with room for longer names than usual.
 constexpr std::size_t kBytesPerMachine = 112;
 // Milliseconds that the record of a machine that is gone is kept beyond what old lists may show.
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -92,7 +92,7 @@
   check_machines(now);
   probe_zones(now);
   write_shard_records(now);
-  keep_quotas(now);
+  update_quota_leases(now);
   if (now >= schedule_after_ + (dirty_ ? 0 : k::kIdlePassMs)) schedule(now);
   finish_jobs(now);
   keep_cancel_waits(now);
@@ -203,11 +203,11 @@
     cpus += type->cpus;
     free += std::max(0.0, candidate(now, m).cpus);
   }
-  const auto busy = std::count_if(work_.begin(), work_.end(), [](const auto& w) {
-    return w.second.busy || w.second.uncertain;
+  const auto busy = std::count_if(range_states_.begin(), range_states_.end(), [](const auto& w) {
+    return w.second.busy || w.second.write_uncertain;
   });
-  const auto quotas =
-      std::count_if(quota_busy_.begin(), quota_busy_.end(), [](const auto& q) { return q.second; });
+  const auto quotas = std::count_if(quota_write_in_flight_.begin(), quota_write_in_flight_.end(),
+                                    [](const auto& q) { return q.second; });
   return "epoch " + std::to_string(cluster_view_.epoch()) + (ready() ? " ready" : " not ready") +
          (state_client_.answering(now) ? "" : ", state silent") + ", jobs " +
          std::to_string(replica_.jobs().size()) + ", machines " + std::to_string(machines_.size()) +
@@ -227,7 +227,7 @@
   if (!replica_.apply(item)) log(LogLevel::error, "unreadable record " + item.key);
   // Each view is acted on by itself: two in one batch may take a machine away and give it back.
   if (item.key == wire::kViewKey) on_view(now);
-  if (item.key == wire::kCatalogKey) foreign_candidates_.clear();
+  if (item.key == wire::kCatalogKey) remote_candidates_.clear();
 }
 
 void Controller::after_changes(Ms now) {
@@ -235,7 +235,7 @@
   replica_.take_view_changed();
   for (const auto& id : replica_.take_changed_machines()) {
     dirty_ = true;
-    foreign_candidates_.erase(id);
+    remote_candidates_.erase(id);
     auto it = machines_.find(id);
     const auto* record = replica_.machine(id);
     if (it == machines_.end() && record && ready() &&
@@ -275,7 +275,8 @@
 // the task ran on, and was started elsewhere. The owner of now proves it again.
 void Controller::discard_unrecorded_releases(const std::string& machine) {
   for (const TaskRef& ref : replica_.placed_on(machine)) {
-    if (auto w = work_.find(ref.range); w != work_.end()) w->second.released.erase(ref.index);
+    if (auto w = range_states_.find(ref.range); w != range_states_.end())
+      w->second.released.erase(ref.index);
   }
 }
 
@@ -285,7 +286,7 @@
   const bool skipped = view.epoch != known_epoch_ + 1;
   known_epoch_ = view.epoch;
   view_known_ = true;
-  foreign_candidates_.clear();
+  remote_candidates_.clear();
   shard_machines_at_ = 0;
   cluster_view_.update(view);
   state_client_.set_rate_sharers(static_cast<int>(std::max<std::size_t>(1, view.live.size())));
@@ -324,7 +325,7 @@
     }
   }
   take_census(now);  // of the part that is ours now
-  count_foreign_unwritten();
+  recount_remote_reservations();
   for (const auto& [id, job] : replica_.jobs())
     jobs_to_check_.insert(id);  // its coordinator may be new
   dirty_ = true;
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -127,19 +127,19 @@
     std::uint64_t attempt = 0;
     bool done = false;
   };
-  struct RangeWork {
+  struct RangeState {
     bool busy = false;
     Ms retry_at = 0;
     Ms first_seen = 0;
-    std::map<std::uint32_t, Released> released;        // proven, to be recorded
-    Ms released_since = 0;                             // of the first of them
-    std::map<std::uint32_t, wire::Placement> placing;  // being written
-    std::uint32_t cursor = 0;                          // no unstarted task before it
-    bool stop_requested = false;                       // gang to be stopped in good order
-    std::string_view waits_for;                        // of a gang; for the log
+    std::map<std::uint32_t, Released> released;                   // proven, to be recorded
+    Ms released_since = 0;                                        // of the first of them
+    std::map<std::uint32_t, wire::Placement> pending_placements;  // being written
+    std::uint32_t cursor = 0;                                     // no unstarted task before it
+    bool stop_requested = false;  // gang to be stopped in good order
+    std::string_view waits_for;   // of a gang; for the log
     // A write of `placing` got no answer and may still be applied; until the record is written
     // again, which voids it, the placements count as made.
-    bool uncertain = false;
+    bool write_uncertain = false;
     double cpus = 0, gpus = 0, memory_gb = 0;  // of each task in `placing`
   };
   // Resources of placements that are being written.
@@ -191,7 +191,7 @@
   bool is_leader_of(std::string_view duty) const { return context_.is_leader_of(duty); }
   const Team* team(const std::string& name) const;
 
-  struct Pass;  // pass.h
+  struct SchedulingPass;  // pass.h
 
   // ---- services.cpp ----
   // Whether services may be accepted: every controller reads their records.
@@ -202,7 +202,8 @@
   // kept free for them, so that nothing else starves a restart.
   Usage service_reserve(const std::string& team_name) const;
   void count_service_reserve();
-  void place_service(Pass& pass, const RangeId& id, const Job& job, const wire::RangeRecord& range);
+  void place_service(SchedulingPass& pass, const RangeId& id, const Job& job,
+                     const wire::RangeRecord& range);
   // What a replica's machine may be.
   struct ReplicaChoice {
     const wire::JobSpec* spec = nullptr;
@@ -213,11 +214,11 @@
     bool without_replica = false;     // not where the job has a replica
     bool contacted_recently = false;  // only where a word came lately
   };
-  int choose_for_replica(Pass& pass, const Job& job, std::uint32_t task);
-  bool other_machine_left(const Pass& pass, const ReplicaChoice& choice) const;
+  int pick_for_replica(SchedulingPass& pass, const Job& job, std::uint32_t task);
+  bool other_machine_left(const SchedulingPass& pass, const ReplicaChoice& choice) const;
   // One of our own machines, or -1.
-  int choose_own(Pass& pass, ReplicaChoice choice);
-  std::vector<int> replica_candidates(const Pass& pass, const ReplicaChoice& choice,
+  int pick_local_for_replica(SchedulingPass& pass, ReplicaChoice choice);
+  std::vector<int> replica_candidates(const SchedulingPass& pass, const ReplicaChoice& choice,
                                       bool add_machine) const;
   bool contacted_recently(Ms now, const std::string& machine) const;
   // Machines that have a replica of the job, or are to get one.
@@ -373,104 +374,106 @@
 
   // ---- schedule.cpp ----
   // When a range is served.
-  struct Urgency {
-    bool begun = true;      // false: goes before all others with a few tasks
-    bool hopeless = false;  // meets none of its class's aims any more
-    std::size_t place = 0;  // of its job among all that wait (order.h)
+  struct SchedulingPriority {
+    bool has_started = true;              // false: goes before all others with a few tasks
+    bool misses_every_objective = false;  // meets none of its class's aims any more
+    std::size_t place = 0;                // of its job among all that wait (order.h)
   };
   double age_s(Ms now, const Job& job) const;
-  Waiting waiting(Ms now, const Job& job) const;
-  double fleet_cpus(Ms now);  // of all machines that may be used
+  PendingJob pending_job(Ms now, const Job& job) const;
+  double total_fleet_cpus(Ms now);  // of all machines that may be used
   // Little time is left to start its tasks for the next aim of its class.
-  bool pressed(Ms now, const Job& job) const;
+  bool is_urgent(Ms now, const Job& job) const;
   void schedule(Ms now);
   Candidate& candidate(Ms now, const Machine& m) const;
-  Candidate foreign_candidate(Ms now, const std::string& id,
-                              const wire::MachineRecord& record) const;
-  void add_foreign(Pass& pass);
+  Candidate remote_candidate(Ms now, const std::string& id,
+                             const wire::MachineRecord& record) const;
+  void add_remote_candidates(SchedulingPass& pass);
   // Machines of the pool that the job may use, in that zone if one is named (indices).
-  static const std::vector<int>& machines_for(Pass& pass, const wire::JobSpec& spec,
-                                              const std::string& zone, bool foreign);
-  static void reserve(Pass& pass, const wire::JobSpec& spec, std::size_t tasks);
-  void place_array(Pass& pass, const RangeId& id, const Job& job, const wire::RangeRecord& range,
-                   const Urgency& urgency);
+  static const std::vector<int>& machines_for(SchedulingPass& pass, const wire::JobSpec& spec,
+                                              const std::string& zone, bool remote);
+  static void reserve(SchedulingPass& pass, const wire::JobSpec& spec, std::size_t tasks);
+  void place_array(SchedulingPass& pass, const RangeId& id, const Job& job,
+                   const wire::RangeRecord& range, const SchedulingPriority& scheduling_priority);
   // Machines with room that are sampled before all others for the tasks of one range.
-  struct NarrowedMachines {
-    std::vector<int> with_image;          // if fetching it takes long
-    std::vector<int> of_no_use_to_gangs;  // spot or in use, while gangs need whole machines
+  struct PreferredMachines {
+    std::vector<int> with_image;        // if fetching it takes long
+    std::vector<int> useless_to_gangs;  // spot or in use, while gangs need whole machines
   };
   bool is_whole_machine_gang(const wire::JobSpec& spec) const;
-  NarrowedMachines narrow(const Pass& pass, const wire::JobSpec& spec,
-                          const std::vector<int>& eligible) const;
-  int choose_narrowed(Pass& pass, const wire::JobSpec& spec, const std::vector<int>& eligible,
-                      NarrowedMachines& narrowed);
+  PreferredMachines find_preferred(const SchedulingPass& pass, const wire::JobSpec& spec,
+                                   const std::vector<int>& eligible) const;
+  int pick_preferred(SchedulingPass& pass, const wire::JobSpec& spec,
+                     const std::vector<int>& eligible, PreferredMachines& preferred);
   // Zones that the next task of the job may go to, of those of the pool.
-  std::set<std::string> zones_open(const Pass& pass, const Job& job) const;
+  std::set<std::string> zones_open(const SchedulingPass& pass, const Job& job) const;
   // Changes what is booked on a machine for placements that are being written.
-  void book_unwritten(const std::string& machine, const wire::JobSpec& spec, int sign);
+  void adjust_reservation(const std::string& machine, const wire::JobSpec& spec, int sign);
   // Counts them anew for machines of other parts: which machines these are has changed.
-  void count_foreign_unwritten();
+  void recount_remote_reservations();
   Ms pass_interval() const;
-  void assign(Pass& pass, RangeWork& work, const Job& job, std::uint32_t task,
+  void assign(SchedulingPass& pass, RangeState& work, const Job& job, std::uint32_t task,
               std::uint64_t attempt, int machine, bool booked);
   bool released(const TaskRef& ref, std::uint64_t attempt) const;
-  static std::size_t open_tasks(const RangeWork& work, const wire::RangeRecord& range);
-  void drop_placing(RangeWork& work, std::size_t count);
-  void clear_placing(RangeWork& work);
-  bool unstarted(const RangeWork& work, const wire::RangeRecord& range, std::uint32_t task) const;
+  static std::size_t open_tasks(const RangeState& work, const wire::RangeRecord& range);
+  void drop_pending_placements(RangeState& work, std::size_t count);
+  void clear_pending_placements(RangeState& work);
+  bool is_unstarted(const RangeState& work, const wire::RangeRecord& range,
+                    std::uint32_t task) const;
   double elapsed_s(Ms now, const Machine& m, const TaskRef& ref, std::uint64_t attempt) const;
   static Ms ends_at(Ms from, const wire::JobSpec& spec);
 
   // ---- gangs.cpp ----
-  void place_gang(Pass& pass, const RangeId& id, const Job& job, const wire::RangeRecord& range,
-                  bool begun);
-  std::vector<int> hold_gang(Pass& pass, const wire::JobSpec& spec, bool foreign,
-                             const std::string& only);
+  void place_gang(SchedulingPass& pass, const RangeId& id, const Job& job,
+                  const wire::RangeRecord& range, bool has_started);
+  std::vector<int> allocate_gang(SchedulingPass& pass, const wire::JobSpec& spec, bool remote,
+                                 const std::string& only);
   // The machines of the first zone, or of all, that can hold the gang; empty: none can.
-  std::vector<int> find_gang_machines(Pass& pass, const wire::JobSpec& spec);
-  void note_gang_wait(Ms now, const RangeId& id, const Job& job, RangeWork& work,
-                      std::string_view reason);
+  std::vector<int> find_gang_allocation(SchedulingPass& pass, const wire::JobSpec& spec);
+  void log_gang_wait(Ms now, const RangeId& id, const Job& job, RangeState& work,
+                     std::string_view reason);
 
   // ---- preemption.cpp ----
   // `zones`: where the machine may be; none: anywhere.
-  int preempt_for(Pass& pass, const wire::JobSpec& spec, bool pressed,
+  int preempt_for(SchedulingPass& pass, const wire::JobSpec& spec, bool is_urgent,
                   const std::set<std::string>* zones);
 
   // ---- ranges.cpp ----
-  std::size_t placed_most(std::uint32_t tasks) const;
-  std::vector<wire::JobRecord::Share> divide(const wire::JobSpec& spec);
+  std::size_t max_placements(std::uint32_t tasks) const;
+  std::vector<wire::JobRecord::Share> split_into_ranges(const wire::JobSpec& spec);
   struct ShardCapacity {
-    double room = 0, capacity = 0, load = 0;  // in tasks of one job
+    double free_capacity = 0, capacity = 0, load = 0;  // in tasks of one job
   };
   std::map<std::string, ShardCapacity> shard_capacities(const wire::JobSpec& spec);
-  static std::map<std::string, ShardCapacity>::iterator roomiest(
+  static std::map<std::string, ShardCapacity>::iterator most_free(
       std::map<std::string, ShardCapacity>& parts, const std::string& first);
   // How many usable machines each part has, by kind; counted again after a second.
   const std::map<ShardMachineKind, std::size_t>& shard_machines();
-  std::vector<wire::JobRecord::Share> cut_shares(
+  std::vector<wire::JobRecord::Share> limit_range_sizes(
       const wire::JobSpec& spec, const std::map<std::string, std::uint32_t>& given) const;
-  void take_ranges(Ms now, Pass& pass);
-  double room_for(Pass& pass, const wire::JobSpec& spec) const;
-  void write_taken(const RangeId& from, std::uint32_t first, const RangeId& to);
-  bool completes(const RangeId& id, const RangeWork& w) const;
-  bool pressing(Ms now, const RangeId& id, RangeWork& w, bool room) const;
+  void steal_ranges(Ms now, SchedulingPass& pass);
+  double free_capacity_for(SchedulingPass& pass, const wire::JobSpec& spec) const;
+  void write_stolen_range(const RangeId& from, std::uint32_t first, const RangeId& to);
+  bool completes(const RangeId& id, const RangeState& w) const;
+  bool must_write_now(Ms now, const RangeId& id, RangeState& w, bool may_queue_writes) const;
   // Ranges of one job that are still divided further, so that one transaction can end it.
-  std::size_t most_ranges() const;
-  static bool record_ends(const wire::JobSpec& spec, RangeWork& work, wire::RangeRecord& record);
-  static bool record_stop(const wire::JobSpec& spec, const RangeWork& work,
+  std::size_t max_ranges() const;
+  static bool record_completions(const wire::JobSpec& spec, RangeState& work,
+                                 wire::RangeRecord& record);
+  static bool record_stop(const wire::JobSpec& spec, const RangeState& work,
                           wire::RangeRecord& record);
-  void fit_placements(const wire::JobSpec& spec, RangeWork& work, const wire::RangeRecord& record);
-  void record_placements(const Job& job, const RangeWork& work, wire::RangeRecord& record,
+  void fit_placements(const wire::JobSpec& spec, RangeState& work, const wire::RangeRecord& record);
+  void record_placements(const Job& job, const RangeState& work, wire::RangeRecord& record,
                          Transaction& t);
   bool write_pieces(const Job& job, const wire::RangeRecord& record, Transaction& t);
   void write_range(const RangeId& id);
   void on_range_written(Ms now, const RangeId& id, TxnResult result);
 
   // ---- grants.cpp ----
-  bool grant_allows(Pass& pass, const wire::JobSpec& spec);
+  bool quota_allows(SchedulingPass& pass, const wire::JobSpec& spec);
   // So many tasks wait for a larger grant.
-  void need_quota(const wire::JobSpec& spec, std::uint32_t tasks);
-  void keep_quotas(Ms now);
+  void add_quota_demand(const wire::JobSpec& spec, std::uint32_t tasks);
+  void update_quota_leases(Ms now);
 
   // ---- peers.cpp ----
   void tell_peers(Ms now);
@@ -518,10 +521,10 @@
   std::uint64_t known_epoch_ = 0;
 
   std::map<std::string, Machine> machines_;  // of our part
-  std::map<RangeId, RangeWork> work_;
+  std::map<RangeId, RangeState> range_states_;
   // Machines of other parts as placement sees them, kept until something about them changes.
-  std::unordered_map<std::string, Candidate> foreign_candidates_;
-  std::unordered_map<std::string, Amounts> foreign_unwritten_;
+  std::unordered_map<std::string, Candidate> remote_candidates_;
+  std::unordered_map<std::string, Amounts> remote_reservations_;
   std::map<ShardMachineKind, std::size_t> shard_machines_;
   Ms shard_machines_at_ = 0;
   std::map<std::uint32_t, ShardWrite> shard_writes_;
@@ -539,12 +542,12 @@
   std::unordered_map<std::uint64_t, UserRequest>
       user_requests_;  // only while debug lines are wanted
   std::map<std::string, std::vector<CancelWait>> cancel_waits_;  // by job; counted in the former
-  std::map<std::string, bool> quota_busy_;
+  std::map<std::string, bool> quota_write_in_flight_;
   std::set<std::string> quota_uncertain_;  // busy until written again
-  std::map<std::string, wire::QuotaRecord::Amount> quota_need_;
+  std::map<std::string, wire::QuotaRecord::Amount> quota_demand_;
   std::map<std::string, Ms> quota_stuck_since_;      // with a grant too small for all that waits
   std::map<std::string, YieldMemory> quota_yields_;  // by team
-  Ms quota_after_ = 0;
+  Ms next_quota_check_ = 0;
 
   bool serving_users_ = true;  // by the last verdict
   Ms peers_at_ = 0;
--- a/src/fleet/cloud_inventory.cpp
+++ b/src/fleet/cloud_inventory.cpp
@@ -9,10 +9,10 @@
 
 namespace k = constants;
 
-MachineList::MachineList(const Context& context, std::function<void(Ms now)> complete)
+CloudInventory::CloudInventory(const Context& context, std::function<void(Ms now)> complete)
     : context_(context), complete_(std::move(complete)) {}
 
-void MachineList::tick(Ms now) {
+void CloudInventory::tick(Ms now) {
   if (busy_ && page_at_ != 0 && now >= page_at_) {
     page_at_ = 0;
     read_page(now, pages_.empty() ? "" : pages_.back().id);
@@ -26,7 +26,7 @@
   read_page(now, "");
 }
 
-void MachineList::clear() {
+void CloudInventory::clear() {
   machines_.clear();
   listed_at_ = 0;
   if (page_at_ == 0) return;
@@ -35,13 +35,13 @@
   page_at_ = 0;
 }
 
-void MachineList::on_pause(Ms now) {
+void CloudInventory::on_pause(Ms now) {
   clear();
   ++generation_;
   next_at_ = now;
 }
 
-void MachineList::read_page(Ms /*now*/, const std::string& after) {
+void CloudInventory::read_page(Ms /*now*/, const std::string& after) {
   context_.call(Target::cloud, "", "GET", wire::machine_list_path(after, k::kListPage), "",
                 k::kCloudTimeoutMs,
                 [this, generation = generation_](Ms now, const Outcome& outcome) {
@@ -49,7 +49,7 @@
                 });
 }
 
-void MachineList::on_page(Ms now, std::uint64_t generation, const Outcome& outcome) {
+void CloudInventory::on_page(Ms now, std::uint64_t generation, const Outcome& outcome) {
   if (generation == generation_) {
     if (outcome.status == kNoAnswer) link_.unanswered(now);
     if (outcome.status == 503) link_.refused(now);
@@ -77,13 +77,13 @@
   if (read) finish(now);
 }
 
-Ms MachineList::next_list_at(Ms now) const {
+Ms CloudInventory::next_list_at(Ms now) const {
   const double rate = std::max(context_.settings.cloud_rps * k::kListRateShare, 0.1);
   const auto paid = static_cast<Ms>(1000.0 * static_cast<double>(pages_read_) / rate);
   return now + std::max(k::kListEveryMs, paid);
 }
 
-void MachineList::finish(Ms now) {
+void CloudInventory::finish(Ms now) {
   machines_.clear();
   for (auto& machine : pages_) machines_[machine.id] = std::move(machine);
   pages_.clear();
--- a/src/fleet/cloud_inventory.h
+++ b/src/fleet/cloud_inventory.h
@@ -15,10 +15,10 @@
 
 // The list lags behind, and one may be older than the one before (PROTOCOL): what it lacks may
 // exist, and what it names may be gone.
-class MachineList {
+class CloudInventory {
  public:
   // `complete` is called after each whole list.
-  MachineList(const Context& context, std::function<void(Ms now)> complete);
+  CloudInventory(const Context& context, std::function<void(Ms now)> complete);
 
   void tick(Ms now);
   // Forgets the list: this controller doesn't coordinate the fleet, or can't write.
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -28,20 +28,20 @@
     : context_(context),
       fleet_(context.settings),
       records_(context,
-               [this](const std::vector<std::string>& forgotten) { rentals_.forget(forgotten); }),
+               [this](const std::vector<std::string>& forgotten) { scale_out_.forget(forgotten); }),
       list_(context, [this](Ms now) { on_list(now); }),
-      rentals_(
-          context, fleet_,
-          [this](Ms now, const wire::RentRequest& request,
-                 const std::vector<std::string>& machines) { on_rented(now, request, machines); }) {
-}
+      scale_out_(context, fleet_,
+                 [this](Ms now, const wire::ScaleOutRequest& request,
+                        const std::vector<std::string>& machines) {
+                   on_scaled_out(now, request, machines);
+                 }) {}
 
 void FleetCoordinator::tick(Ms now) {
   if (!is_leader()) {
     // Somebody else's now; what was under way fails by its view.
     list_.clear();
     records_.clear();
-    rentals_.clear();
+    scale_out_.clear();
     unlisted_since_.clear();
     surplus_since_ = idle_since_ = 0;
     return;
@@ -53,8 +53,8 @@
   if (!reading_catalog_ && now >= catalog_at_) read_catalog(now);
   list_.tick(now);
   if (now >= resize_at_) resize(now);
-  rentals_.tick(now);
-  if (!returning_ && now >= return_at_) return_unwanted(now);
+  scale_out_.tick(now);
+  if (!returning_ && now >= return_at_) return_drained(now);
   records_.write(now);
 }
 
@@ -84,8 +84,8 @@
   for (const auto& [id, record] : context_.replica.machines()) {
     if (record.state == MachineState::ready) ++held[{record.type, record.zone, record.spot}];
   }
-  for (const auto& [name, rental] : context_.replica.rentals())
-    held[{rental.type, rental.zone, rental.spot}] += static_cast<int>(rental.count);
+  for (const auto& [name, scale_out] : context_.replica.scale_out_requests())
+    held[{scale_out.type, scale_out.zone, scale_out.spot}] += static_cast<int>(scale_out.count);
   return held;
 }
 
@@ -188,7 +188,7 @@
   }
   // Placements on a machine that is neither recorded nor listed: it is returned, which proves them
   // gone. Guards against tasks that nobody could ever free.
-  for (const auto& id : replica.unrecorded()) {
+  for (const auto& id : replica.unrecorded_machines()) {
     if (list_.contains(id) || records_.pending(id)) continue;
     if (overdue(id)) records_.set_state(id, {}, MachineState::lost);
   }
@@ -201,29 +201,29 @@
   if (!context_.replica.has_catalog() || !list_.known()) return;
   const auto machines = held();
   const auto work = demand();
-  if (rentals_.idle()) rent(now, work, machines);
-  shrink(now, work, machines);
+  if (scale_out_.idle()) scale_out(now, work, machines);
+  scale_in(now, work, machines);
 }
 
-void FleetCoordinator::rent(Ms now, const std::vector<Demand>& work,
-                            const std::map<MachineKind, int>& held) {
-  for (auto& request : fleet_.to_rent(now, work, context_.replica.catalog(), held))
-    rentals_.request(std::move(request));
+void FleetCoordinator::scale_out(Ms now, const std::vector<Demand>& work,
+                                 const std::map<MachineKind, int>& held) {
+  for (auto& request : fleet_.next_scale_out(now, work, context_.replica.catalog(), held))
+    scale_out_.request(std::move(request));
 }
 
 // Too many machines for long: one empty machine at a time is drained and then returned. With
 // nothing to do at all they go sooner, and more at a time.
-void FleetCoordinator::shrink(Ms now, const std::vector<Demand>& work,
-                              const std::map<MachineKind, int>& held) {
+void FleetCoordinator::scale_in(Ms now, const std::vector<Demand>& work,
+                                const std::map<MachineKind, int>& held) {
   const auto surplus = fleet_.surplus(work, context_.replica.catalog(), held);
   int total = 0;
   for (const auto& [type, count] : surplus) total += std::max(0, count);
   since(surplus_since_, total > 0, now);
   since(idle_since_, work.empty(), now);
   if (total == 0) return;
-  if (idle_since_ != 0 && now - idle_since_ >= k::kShrinkIdleAfterMs) {
+  if (idle_since_ != 0 && now - idle_since_ >= k::kScaleInIdleAfterMs) {
     drain_empty(surplus, std::max(1, total / k::kIdleSurplusParts));
-  } else if (now - surplus_since_ >= k::kShrinkAfterMs) {
+  } else if (now - surplus_since_ >= k::kScaleInAfterMs) {
     drain_empty(surplus, std::max(1, total / k::kSurplusParts));
   }
 }
@@ -242,8 +242,8 @@
   }
 }
 
-void FleetCoordinator::on_rented(Ms now, const wire::RentRequest& request,
-                                 const std::vector<std::string>& machines) {
+void FleetCoordinator::on_scaled_out(Ms now, const wire::ScaleOutRequest& request,
+                                     const std::vector<std::string>& machines) {
   for (const auto& id : machines) {
     if (context_.replica.machine(id) || records_.pending(id)) continue;  // listed already
     wire::MachineRecord record;
@@ -252,14 +252,14 @@
     record.spot = request.spot;
     records_.set_state(id, record, MachineState::ready);
   }
-  records_.settle_rental(request.name, {machines.begin(), machines.end()});
+  records_.settle_scale_out(request.name, {machines.begin(), machines.end()});
   records_.write(now);
 }
 
 // ---- returning machines ----
 
-void FleetCoordinator::return_unwanted(Ms now) {
-  return_at_ = now + k::kReturnEveryMs;
+void FleetCoordinator::return_drained(Ms now) {
+  return_at_ = now + k::kScaleInCheckMs;
   std::vector<std::string> ids;
   for (const auto& [id, record] : context_.replica.machines()) {
     if (records_.pending(id)) continue;
@@ -286,10 +286,10 @@
 }
 
 void FleetCoordinator::return_machines(std::vector<std::string> ids) {
-  if (ids.size() > k::kReturnMost) ids.resize(k::kReturnMost);
+  if (ids.size() > k::kMachinesPerScaleIn) ids.resize(k::kMachinesPerScaleIn);
   returning_ = true;
-  const std::string body = wire::return_body(ids);
-  context_.call(Target::cloud, "", "POST", wire::kReturnPath, body, k::kCloudTimeoutMs,
+  const std::string body = wire::scale_in_body(ids);
+  context_.call(Target::cloud, "", "POST", wire::kScaleInPath, body, k::kCloudTimeoutMs,
                 [this, ids = std::move(ids)](Ms at, const Outcome& outcome) {
                   on_returned(at, ids, outcome);
                 });
@@ -298,7 +298,7 @@
 void FleetCoordinator::on_returned(Ms now, const std::vector<std::string>& ids,
                                    const Outcome& outcome) {
   returning_ = false;
-  return_at_ = now + k::kReturnEveryMs;
+  return_at_ = now + k::kScaleInCheckMs;
   if (outcome.status != 200) return;
   // The cloud's word: the machines and all on them are gone.
   for (const auto& id : ids) {
--- a/src/fleet/fleet_coordinator.h
+++ b/src/fleet/fleet_coordinator.h
@@ -42,22 +42,22 @@
   void check_unlisted(Ms now);
 
   void resize(Ms now);
-  void rent(Ms now, const std::vector<Demand>& work, const std::map<MachineKind, int>& held);
-  void shrink(Ms now, const std::vector<Demand>& work, const std::map<MachineKind, int>& held);
+  void scale_out(Ms now, const std::vector<Demand>& work, const std::map<MachineKind, int>& held);
+  void scale_in(Ms now, const std::vector<Demand>& work, const std::map<MachineKind, int>& held);
   // Drains up to `count` empty machines of those types that there are too many of.
   void drain_empty(std::map<std::string, int> surplus, int count);
-  void on_rented(Ms now, const wire::RentRequest& request,
-                 const std::vector<std::string>& machines);
+  void on_scaled_out(Ms now, const wire::ScaleOutRequest& request,
+                     const std::vector<std::string>& machines);
 
-  void return_unwanted(Ms now);
+  void return_drained(Ms now);
   void return_machines(std::vector<std::string> ids);
   void on_returned(Ms now, const std::vector<std::string>& ids, const Outcome& outcome);
 
   const Context& context_;
-  Fleet fleet_;
+  FleetSizer fleet_;
   FleetRecordWriter records_;
-  MachineList list_;
-  Rentals rentals_;
+  CloudInventory list_;
+  ScaleOutRequests scale_out_;
 
   int adopted_ = 0;  // machines of the list that is being looked through
   bool reading_catalog_ = false;
--- a/src/fleet/fleet_record_writer.cpp
+++ b/src/fleet/fleet_record_writer.cpp
@@ -22,19 +22,19 @@
 
 void FleetRecordWriter::forget(const std::string& id) { pending_[id] = std::nullopt; }
 
-void FleetRecordWriter::settle_rental(const std::string& name, std::set<std::string> machines) {
-  settled_rentals_[name] = std::move(machines);
+void FleetRecordWriter::settle_scale_out(const std::string& name, std::set<std::string> machines) {
+  settled_scale_outs_[name] = std::move(machines);
 }
 
 void FleetRecordWriter::clear() {
   pending_.clear();
-  settled_rentals_.clear();
+  settled_scale_outs_.clear();
 }
 
 void FleetRecordWriter::write(Ms now) {
   if (busy_ || !context_.can_write(now)) return;
   if (context_.services_enabled() && split_large_group()) return;
-  if (pending_.empty() && settled_rentals_.empty()) return;
+  if (pending_.empty() && settled_scale_outs_.empty()) return;
   Batch batch;
   add_machines(batch);
   Transaction transaction = transaction_of(batch);
@@ -137,14 +137,14 @@
     if (!record.machines.empty()) value = encode(record);
     transaction.writes.push_back({key, value, std::nullopt});
   }
-  for (const auto& [name, machines] : settled_rentals_) {
+  for (const auto& [name, machines] : settled_scale_outs_) {
     const bool all_recorded = std::all_of(
         machines.begin(), machines.end(),
         [&](const std::string& id) { return batch.machines.contains(id) || !pending(id); });
     const bool full = static_cast<int>(transaction.writes.size()) >= context_.settings.txn_ops;
     if (!all_recorded || full) continue;
-    batch.rentals.push_back(name);
-    const std::string key = wire::rental_key(name);
+    batch.scale_out_requests.push_back(name);
+    const std::string key = wire::scale_out_key(name);
     if (context_.state_client.version(key) == 0) continue;
     transaction.conditions.push_back(context_.state_client.unchanged(key));
     transaction.writes.push_back({key, std::nullopt, std::nullopt});
@@ -166,9 +166,9 @@
 
 void FleetRecordWriter::on_settled(const Batch& batch) {
   for (const auto& id : batch.machines) pending_.erase(id);
-  for (const auto& name : batch.rentals) settled_rentals_.erase(name);
+  for (const auto& name : batch.scale_out_requests) settled_scale_outs_.erase(name);
   busy_ = false;
-  written_(batch.rentals);
+  written_(batch.scale_out_requests);
 }
 
 }  // namespace scheduler
--- a/src/fleet/fleet_record_writer.h
+++ b/src/fleet/fleet_record_writer.h
@@ -22,7 +22,7 @@
 class FleetRecordWriter {
  public:
   // Called with the names of rental requests that are forgotten, after each write.
-  using Written = std::function<void(const std::vector<std::string>& forgotten_rentals)>;
+  using Written = std::function<void(const std::vector<std::string>& forgotten_scale_outs)>;
   FleetRecordWriter(const Context& context, Written written);
 
   // Asks for the machine to be recorded with this standing.
@@ -33,7 +33,7 @@
   bool pending(const std::string& id) const { return pending_.contains(id); }
   // The cloud has answered a rental request; it is forgotten together with, or after, the recording
   // of the machines that it brought.
-  void settle_rental(const std::string& name, std::set<std::string> machines);
+  void settle_scale_out(const std::string& name, std::set<std::string> machines);
   // Forgets what waits: another controller coordinates the fleet now.
   void clear();
   // Writes what waits, or cuts a group of machines that is over the limit.
@@ -43,8 +43,8 @@
   // What one transaction carries.
   struct Batch {
     std::map<std::uint32_t, wire::FleetRecord> groups;
-    std::set<std::string> machines;    // whose changes it carries, or that need none
-    std::vector<std::string> rentals;  // that are forgotten with it
+    std::set<std::string> machines;               // whose changes it carries, or that need none
+    std::vector<std::string> scale_out_requests;  // that are forgotten with it
   };
 
   std::size_t machines_per_group() const;
@@ -59,7 +59,8 @@
   const Context& context_;
   Written written_;
   std::map<std::string, std::optional<wire::MachineRecord>> pending_;  // none: to be forgotten
-  std::map<std::string, std::set<std::string>> settled_rentals_;  // with the machines they brought
+  std::map<std::string, std::set<std::string>>
+      settled_scale_outs_;  // with the machines they brought
   bool busy_ = false;
 };
 
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -10,7 +10,7 @@
 
 namespace k = constants;
 
-double Fleet::parallel(const Demand& d) const {
+double FleetSizer::parallel(const Demand& d) const {
   const wire::JobSpec& job = *d.job;
   const auto tasks = static_cast<double>(d.tasks);
   if (job.is_gang() || job.is_service()) return job.tasks;
@@ -28,8 +28,8 @@
   return std::ceil(tasks / rounds);
 }
 
-const wire::MachineType* Fleet::type_for(const wire::JobSpec& job,
-                                         const std::vector<wire::MachineType>& catalog) const {
+const wire::MachineType* FleetSizer::type_for(const wire::JobSpec& job,
+                                              const std::vector<wire::MachineType>& catalog) const {
   const wire::MachineType* best = nullptr;
   double best_price = 0;
   for (const auto& t : catalog) {
@@ -49,8 +49,8 @@
   return best;
 }
 
-std::vector<Fleet::Need> Fleet::needs(const std::vector<Demand>& demand,
-                                      const std::vector<wire::MachineType>& catalog) const {
+std::vector<FleetSizer::Need> FleetSizer::needs(
+    const std::vector<Demand>& demand, const std::vector<wire::MachineType>& catalog) const {
   // By type, whether for any zone, zone, whether for any kind: specific before general.
   std::map<std::tuple<std::string, bool, std::string, bool>, double> sums;
   for (const auto& d : demand) {
@@ -73,16 +73,18 @@
   return out;
 }
 
-bool Fleet::is_refused(Ms now, const MachineKind& kind) const {
+bool FleetSizer::is_refused(Ms now, const MachineKind& kind) const {
   auto it = refused_.find(kind);
   return it != refused_.end() && now < it->second;
 }
 
-void Fleet::refused(Ms now, const MachineKind& kind) { refused_[kind] = now + k::kRefusedPauseMs; }
+void FleetSizer::on_refused(Ms now, const MachineKind& kind) {
+  refused_[kind] = now + k::kRefusedPauseMs;
+}
 
-std::vector<wire::RentRequest> Fleet::to_rent(Ms now, const std::vector<Demand>& demand,
-                                              const std::vector<wire::MachineType>& catalog,
-                                              const std::map<MachineKind, int>& held) const {
+std::vector<wire::ScaleOutRequest> FleetSizer::next_scale_out(
+    Ms now, const std::vector<Demand>& demand, const std::vector<wire::MachineType>& catalog,
+    const std::map<MachineKind, int>& held) const {
   std::map<std::string, bool> spot_ok;  // some work of this type may use spot machines
   for (const auto& d : demand) {
     if (const auto* t = type_for(*d.job, catalog)) spot_ok[t->name] |= d.job->spot;
@@ -110,7 +112,8 @@
         for (const auto& z : type->zones) {
           MachineKind kind{type_name, z, spot};
           if ((!zone.empty() && z != zone) || is_refused(now, kind)) continue;
-          if (rent[kind] >= static_cast<int>(k::kRentAtOnce * k::kRentRequests)) continue;
+          if (rent[kind] >= static_cast<int>(k::kMachinesPerScaleOut * k::kScaleOutsPerKind))
+            continue;
           if (!best || counts[kind] < counts[found]) {
             found = kind;
             best = &found;
@@ -122,10 +125,10 @@
       ++rent[found];
     }
   }
-  std::vector<wire::RentRequest> out;
+  std::vector<wire::ScaleOutRequest> out;
   for (const auto& [kind, n] : rent) {
     for (auto left = static_cast<std::uint32_t>(n); left > 0;) {
-      const std::uint32_t one = std::min(left, k::kRentAtOnce);
+      const std::uint32_t one = std::min(left, k::kMachinesPerScaleOut);
       out.push_back({"", kind.type, kind.zone, kind.spot, one});
       left -= one;
     }
@@ -133,9 +136,9 @@
   return out;
 }
 
-std::map<std::string, int> Fleet::surplus(const std::vector<Demand>& demand,
-                                          const std::vector<wire::MachineType>& catalog,
-                                          const std::map<MachineKind, int>& held) const {
+std::map<std::string, int> FleetSizer::surplus(const std::vector<Demand>& demand,
+                                               const std::vector<wire::MachineType>& catalog,
+                                               const std::map<MachineKind, int>& held) const {
   std::map<std::string, double> want;
   for (const Need& need : needs(demand, catalog))
     if (need.zone.empty() && !need.ordinary_only) want[need.type] = need.machines;
--- a/src/fleet/fleet_sizer.h
+++ b/src/fleet/fleet_sizer.h
@@ -28,9 +28,9 @@
   std::uint64_t tasks = 0;  // unfinished
 };
 
-class Fleet {
+class FleetSizer {
  public:
-  explicit Fleet(const Settings& settings) : settings_(settings) {}
+  explicit FleetSizer(const Settings& settings) : settings_(settings) {}
 
   // Tasks of the job that have to run side by side for its aim.
   double parallel(const Demand& demand) const;
@@ -50,14 +50,14 @@
                           const std::vector<wire::MachineType>& catalog) const;
   // What to rent now, at most a few requests per kind. `held` counts machines that are usable or on
   // their way; `refused` tells until when a kind is not asked for.
-  std::vector<wire::RentRequest> to_rent(Ms now, const std::vector<Demand>& demand,
-                                         const std::vector<wire::MachineType>& catalog,
-                                         const std::map<MachineKind, int>& held) const;
+  std::vector<wire::ScaleOutRequest> next_scale_out(Ms now, const std::vector<Demand>& demand,
+                                                    const std::vector<wire::MachineType>& catalog,
+                                                    const std::map<MachineKind, int>& held) const;
   // Machines held beyond what is wanted, in total over zones, per type.
   std::map<std::string, int> surplus(const std::vector<Demand>& demand,
                                      const std::vector<wire::MachineType>& catalog,
                                      const std::map<MachineKind, int>& held) const;
-  void refused(Ms now, const MachineKind& kind);
+  void on_refused(Ms now, const MachineKind& kind);
 
  private:
   bool is_refused(Ms now, const MachineKind& kind) const;
--- a/src/fleet/scale_out_requests.cpp
+++ b/src/fleet/scale_out_requests.cpp
@@ -10,16 +10,16 @@
 
 namespace k = constants;
 
-Rentals::Rentals(const Context& context, Fleet& fleet, Answered answered)
+ScaleOutRequests::ScaleOutRequests(const Context& context, FleetSizer& fleet, Answered answered)
     : context_(context), fleet_(fleet), answered_(std::move(answered)) {}
 
-void Rentals::request(wire::RentRequest request) {
+void ScaleOutRequests::request(wire::ScaleOutRequest request) {
   // Never reused: no two runs of any controller share an incarnation.
   request.name =
       context_.settings.name + "-" + context_.incarnation + "-" + std::to_string(++last_number_);
   context_.log(LogLevel::info, "renting " + std::to_string(request.count) + " " + request.type +
                                    " in " + request.zone + (request.spot ? " (spot)" : ""));
-  const std::string key = wire::rental_key(request.name);
+  const std::string key = wire::scale_out_key(request.name);
   Transaction transaction;
   transaction.conditions = {context_.view_unchanged(), {key, 0}};
   transaction.writes = {{key, encode(request), std::nullopt}};
@@ -33,38 +33,39 @@
   context_.state_client.submit(std::move(transaction));
 }
 
-void Rentals::tick(Ms now) {
+void ScaleOutRequests::tick(Ms now) {
   if (now < send_at_) return;
-  send_at_ = now + k::kRentalCheckEveryMs;
-  for (const auto& [name, recorded] : context_.replica.rentals()) {
+  send_at_ = now + k::kScaleOutCheckMs;
+  for (const auto& [name, recorded] : context_.replica.scale_out_requests()) {
     // Guards against a fleet that grows by thousands spending the cloud's whole rate on refusals.
-    if (sent_ >= context_.capacity.rental_requests) break;
+    if (sent_ >= context_.capacity.scale_out_requests) break;
     if (!under_way_.insert(name).second) continue;
-    wire::RentRequest request = recorded;
+    wire::ScaleOutRequest request = recorded;
     request.name = name;
     send(request);
   }
 }
 
-void Rentals::send(const wire::RentRequest& request) {
+void ScaleOutRequests::send(const wire::ScaleOutRequest& request) {
   ++sent_;
-  context_.call(Target::cloud, "", "POST", wire::kRentPath, wire::rent_body(request),
+  context_.call(Target::cloud, "", "POST", wire::kScaleOutPath, wire::scale_out_body(request),
                 k::kCloudTimeoutMs, [this, request](Ms now, const Outcome& outcome) {
                   --sent_;
                   on_outcome(now, request, outcome);
                 });
 }
 
-void Rentals::on_outcome(Ms now, const wire::RentRequest& request, const Outcome& outcome) {
+void ScaleOutRequests::on_outcome(Ms now, const wire::ScaleOutRequest& request,
+                                  const Outcome& outcome) {
   std::vector<std::string> machines;
-  const bool rented = outcome.status == 200 && wire::parse_rented(outcome.body, machines);
+  const bool rented = outcome.status == 200 && wire::parse_scale_out_reply(outcome.body, machines);
   const bool no_capacity =
       outcome.status == 503 && outcome.body.find("capacity") != std::string::npos;
   if (no_capacity || (rented && machines.size() < request.count))
-    fleet_.refused(now, {request.type, request.zone, request.spot});
+    fleet_.on_refused(now, {request.type, request.zone, request.spot});
   if (!rented && !no_capacity && outcome.status != 400) {
     // Unanswered or not now: the same name again, which rents nothing twice.
-    send_at_ = now + k::kRentalRetryMs;
+    send_at_ = now + k::kScaleOutRetryMs;
     under_way_.erase(request.name);
     return;
   }
@@ -72,7 +73,7 @@
   if (context_.is_leader_of(kFleetDuty)) answered_(now, request, machines);
 }
 
-void Rentals::forget(const std::vector<std::string>& names) {
+void ScaleOutRequests::forget(const std::vector<std::string>& names) {
   for (const auto& name : names) under_way_.erase(name);
   send_at_ = 0;
 }
--- a/src/fleet/scale_out_requests.h
+++ b/src/fleet/scale_out_requests.h
@@ -17,30 +17,32 @@
 // Each request is recorded before it is sent, and repeated under its name until the cloud answers:
 // a repeat rents nothing twice, and a successor of this controller finds it. This guards against
 // machines that were rented and that nobody knows of.
-class Rentals {
+class ScaleOutRequests {
  public:
   // `answered` is called with the machines that a request has brought.
-  using Answered = std::function<void(Ms now, const wire::RentRequest& request,
+  using Answered = std::function<void(Ms now, const wire::ScaleOutRequest& request,
                                       const std::vector<std::string>& machines)>;
-  Rentals(const Context& context, Fleet& fleet, Answered answered);
+  ScaleOutRequests(const Context& context, FleetSizer& fleet, Answered answered);
 
   // Sends what is recorded and not under way.
   void tick(Ms now);
   // Records a request; it is sent once the replica shows it.
-  void request(wire::RentRequest request);
+  void request(wire::ScaleOutRequest request);
   // No request is recorded or being recorded.
-  bool idle() const { return being_recorded_ == 0 && context_.replica.rentals().empty(); }
+  bool idle() const {
+    return being_recorded_ == 0 && context_.replica.scale_out_requests().empty();
+  }
   // The records of these requests have been removed.
   void forget(const std::vector<std::string>& names);
   // Another controller coordinates the fleet now.
   void clear() { under_way_.clear(); }
 
  private:
-  void send(const wire::RentRequest& request);
-  void on_outcome(Ms now, const wire::RentRequest& request, const Outcome& outcome);
+  void send(const wire::ScaleOutRequest& request);
+  void on_outcome(Ms now, const wire::ScaleOutRequest& request, const Outcome& outcome);
 
   const Context& context_;
-  Fleet& fleet_;
+  FleetSizer& fleet_;
   Answered answered_;
   std::set<std::string> under_way_;  // sent, or answered and still recorded
   std::size_t sent_ = 0;             // and not answered
--- a/src/jobs/job_reads.cpp
+++ b/src/jobs/job_reads.cpp
@@ -225,10 +225,10 @@
 void Controller::keep_cancel_waits(Ms now) {
   for (auto it = cancel_waits_.begin(); it != cancel_waits_.end();) {
     auto& waits = it->second;
-    const bool hopeless = !provable_soon(now, it->first);
+    const bool misses_every_objective = !provable_soon(now, it->first);
     std::erase_if(waits, [&](const CancelWait& w) {
       const bool told = answer_cancelled(w.request, it->first);
-      if (!told && !hopeless && now < w.deadline) return false;
+      if (!told && !misses_every_objective && now < w.deadline) return false;
       if (!told) decline(w.request, k::kRetryAfterS);
       --waiting_requests_;
       return true;
--- a/src/jobs/job_requests.cpp
+++ b/src/jobs/job_requests.cpp
@@ -52,8 +52,8 @@
   if ((t->cpus_max > 0 && n * spec.cpus > t->cpus_max) ||
       (t->gpus_max > 0 && n * spec.gpus > t->gpus_max))
     return "needs more than the team's limit";
-  if (spec.is_gang() && spec.tasks > placed_most(spec.tasks)) return "gang is too large";
-  if (spec.is_service() && spec.tasks > placed_most(0) * most_ranges())
+  if (spec.is_gang() && spec.tasks > max_placements(spec.tasks)) return "gang is too large";
+  if (spec.is_service() && spec.tasks > max_placements(0) * max_ranges())
     return "the service has too many replicas";
   if (all_at_once && spec.one_zone && spec.spread && spec.tasks > 1)
     return "together and scatter exclude each other";
@@ -112,7 +112,7 @@
   wire::JobRecord record;
   record.spec = spec;
   record.submitted_ms = now + wall_offset_;
-  record.shares = divide(spec);
+  record.shares = split_into_ranges(spec);
   std::string value = encode(record);
   if (static_cast<double>(value.size()) > value_bytes()) {
     // Types that nobody offers tell nothing.
@@ -274,7 +274,7 @@
   // Each range is a condition as far as conditions go. Beyond that they are not needed: a finished
   // range never changes, and once the watch has passed a cancellation nothing can be placed any
   // more, since every placement has the job's record as a condition.
-  const bool compare_all = job.known && job.ranges.size() <= most_ranges();
+  const bool compare_all = job.known && job.ranges.size() <= max_ranges();
   if (job.known && !compare_all && job.record.cancelled && !state_client_.has_applied(key)) {
     jobs_to_check_.insert(id);
     return;
@@ -293,8 +293,8 @@
   for (const auto& [number, r] : job.ranges) {
     const std::string range = wire::range_key(id, number);
     // Those beyond one transaction are removed by a later one.
-    const bool remove =
-        static_cast<int>(t.writes.size()) < settings_.txn_ops && !job.unwritten.contains(number);
+    const bool remove = static_cast<int>(t.writes.size()) < settings_.txn_ops &&
+                        !job.unrecorded_ranges.contains(number);
     if (compare_all || remove) t.conditions.push_back(state_client_.unchanged(range));
     if (remove) t.writes.push_back({range, std::nullopt, std::nullopt});
   }
--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -12,18 +12,18 @@
 using Amount = wire::QuotaRecord::Amount;
 
 // Records what our services lack, without a write for every small change. True if it has changed.
-bool tell_service_lack(wire::QuotaRecord& r, const std::string& self, double Amount::*field,
-                       double lack) {
-  const auto told = r.service_wanted.find(self);
-  const double before = told == r.service_wanted.end() ? 0.0 : told->second.*field;
+bool update_service_demand(wire::QuotaRecord& r, const std::string& self, double Amount::*field,
+                           double lack) {
+  const auto told = r.service_demand.find(self);
+  const double before = told == r.service_demand.end() ? 0.0 : told->second.*field;
   const bool lacks = lack > constants::kAmountSlack, lacked = before > constants::kAmountSlack;
   if (lacks == lacked && lack <= before + constants::kAmountSlack) return false;
-  r.service_wanted[self].*field = lack;
+  r.service_demand[self].*field = lack;
   return true;
 }
 
 // One dimension (cpus or gpus) of the next record. Returns true when something changed.
-bool next_dimension(const QuotaInput& in, double limit, double Amount::*field,
+bool next_dimension(const QuotaLeaseInput& in, double limit, double Amount::*field,
                     wire::QuotaRecord& r) {
   if (limit <= 0) return false;
   bool changed = false;
@@ -33,7 +33,7 @@
   };
   // Grants of controllers that are not live shrink to what their placements still use; the view
   // guard of the write keeps them from using more.
-  for (auto& [who, grant] : r.grants) {
+  for (auto& [who, grant] : r.leases) {
     if (std::find(in.live.begin(), in.live.end(), who) != in.live.end()) continue;
     if (grant.*field > used(who) + constants::kAmountSlack) {
       grant.*field = used(who);
@@ -41,17 +41,17 @@
     }
   }
   double granted = 0, others_want = 0;
-  for (const auto& [who, grant] : r.grants) granted += grant.*field;
-  for (const auto& [who, want] : r.wanted)
+  for (const auto& [who, grant] : r.leases) granted += grant.*field;
+  for (const auto& [who, want] : r.demand)
     if (who != in.self) others_want += want.*field;
 
-  double& own = r.grants[in.self].*field;
+  double& own = r.leases[in.self].*field;
   const double own_used = used(in.self);
   const double target = own_used + in.need.*field;
   // Guards against taking at once again what was given up for another: we are the first to know
   // that it is free.
-  const double free = in.hold_back ? 0.0 : std::max(0.0, limit - granted);
-  double& wanted = r.wanted[in.self].*field;
+  const double free = in.leave_to_collector ? 0.0 : std::max(0.0, limit - granted);
+  double& demand = r.demand[in.self].*field;
   if (in.yield) {
     // Guards against gangs in several parts that each keep a remainder too small to start, for
     // ever.
@@ -59,16 +59,16 @@
       own = own_used;
       changed = true;
     }
-    if (wanted < in.need.*field) {
-      wanted = in.need.*field;
+    if (demand < in.need.*field) {
+      demand = in.need.*field;
       changed = true;
     }
     return changed;
   }
   const double lacking = std::max(0.0, own_used - own);
   const double service_lack = std::min(lacking, in.service_reserve.*field);
-  const double others_services = services_of_others(r, in.self, in.live).*field;
-  changed = tell_service_lack(r, in.self, field, service_lack) || changed;
+  const double others_services = service_demand_of_others(r, in.self, in.live).*field;
+  changed = update_service_demand(r, in.self, field, service_lack) || changed;
   const double idle_now = own - own_used;
   if (others_services > free + constants::kAmountSlack && idle_now > constants::kAmountSlack) {
     // Guards against services that wait for ever while arrays of the team take up whatever ends.
@@ -90,14 +90,14 @@
     }
     const double missing = std::max(0.0, target - own);
     // Tell the others, without writing for every small change.
-    if ((missing > constants::kAmountSlack) != (wanted > constants::kAmountSlack) ||
-        missing > 2 * wanted) {
-      wanted = missing;
+    if ((missing > constants::kAmountSlack) != (demand > constants::kAmountSlack) ||
+        missing > 2 * demand) {
+      demand = missing;
       changed = true;
     }
   } else {
-    if (wanted > constants::kAmountSlack) {
-      wanted = 0;
+    if (demand > constants::kAmountSlack) {
+      demand = 0;
       changed = true;
     }
     const double idle = own - target;
@@ -111,10 +111,10 @@
 
 }  // namespace
 
-Amount services_of_others(const wire::QuotaRecord& record, const std::string& self,
-                          const std::vector<std::string>& live) {
+Amount service_demand_of_others(const wire::QuotaRecord& record, const std::string& self,
+                                const std::vector<std::string>& live) {
   Amount sum;
-  for (const auto& [who, want] : record.service_wanted) {
+  for (const auto& [who, want] : record.service_demand) {
     if (who == self || std::find(live.begin(), live.end(), who) == live.end()) continue;
     sum.cpus += want.cpus;
     sum.gpus += want.gpus;
@@ -122,7 +122,7 @@
   return sum;
 }
 
-bool YieldMemory::hold_back(bool yields, const std::string& turn) {
+bool YieldMemory::leave_to_collector(bool yields, const std::string& turn) {
   if (yields) {
     yielded_to_ = turn;
     return false;
@@ -131,35 +131,36 @@
   return !yielded_to_.empty();
 }
 
-std::string collector(const wire::QuotaRecord& record, const std::vector<std::string>& live,
-                      Ms wall) {
+std::string quota_collector(const wire::QuotaRecord& record, const std::vector<std::string>& live,
+                            Ms wall) {
   std::vector<const std::string*> names;
-  const auto add_wanting = [&](const std::map<std::string, Amount>& wanted) {
-    for (const auto& [who, want] : wanted)
+  const auto add_wanting = [&](const std::map<std::string, Amount>& demand) {
+    for (const auto& [who, want] : demand)
       if ((want.cpus > constants::kAmountSlack || want.gpus > constants::kAmountSlack) &&
           std::find(live.begin(), live.end(), who) != live.end())
         names.push_back(&who);
   };
   // Services go before all other work, in collecting as well.
-  add_wanting(record.service_wanted);
-  const Ms turn = names.empty() ? constants::kGrantTurnMs : constants::kServiceTurnMs;
-  if (names.empty()) add_wanting(record.wanted);
+  add_wanting(record.service_demand);
+  const Ms turn = names.empty() ? constants::kQuotaTurnMs : constants::kServiceQuotaTurnMs;
+  if (names.empty()) add_wanting(record.demand);
   if (names.empty()) return "";
   return *names[static_cast<std::size_t>(wall / turn) % names.size()];
 }
 
 bool limited(const Team& team) { return team.cpus_max > 0 || team.gpus_max > 0; }
 
-bool within_grant(const Team& team, const wire::QuotaRecord& record, const std::string& self,
+bool within_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
                   const wire::QuotaRecord::Amount& used, double cpus, double gpus) {
-  auto it = record.grants.find(self);
-  const Amount grant = it == record.grants.end() ? Amount{} : it->second;
+  auto it = record.leases.find(self);
+  const Amount grant = it == record.leases.end() ? Amount{} : it->second;
   if (team.cpus_max > 0 && used.cpus + cpus > grant.cpus + constants::kAmountSlack) return false;
   if (team.gpus_max > 0 && used.gpus + gpus > grant.gpus + constants::kAmountSlack) return false;
   return true;
 }
 
-std::optional<wire::QuotaRecord> next_quota(const QuotaInput& in, const wire::QuotaRecord& record) {
+std::optional<wire::QuotaRecord> next_quota_record(const QuotaLeaseInput& in,
+                                                   const wire::QuotaRecord& record) {
   wire::QuotaRecord next = record;
   const bool cpus = next_dimension(in, in.team->cpus_max, &Amount::cpus, next);
   const bool gpus = next_dimension(in, in.team->gpus_max, &Amount::gpus, next);
--- a/src/quota/quota_leases.h
+++ b/src/quota/quota_leases.h
@@ -11,7 +11,7 @@
 
 namespace scheduler {
 
-struct QuotaInput {
+struct QuotaLeaseInput {
   const Team* team = nullptr;
   std::string self;
   std::vector<std::string> live;
@@ -23,7 +23,7 @@
   // What we have is too little for anything that waits, and it is another's turn to collect.
   bool yield = false;
   // We have given that up in this turn, and leave it to whose turn it is.
-  bool hold_back = false;
+  bool leave_to_collector = false;
 };
 
 // Remembers for whom a grant was given up.
@@ -31,7 +31,7 @@
  public:
   // At a look at the grants: whether we give ours up now, and whose turn it is. True as long as
   // what we gave up is to be left to that controller.
-  bool hold_back(bool yields, const std::string& turn);
+  bool leave_to_collector(bool yields, const std::string& turn);
 
  private:
   std::string yielded_to_;
@@ -39,17 +39,18 @@
 
 // Whose turn it is to collect grants, of the live controllers that want more; all know it alike,
 // give or take the difference of their clocks. Empty: nobody wants any.
-std::string collector(const wire::QuotaRecord& record, const std::vector<std::string>& live,
-                      Ms wall);
+std::string quota_collector(const wire::QuotaRecord& record, const std::vector<std::string>& live,
+                            Ms wall);
 bool limited(const Team& team);
 // Room left in our grant.
-bool within_grant(const Team& team, const wire::QuotaRecord& record, const std::string& self,
+bool within_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
                   const wire::QuotaRecord::Amount& used, double cpus, double gpus);
 // What the services of other live controllers lack: it goes before all other work of the team.
-wire::QuotaRecord::Amount services_of_others(const wire::QuotaRecord& record,
-                                             const std::string& self,
-                                             const std::vector<std::string>& live);
+wire::QuotaRecord::Amount service_demand_of_others(const wire::QuotaRecord& record,
+                                                   const std::string& self,
+                                                   const std::vector<std::string>& live);
 // The record as we want it next, or none if nothing is to change.
-std::optional<wire::QuotaRecord> next_quota(const QuotaInput& in, const wire::QuotaRecord& record);
+std::optional<wire::QuotaRecord> next_quota_record(const QuotaLeaseInput& in,
+                                                   const wire::QuotaRecord& record);
 
 }  // namespace scheduler
--- a/src/scheduling/gangs.cpp
+++ b/src/scheduling/gangs.cpp
@@ -22,8 +22,8 @@
 }  // namespace
 
 // For the log: what a gang waits for, whenever that changes.
-void Controller::note_gang_wait(Ms now, const RangeId& id, const Job& job, RangeWork& work,
-                                std::string_view reason) {
+void Controller::log_gang_wait(Ms now, const RangeId& id, const Job& job, RangeState& work,
+                               std::string_view reason) {
   if (work.waits_for == reason) return;
   work.waits_for = reason;
   if (!logs_debug()) return;
@@ -33,44 +33,45 @@
   log(LogLevel::debug, event.text());
 }
 
-void Controller::place_gang(Pass& pass, const RangeId& id, const Job& job,
-                            const wire::RangeRecord& range, bool begun) {
+void Controller::place_gang(SchedulingPass& pass, const RangeId& id, const Job& job,
+                            const wire::RangeRecord& range, bool has_started) {
   const auto& spec = job.record.spec;
-  RangeWork& w = work_[id];
+  RangeState& w = range_states_[id];
   // The next attempt starts when nothing of the last is left anywhere.
-  if (!range.placed.empty() || !w.placing.empty() || range.done_count() > 0) return;
+  if (!range.placed.empty() || !w.pending_placements.empty() || range.done_count() > 0) return;
   const Team* t = team(spec.team);
   if (!t) return;
   if (limited(*t)) {
     wire::JobSpec all = spec;
     all.cpus *= spec.tasks;
     all.gpus *= spec.tasks;
-    if (!grant_allows(pass, all)) {
-      note_gang_wait(pass.now, id, job, w, quota_busy_[spec.team] ? "grant_write" : "grant");
-      need_quota(all, 1);
+    if (!quota_allows(pass, all)) {
+      log_gang_wait(pass.now, id, job, w,
+                    quota_write_in_flight_[spec.team] ? "grant_write" : "grant");
+      add_quota_demand(all, 1);
       return;
     }
   }
-  const std::vector<int> chosen = find_gang_machines(pass, spec);
+  const std::vector<int> chosen = find_gang_allocation(pass, spec);
   if (chosen.empty()) {
-    note_gang_wait(pass.now, id, job, w, "room");
-    if (!begun) reserve(pass, spec, spec.tasks);
+    log_gang_wait(pass.now, id, job, w, "room");
+    if (!has_started) reserve(pass, spec, spec.tasks);
     return;
   }
-  const bool foreign = std::any_of(chosen.begin(), chosen.end(), [&pass](int i) {
-    return !pass.pool[static_cast<std::size_t>(i)]->own;
+  const bool remote = std::any_of(chosen.begin(), chosen.end(), [&pass](int i) {
+    return !pass.candidates[static_cast<std::size_t>(i)]->local;
   });
-  note_gang_wait(pass.now, id, job, w, foreign ? "placing_foreign" : "placing");
+  log_gang_wait(pass.now, id, job, w, remote ? "placing_foreign" : "placing");
   for (std::uint32_t task = 0; task < spec.tasks; ++task)
     assign(pass, w, job, range.begin + task, range.next_attempt, chosen[task], true);
 }
 
-std::vector<int> Controller::find_gang_machines(Pass& pass, const wire::JobSpec& spec) {
+std::vector<int> Controller::find_gang_allocation(SchedulingPass& pass, const wire::JobSpec& spec) {
   for (const auto* failed : pass.failed_gangs)
     if (needs_as_much(spec, *failed)) return {};
   // Our own part first; if it cannot hold the gang, other parts' machines too.
-  for (const bool foreign : {false, true}) {
-    if (foreign) add_foreign(pass);
+  for (const bool remote : {false, true}) {
+    if (remote) add_remote_candidates(pass);
     std::vector<std::string> tries;
     if (spec.one_zone) {
       tries.assign(pass.zones.begin(), pass.zones.end());
@@ -78,7 +79,7 @@
       tries.emplace_back();
     }
     for (const auto& only : tries) {
-      std::vector<int> chosen = hold_gang(pass, spec, foreign, only);
+      std::vector<int> chosen = allocate_gang(pass, spec, remote, only);
       if (!chosen.empty()) return chosen;
     }
   }
@@ -87,12 +88,12 @@
 }
 
 // Books a machine for every task of the gang, or nothing.
-std::vector<int> Controller::hold_gang(Pass& pass, const wire::JobSpec& spec, bool foreign,
-                                       const std::string& only) {
-  const std::vector<int>& machines = machines_for(pass, spec, only, foreign);
+std::vector<int> Controller::allocate_gang(SchedulingPass& pass, const wire::JobSpec& spec,
+                                           bool remote, const std::string& only) {
+  const std::vector<int>& machines = machines_for(pass, spec, only, remote);
   double room = 0;
   for (const int i : machines) {
-    const Candidate& c = *pass.pool[static_cast<std::size_t>(i)];
+    const Candidate& c = *pass.candidates[static_cast<std::size_t>(i)];
     room += fit_count(spec, c.cpus, c.gpus, c.memory_gb);
     if (room >= spec.tasks) break;
   }
@@ -101,14 +102,14 @@
   std::map<std::string, std::uint32_t> in_zone;
   std::vector<std::pair<int, bool>> booked;  // machine, whether the image was new there
   while (booked.size() < spec.tasks) {
-    const int at = choose(pass.now, pass.pool, spec, open, random_);
+    const int at = pick_of_two(pass.now, pass.candidates, spec, open, random_);
     if (at < 0) break;
-    Candidate& c = *pass.pool[static_cast<std::size_t>(at)];
+    Candidate& c = *pass.candidates[static_cast<std::size_t>(at)];
     booked.emplace_back(at, c.book(spec, ends_at(pass.now, spec)));
     const std::string zone = c.zone;
     if (spec.spread && ++in_zone[zone] + 1 > (spec.tasks + 1) / 2)
-      std::erase_if(open,
-                    [&](int i) { return pass.pool[static_cast<std::size_t>(i)]->zone == zone; });
+      std::erase_if(
+          open, [&](int i) { return pass.candidates[static_cast<std::size_t>(i)]->zone == zone; });
   }
   std::vector<int> chosen;
   if (booked.size() == spec.tasks) {
@@ -116,7 +117,7 @@
     return chosen;
   }
   for (auto it = booked.rbegin(); it != booked.rend(); ++it)
-    pass.pool[static_cast<std::size_t>(it->first)]->unbook(spec, it->second);
+    pass.candidates[static_cast<std::size_t>(it->first)]->unbook(spec, it->second);
   return chosen;
 }
 
--- a/src/scheduling/pending_order.cpp
+++ b/src/scheduling/pending_order.cpp
@@ -9,16 +9,16 @@
 
 namespace k = constants;
 
-std::vector<std::size_t> places(const std::vector<Waiting>& jobs, double cpus) {
-  enum Class : int { in_time, late, hopeless };
+std::vector<std::size_t> order_by_deadline(const std::vector<PendingJob>& jobs, double cpus) {
+  enum Class : int { in_time, late, misses_every_objective };
   const std::size_t n = jobs.size();
   std::vector<int> kind(n, in_time);
   std::vector<std::size_t> aim(n, 0);  // the aim that the job is to meet
   std::vector<std::size_t> order(n);
   std::iota(order.begin(), order.end(), 0);
   for (std::size_t i = 0; i < n; ++i)
-    if (jobs[i].start_by.empty()) kind[i] = hopeless;
-  auto due = [&](std::size_t i) { return jobs[i].start_by[aim[i]]; };
+    if (jobs[i].latest_starts.empty()) kind[i] = misses_every_objective;
+  auto due = [&](std::size_t i) { return jobs[i].latest_starts[aim[i]]; };
   const double rate = std::max(cpus * k::kForecastShare, 1.0);
   // A job that misses an aim may still meet the next; each round settles who does.
   for (int round = 0; round < k::kOrderRounds; ++round) {
@@ -51,7 +51,7 @@
       chosen.pop_back();
       busy_s -= jobs[worst].work / rate;
       put_off = true;
-      if (++aim[worst] >= jobs[worst].start_by.size()) {
+      if (++aim[worst] >= jobs[worst].latest_starts.size()) {
         aim[worst] = 0;
         kind[worst] = late;
       }
@@ -92,9 +92,10 @@
     }
   }
   std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-    const Waiting &x = jobs[a], &y = jobs[b];
-    if ((kind[a] == hopeless) != (kind[b] == hopeless)) return kind[b] == hopeless;
-    if (kind[a] == hopeless) {
+    const PendingJob &x = jobs[a], &y = jobs[b];
+    if ((kind[a] == misses_every_objective) != (kind[b] == misses_every_objective))
+      return kind[b] == misses_every_objective;
+    if (kind[a] == misses_every_objective) {
       if (x.priority != y.priority) return x.priority > y.priority;
       return x.age != y.age ? x.age > y.age : a < b;
     }
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -57,7 +57,7 @@
                        : constants::kOverrunAllowanceS;
 }
 
-double predict(Ms now, const Candidate& machine, const wire::JobSpec& job) {
+double predict_finish(Ms now, const Candidate& machine, const wire::JobSpec& job) {
   double wait = 0;
   if (!machine.fits(job)) {
     std::vector<Booked> ends = machine.booked;
@@ -85,8 +85,8 @@
   return wait + fetch + job.estimate_s;
 }
 
-int choose(Ms now, const std::vector<Candidate*>& machines, const wire::JobSpec& job,
-           const std::vector<int>& eligible, pcg32& random) {
+int pick_of_two(Ms now, const std::vector<Candidate*>& machines, const wire::JobSpec& job,
+                const std::vector<int>& eligible, pcg32& random) {
   if (eligible.empty()) return -1;
   int best = -1;
   double best_finish = 0;
@@ -95,7 +95,7 @@
   auto consider = [&](int i) {
     const Candidate& c = *machines[static_cast<std::size_t>(i)];
     if (!c.fits(job)) return;
-    const double finish = predict(now, c, job);
+    const double finish = predict_finish(now, c, job);
     if (best >= 0) {
       const bool equal = std::abs(finish - best_finish) <= 1e-9;
       const bool better =
--- a/src/scheduling/placement.h
+++ b/src/scheduling/placement.h
@@ -22,7 +22,7 @@
   std::string zone;
   std::string type;
   bool spot = false;
-  bool own = true;  // of this controller's part
+  bool local = true;  // of this controller's part
   std::uint64_t incarnation = 0;
   double cpus = 0, gpus = 0, memory_gb = 0;  // free
   double fetch_gb_per_s = 1;
@@ -46,11 +46,11 @@
 double remaining_s(Ms now, Ms ends_at);
 
 // Predicted finish, seconds from now: the wait until room frees, the image fetch, the estimate.
-double predict(Ms now, const Candidate& machine, const wire::JobSpec& job);
+double predict_finish(Ms now, const Candidate& machine, const wire::JobSpec& job);
 
 // Index of the machine that takes the task now, or -1 when it has to wait: the lower prediction of
 // two sampled machines; if neither has room, the lowest of one scan.
-int choose(Ms now, const std::vector<Candidate*>& machines, const wire::JobSpec& job,
-           const std::vector<int>& eligible, pcg32& random);
+int pick_of_two(Ms now, const std::vector<Candidate*>& machines, const wire::JobSpec& job,
+                const std::vector<int>& eligible, pcg32& random);
 
 }  // namespace scheduler
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -13,7 +13,7 @@
 // Stops what may be stopped for this task on the machine where that loses least; returns the
 // machine, with its room counted as free, or -1. A few machines are drawn instead of searching all:
 // the cost must not grow with the fleet, and the least loss among some is nearly the least of all.
-int Controller::preempt_for(Pass& pass, const wire::JobSpec& spec, bool pressed,
+int Controller::preempt_for(SchedulingPass& pass, const wire::JobSpec& spec, bool is_urgent,
                             const std::set<std::string>* zones) {
   const Ms now = pass.now;
   // A team that stays within its guarantee need not wait for what another runs beyond its own.
@@ -48,13 +48,13 @@
   int best = -1;
   double best_loss = 0;
   std::vector<Victim> best_victims;
-  if (pass.own_machines == 0) return -1;
-  std::uniform_int_distribution<std::size_t> draw(0, pass.own_machines - 1);
+  if (pass.local_machines == 0) return -1;
+  std::uniform_int_distribution<std::size_t> draw(0, pass.local_machines - 1);
   for (int look = 0; look < k::kPreemptionSamples; ++look) {
     const std::size_t i = draw(random_);
-    const Candidate& c = *pass.pool[i];
+    const Candidate& c = *pass.candidates[i];
     auto at = machines_.find(c.id);
-    if (!c.own || at == machines_.end() || !allowed(spec, c.type, c.zone, c.spot) ||
+    if (!c.local || at == machines_.end() || !allowed(spec, c.type, c.zone, c.spot) ||
         (zones && !zones->contains(c.zone)) || failure_tracker_.has_failed_on(now, c.id, spec.id))
       continue;
     const Machine& m = at->second;
@@ -81,7 +81,7 @@
           v.checkpoint_interval_s > 0 && v.checkpoint_write_s + 1.0 < wait_aim_s / 2;
       // Whole machines come free by themselves every second; what would be lost for one outweighs
       // the waiting until little time is left (docs/results.md, round 7).
-      if (!pressed && v.checkpoint_interval_s <= 0 && ran > k::kLittleLostS) continue;
+      if (!is_urgent && v.checkpoint_interval_s <= 0 && ran > k::kNegligibleLossS) continue;
       const double lost =
           v.checkpoint_interval_s > 0
               ? (checkpoints ? v.checkpoint_write_s : std::min(ran, v.checkpoint_interval_s / 2))
@@ -112,7 +112,7 @@
     }
   }
   if (best < 0) return -1;
-  Candidate& c = *pass.pool[static_cast<std::size_t>(best)];
+  Candidate& c = *pass.candidates[static_cast<std::size_t>(best)];
   Machine& m = machines_.at(c.id);
   for (const Victim& v : best_victims) {
     m.stop_requests[v.task] = {v.attempt, v.grace};
--- a/src/scheduling/ranges.cpp
+++ b/src/scheduling/ranges.cpp
@@ -13,13 +13,13 @@
 namespace k = constants;
 
 // Placements that fit into the record of a range of so many tasks, as a rule.
-std::size_t Controller::placed_most(std::uint32_t tasks) const {
+std::size_t Controller::max_placements(std::uint32_t tasks) const {
   const double bytes =
       value_bytes() - static_cast<double>(k::kRangeOverheadBytes) - static_cast<double>(tasks) / 4;
   return static_cast<std::size_t>(std::max(1.0, bytes / k::kBytesPerPlacement));
 }
 
-std::size_t Controller::most_ranges() const {
+std::size_t Controller::max_ranges() const {
   // Besides the ranges, the end of a job has the view, the job and its final state as conditions.
   constexpr std::size_t kOtherConditions = 4;
   const std::size_t conditions =
@@ -54,7 +54,7 @@
     if (!type || shard == shards.end() || !allowed(spec, type_name, zone, spot)) continue;
     const double n =
         static_cast<double>(machines) * fit_count(spec, type->cpus, type->gpus, type->memory_gb);
-    shard->second.room += n;
+    shard->second.free_capacity += n;
     shard->second.capacity += n;
   }
   for (const auto& [id, job] : replica_.jobs()) {
@@ -65,8 +65,8 @@
           (r.end - r.begin) - r.done_count() - static_cast<double>(r.placed.size());
       auto shard = shards.find(cluster_view_.range_owner(wire::range_key(id, number), r.owner));
       if (shard == shards.end()) continue;
-      shard->second.room -= static_cast<double>(r.placed.size()) * scale;
-      if (job.record.spec.priority >= spec.priority) shard->second.room -= waiting * scale;
+      shard->second.free_capacity -= static_cast<double>(r.placed.size()) * scale;
+      if (job.record.spec.priority >= spec.priority) shard->second.free_capacity -= waiting * scale;
       shard->second.load += waiting * scale;
     }
   }
@@ -75,7 +75,7 @@
 
 // The part with most room left, or else the one that is least loaded for its size; end: no part has
 // machines for the job. `first` is preferred among equals.
-std::map<std::string, Controller::ShardCapacity>::iterator Controller::roomiest(
+std::map<std::string, Controller::ShardCapacity>::iterator Controller::most_free(
     std::map<std::string, ShardCapacity>& shards, const std::string& first) {
   auto best = shards.end();
   for (auto it = shards.begin(); it != shards.end(); ++it) {
@@ -84,11 +84,12 @@
     bool better = best == shards.end();
     if (!better) {
       const ShardCapacity& other = best->second;
-      const bool has = p.room >= 1, other_has = other.room >= 1;
+      const bool has = p.free_capacity >= 1, other_has = other.free_capacity >= 1;
       if (has != other_has) {
         better = has;
       } else if (has) {
-        better = p.room > other.room || (p.room == other.room && it->first == first);
+        better = p.free_capacity > other.free_capacity ||
+                 (p.free_capacity == other.free_capacity && it->first == first);
       } else {
         better = (p.load + 1) / p.capacity < (other.load + 1) / other.capacity;
       }
@@ -98,7 +99,7 @@
   return best;
 }
 
-std::vector<wire::JobRecord::Share> Controller::divide(const wire::JobSpec& spec) {
+std::vector<wire::JobRecord::Share> Controller::split_into_ranges(const wire::JobSpec& spec) {
   auto shards = shard_capacities(spec);
   const bool whole = spec.is_gang() || spec.one_zone || spec.spread;
   const std::string first = rendezvous(wire::job_key(spec.id), cluster_view_.owners());
@@ -112,22 +113,22 @@
   std::map<std::string, std::uint32_t> given;
   for (std::uint32_t left = spec.tasks; left > 0;) {
     const std::uint32_t n = std::min(step, left);
-    auto best = roomiest(shards, first);
+    auto best = most_free(shards, first);
     if (best == shards.end()) best = shards.try_emplace(first).first;
     given[best->first] += n;
-    best->second.room -= n;
+    best->second.free_capacity -= n;
     best->second.load += n;
     left -= n;
   }
-  return cut_shares(spec, given);
+  return limit_range_sizes(spec, given);
 }
 
 // The ranges of a job of which each part was given so many tasks, none larger than its record may
 // become.
-std::vector<wire::JobRecord::Share> Controller::cut_shares(
+std::vector<wire::JobRecord::Share> Controller::limit_range_sizes(
     const wire::JobSpec& spec, const std::map<std::string, std::uint32_t>& given) const {
   // Every replica of a service is placed at once, so that all placements of a range must fit.
-  const auto all_placed = static_cast<std::uint32_t>(placed_most(0));
+  const auto all_placed = static_cast<std::uint32_t>(max_placements(0));
   const std::uint32_t most_tasks =
       spec.is_service() ? all_placed : tasks_per_range(static_cast<std::size_t>(value_bytes()));
   std::vector<wire::JobRecord::Share> out;
@@ -144,8 +145,8 @@
 }
 
 // Idle room takes unstarted tasks from the end of other parts' ranges.
-void Controller::take_ranges(Ms now, Pass& pass) {
-  if (pass.left <= 0) return;
+void Controller::steal_ranges(Ms now, SchedulingPass& pass) {
+  if (pass.remaining_placements <= 0) return;
   const Job* best_job = nullptr;
   RangeId best;
   std::uint32_t best_first = 0;
@@ -157,39 +158,39 @@
       continue;
     // Guards against work that stays for ever with a part that has no machine for it: a job that
     // cannot be divided further is still taken over by whole ranges, which makes no new record.
-    const bool whole_only = job.ranges.size() >= most_ranges();
+    const bool whole_only = job.ranges.size() >= max_ranges();
     if (best_job && spec.priority <= best_job->record.spec.priority) continue;
-    double room = -1;
+    double free_capacity = -1;
     for (const auto& [number, r] : job.ranges) {
       if (r.placed.size() + r.done_count() >= r.end - r.begin) continue;
       const RangeId range{id, number};
       if (cluster_view_.range_owner(wire::range_key(id, number), r.owner) == settings_.name)
         continue;
-      RangeWork& w = work_[range];
+      RangeState& w = range_states_[range];
       if (w.first_seen == 0) w.first_seen = now;
       if (w.busy || !w.released.empty() || now < w.retry_at) continue;
       // Over the limit on values: its owner cuts it first.
-      if (r.placed.size() > placed_most(r.end - r.begin)) continue;
+      if (r.placed.size() > max_placements(r.end - r.begin)) continue;
       // A few tasks are left to their owner for longer: each taking makes one more record.
       const std::size_t waits = (r.end - r.begin) - r.placed.size() - r.done_count();
-      const Ms patience = waits < k::kTakeAtLeast ? k::kTakeFewAfterMs : k::kTakeOverAfterMs;
+      const Ms patience = waits < k::kStealAtLeastTasks ? k::kStealFewAfterMs : k::kStealAfterMs;
       if (now - w.first_seen < patience) {
         dirty_ = true;
         continue;
       }
-      if (room < 0) room = room_for(pass, spec);
-      if (room < 1) break;
+      if (free_capacity < 0) free_capacity = free_capacity_for(pass, spec);
+      if (free_capacity < 1) break;
       std::uint32_t first = r.end, open = 0;
-      while (first > r.begin && !r.placed.contains(first - 1) && open < room) {
+      while (first > r.begin && !r.placed.contains(first - 1) && open < free_capacity) {
         --first;
         if (!r.done[first - r.begin]) ++open;
       }
       if (whole_only && r.placed.empty()) first = r.begin;
       if (open == 0 || (whole_only && first != r.begin)) continue;
-      if (!grant_allows(pass, spec)) {
+      if (!quota_allows(pass, spec)) {
         // Guards against work that only our machines may run staying with a part that holds the
         // grants but has no such machines.
-        need_quota(spec, open);
+        add_quota_demand(spec, open);
         break;
       }
       best_job = &job;
@@ -201,22 +202,22 @@
   if (!best_job) return;
   std::uint32_t number = random_();
   while (number == 0 || best_job->ranges.contains(number)) number = random_();
-  write_taken(best, best_first, {best.job, number});
+  write_stolen_range(best, best_first, {best.job, number});
 }
 
 // Tasks of the job that our part has room for; counted once a pass for each shape.
-double Controller::room_for(Pass& pass, const wire::JobSpec& spec) const {
-  auto [at, fresh] = pass.room.try_emplace(
+double Controller::free_capacity_for(SchedulingPass& pass, const wire::JobSpec& spec) const {
+  auto [at, fresh] = pass.free_capacity.try_emplace(
       {spec.cpus, spec.gpus, spec.memory_gb, spec.spot, spec.types, spec.zone}, 0.0);
   if (!fresh) return at->second;
-  for (const auto* c : pass.pool) {
-    if (c->own && c->cpus > 0 && allowed(spec, c->type, c->zone, c->spot))
+  for (const auto* c : pass.candidates) {
+    if (c->local && c->cpus > 0 && allowed(spec, c->type, c->zone, c->spot))
       at->second += fit_count(spec, c->cpus, c->gpus, c->memory_gb);
   }
   return at->second;
 }
 
-void Controller::write_taken(const RangeId& from, std::uint32_t first, const RangeId& to) {
+void Controller::write_stolen_range(const RangeId& from, std::uint32_t first, const RangeId& to) {
   const auto* range = replica_.range(from);
   if (!range) return;
   wire::RangeRecord left = *range;
@@ -240,10 +241,10 @@
     t.writes.push_back({to_key, encode(right), std::nullopt});
   }
   t.writes.push_back({from_key, encode(left), std::nullopt});
-  work_[from].busy = true;
+  range_states_[from].busy = true;
   t.done = [this, from](Ms at, TxnResult result, const auto&) {
     auto release = [this, from](Ms) {
-      work_[from].busy = false;
+      range_states_[from].busy = false;
       dirty_ = true;
     };
     if (result == TxnResult::committed) {
@@ -256,7 +257,7 @@
 }
 
 // With what is proven, every task of the range is done.
-bool Controller::completes(const RangeId& id, const RangeWork& w) const {
+bool Controller::completes(const RangeId& id, const RangeState& w) const {
   if (w.released.empty()) return false;
   const auto* range = replica_.range(id);
   if (!range) return false;
@@ -265,11 +266,11 @@
   return range->done_count() + done >= range->end - range->begin;
 }
 
-// Whether the range's changes are to be written now; `room`: writes can still be asked for. That
+// Whether the range's changes are to be written now; `may_queue_writes`: writes can still be asked for. That
 // tasks ended can wait a little, to be written together: their room is free already, and their
 // machines list them until it is recorded.
-bool Controller::pressing(Ms now, const RangeId& id, RangeWork& w, bool room) const {
-  if (!w.placing.empty() || w.stop_requested || w.uncertain) return true;
+bool Controller::must_write_now(Ms now, const RangeId& id, RangeState& w, bool may_queue_writes) const {
+  if (!w.pending_placements.empty() || w.stop_requested || w.write_uncertain) return true;
   if (w.released.empty()) {
     w.released_since = 0;
     return false;
@@ -278,13 +279,14 @@
   const Job* job = replica_.job(id.job);
   if (!job || job->record.cancelled || job->record.spec.is_gang()) return true;
   const Ms waited = now - w.released_since;
-  return (waited >= k::kEndsWithinMs && room) || waited >= 3 * k::kEndsWithinMs ||
-         (waited >= k::kEndsGatherMs && state_client_.has_write_headroom(now));
+  return (waited >= k::kCompletionWriteMs && may_queue_writes) ||
+         waited >= 3 * k::kCompletionWriteMs ||
+         (waited >= k::kCompletionBatchMs && state_client_.has_write_headroom(now));
 }
 
 // Puts the proven ends of tasks into the record. False when all of them are recorded already.
-bool Controller::record_ends(const wire::JobSpec& spec, RangeWork& work,
-                             wire::RangeRecord& record) {
+bool Controller::record_completions(const wire::JobSpec& spec, RangeState& work,
+                                    wire::RangeRecord& record) {
   bool changed = false;
   for (auto it = work.released.begin(); it != work.released.end();) {
     const auto placed = record.placed.find(it->first);
@@ -308,7 +310,7 @@
 }
 
 // Takes over whether the gang is to be stopped in good order.
-bool Controller::record_stop(const wire::JobSpec& spec, const RangeWork& work,
+bool Controller::record_stop(const wire::JobSpec& spec, const RangeState& work,
                              wire::RangeRecord& record) {
   const bool stop = work.stop_requested && spec.is_gang() && !record.placed.empty() &&
                     record.done_count() == 0 && !record.stopping;
@@ -319,25 +321,25 @@
 
 // Takes choices back until the record fits. Guards against a value over the service's limit, which
 // would be refused for ever: names may be longer than the rule of placed_most() counts with.
-void Controller::fit_placements(const wire::JobSpec& spec, RangeWork& work,
+void Controller::fit_placements(const wire::JobSpec& spec, RangeState& work,
                                 const wire::RangeRecord& record) {
-  while (!spec.is_gang() && work.placing.size() > 1) {
+  while (!spec.is_gang() && work.pending_placements.size() > 1) {
     wire::RangeRecord full = record;
-    for (const auto& [task, placement] : work.placing) full.placed[task] = placement;
+    for (const auto& [task, placement] : work.pending_placements) full.placed[task] = placement;
     if (static_cast<double>(encode(full).size()) <= value_bytes()) break;
-    drop_placing(work, work.placing.size() / 2);
+    drop_pending_placements(work, work.pending_placements.size() / 2);
   }
 }
 
 // Puts the chosen placements into the record, with the conditions that they rest on.
-void Controller::record_placements(const Job& job, const RangeWork& work, wire::RangeRecord& record,
-                                   Transaction& t) {
+void Controller::record_placements(const Job& job, const RangeState& work,
+                                   wire::RangeRecord& record, Transaction& t) {
   const wire::JobSpec& spec = job.record.spec;
   // A cancellation or a change of a machine's standing in between voids the placement.
   t.conditions.push_back(state_client_.unchanged(wire::job_key(spec.id)));
   record.owner = settings_.name;
   std::set<std::string> owners;  // of the machines
-  for (const auto& [task, placement] : work.placing) {
+  for (const auto& [task, placement] : work.pending_placements) {
     record.placed[task] = placement;
     record.next_attempt = std::max(record.next_attempt, placement.attempt + 1);
     const auto* machine = replica_.machine(placement.machine);
@@ -392,12 +394,12 @@
 }
 
 void Controller::write_range(const RangeId& id) {
-  RangeWork& w = work_[id];
+  RangeState& w = range_states_[id];
   const auto* range = replica_.range(id);
   const Job* job = replica_.job(id.job);
   if (w.busy) return;
   if (!range || !job) {
-    clear_placing(w);
+    clear_pending_placements(w);
     w.released.clear();
     w.stop_requested = false;
     return;
@@ -407,31 +409,31 @@
   wire::RangeRecord next = *range;
   Transaction t;
   t.conditions = {view_unchanged(), state_client_.unchanged(key)};
-  bool changed = record_ends(spec, w, next);
+  bool changed = record_completions(spec, w, next);
   const bool stop = record_stop(spec, w, next);
   w.stop_requested = false;
   changed = changed || stop;
-  changed = changed || w.uncertain;  // the same again, with a new stamp
-  if (!w.placing.empty() && !w.uncertain) {
+  changed = changed || w.write_uncertain;  // the same again, with a new stamp
+  if (!w.pending_placements.empty() && !w.write_uncertain) {
     const bool fits = spec.is_gang() || static_cast<double>(encode(next).size()) <= value_bytes();
     if (fits) {
       fit_placements(spec, w, next);
       record_placements(*job, w, next, t);
     } else {
-      clear_placing(w);  // once the record has been cut
+      clear_pending_placements(w);  // once the record has been cut
     }
     changed = true;
   }
   if (!changed) return;
   if (!write_pieces(*job, next, t)) {
     log(LogLevel::info, key + " does not fit the state service's limits yet");
-    clear_placing(w);
+    clear_pending_placements(w);
     w.stop_requested = stop;
     w.retry_at = last_input_at_ + k::kRejectedPauseMs;
     return;
   }
   log(LogLevel::debug, "writing " + key + " stamp " + std::to_string(state_client_.version(key)) +
-                           " placing " + std::to_string(w.placing.size()) + " freed " +
+                           " placing " + std::to_string(w.pending_placements.size()) + " freed " +
                            std::to_string(w.released.size()));
   w.released_since = 0;
   // A user waits for the end of a cancelled job.
@@ -442,16 +444,16 @@
 }
 
 void Controller::on_range_written(Ms now, const RangeId& id, TxnResult result) {
-  auto it = work_.find(id);
-  if (it == work_.end()) return;
-  RangeWork& work = it->second;
+  auto it = range_states_.find(id);
+  if (it == range_states_.end()) return;
+  RangeState& work = it->second;
   dirty_ = true;
   const bool not_executed = result == TxnResult::refused || result == TxnResult::rejected;
   if (result == TxnResult::unknown) {
     // Guards against a late write that fills a grant or a machine a second time.
-    work.uncertain = true;
-  } else if (result == TxnResult::committed || (not_executed && !work.uncertain)) {
-    clear_placing(work);
+    work.write_uncertain = true;
+  } else if (result == TxnResult::committed || (not_executed && !work.write_uncertain)) {
+    clear_pending_placements(work);
   }
   if (result == TxnResult::committed) {
     work.busy = false;
@@ -463,11 +465,11 @@
     return;
   }
   state_client_.wait_until_settled(now, [this, id, result](Ms) {
-    auto again = work_.find(id);
-    if (again != work_.end()) {
+    auto again = range_states_.find(id);
+    if (again != range_states_.end()) {
       // Guards against a conflict with a repeat of this very write, which was executed: until the
       // replica shows it, its placements count as made. Others would exceed the team's limit.
-      if (result == TxnResult::conflict) clear_placing(again->second);
+      if (result == TxnResult::conflict) clear_pending_placements(again->second);
       again->second.busy = false;
     }
     dirty_ = true;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -76,19 +76,19 @@
   return c;
 }
 
-Candidate Controller::foreign_candidate(Ms now, const std::string& id,
-                                        const wire::MachineRecord& record) const {
+Candidate Controller::remote_candidate(Ms now, const std::string& id,
+                                       const wire::MachineRecord& record) const {
   Candidate c;
   c.id = id;
   c.zone = record.zone;
   c.type = record.type;
   c.spot = record.spot;
   c.incarnation = record.incarnation;
-  c.own = false;
+  c.local = false;
   const auto* type = replica_.type(record.type);
   if (!type) return c;
-  const auto found = foreign_unwritten_.find(id);
-  const Amounts unwritten = found == foreign_unwritten_.end() ? Amounts{} : found->second;
+  const auto found = remote_reservations_.find(id);
+  const Amounts unwritten = found == remote_reservations_.end() ? Amounts{} : found->second;
   c.cpus = type->cpus - unwritten.cpus;
   c.gpus = type->gpus - unwritten.gpus;
   c.memory_gb = type->memory_gb - unwritten.memory_gb;
@@ -102,48 +102,49 @@
 }
 
 // Only gangs and jobs that are bound to zones may need machines of other parts.
-void Controller::add_foreign(Pass& pass) {
-  if (pass.foreign_added) return;
-  pass.foreign_added = true;
+void Controller::add_remote_candidates(SchedulingPass& pass) {
+  if (pass.remote_added) return;
+  pass.remote_added = true;
   for (const auto& [id, record] : replica_.machines()) {
     if (machines_.contains(id) || record.incarnation == 0 ||
         record.state != wire::MachineState::ready)
       continue;
-    auto known = foreign_candidates_.find(id);
-    if (known == foreign_candidates_.end())
-      known = foreign_candidates_.emplace(id, foreign_candidate(pass.now, id, record)).first;
-    pass.pool.push_back(&known->second);
+    auto known = remote_candidates_.find(id);
+    if (known == remote_candidates_.end())
+      known = remote_candidates_.emplace(id, remote_candidate(pass.now, id, record)).first;
+    pass.candidates.push_back(&known->second);
     pass.zones.insert(record.zone);
   }
 }
 
-const std::vector<int>& Controller::machines_for(Pass& pass, const wire::JobSpec& spec,
-                                                 const std::string& zone, bool foreign) {
+const std::vector<int>& Controller::machines_for(SchedulingPass& pass, const wire::JobSpec& spec,
+                                                 const std::string& zone, bool remote) {
   static const std::vector<int> none;
   if (!zone.empty() && !spec.zone.empty() && zone != spec.zone) return none;
   const std::string& only = zone.empty() ? spec.zone : zone;
-  auto [found, fresh] = pass.of_kind.try_emplace(Pass::Kind{spec.spot, spec.types, only, foreign});
+  auto [found, fresh] =
+      pass.eligible_by_kind.try_emplace(SchedulingPass::Kind{spec.spot, spec.types, only, remote});
   if (!fresh) return found->second;
-  for (std::size_t i = 0; i < pass.pool.size(); ++i) {
-    const Candidate& c = *pass.pool[i];
+  for (std::size_t i = 0; i < pass.candidates.size(); ++i) {
+    const Candidate& c = *pass.candidates[i];
     const bool here = only.empty() || c.zone == only;
-    if (here && (c.own || foreign) && allowed(spec, c.type, c.zone, c.spot))
+    if (here && (c.local || remote) && allowed(spec, c.type, c.zone, c.spot))
       found->second.push_back(static_cast<int>(i));
   }
   return found->second;
 }
 
 bool Controller::released(const TaskRef& ref, std::uint64_t attempt) const {
-  auto w = work_.find(ref.range);
-  if (w == work_.end()) return false;
+  auto w = range_states_.find(ref.range);
+  if (w == range_states_.end()) return false;
   auto f = w->second.released.find(ref.index);
   return f != w->second.released.end() && f->second.attempt == attempt;
 }
 
 // What is proven gone, though not recorded yet, is recorded together with its next placement.
-bool Controller::unstarted(const RangeWork& work, const wire::RangeRecord& range,
-                           std::uint32_t task) const {
-  if (range.done[task - range.begin] || work.placing.contains(task)) return false;
+bool Controller::is_unstarted(const RangeState& work, const wire::RangeRecord& range,
+                              std::uint32_t task) const {
+  if (range.done[task - range.begin] || work.pending_placements.contains(task)) return false;
   auto p = range.placed.find(task);
   if (p == range.placed.end()) return true;
   auto f = work.released.find(task);
@@ -152,7 +153,7 @@
 }
 
 // Tasks of the range that could be placed now.
-std::size_t Controller::open_tasks(const RangeWork& work, const wire::RangeRecord& range) {
+std::size_t Controller::open_tasks(const RangeState& work, const wire::RangeRecord& range) {
   const std::size_t held = range.placed.size() + range.done_count();
   const auto lost = static_cast<std::size_t>(std::count_if(
       work.released.begin(), work.released.end(), [](const auto& f) { return !f.second.done; }));
@@ -160,39 +161,40 @@
   return std::min(all, all - std::min(all, held) + lost);
 }
 
-void Controller::assign(Pass& pass, RangeWork& work, const Job& job, std::uint32_t task,
+void Controller::assign(SchedulingPass& pass, RangeState& work, const Job& job, std::uint32_t task,
                         std::uint64_t attempt, int machine, bool booked) {
-  Candidate& c = *pass.pool[static_cast<std::size_t>(machine)];
+  Candidate& c = *pass.candidates[static_cast<std::size_t>(machine)];
   const auto& spec = job.record.spec;
-  work.placing[task] = {attempt, c.id, c.incarnation, settings_.name};
+  work.pending_placements[task] = {attempt, c.id, c.incarnation, settings_.name};
   work.cpus = spec.cpus;
   work.gpus = spec.gpus;
   work.memory_gb = spec.memory_gb;
   if (!booked) c.book(spec, ends_at(pass.now, spec));
-  book_unwritten(c.id, spec, 1);
+  adjust_reservation(c.id, spec, 1);
   auto& used = pass.used[spec.team];
   used.cpus += spec.cpus;
   used.gpus += spec.gpus;
-  --pass.left;
+  --pass.remaining_placements;
 }
 
 // Takes the last `count` choices back.
-void Controller::drop_placing(RangeWork& work, std::size_t count) {
+void Controller::drop_pending_placements(RangeState& work, std::size_t count) {
   wire::JobSpec task;
   task.cpus = work.cpus;
   task.gpus = work.gpus;
   task.memory_gb = work.memory_gb;
-  while (count-- > 0 && !work.placing.empty()) {
-    auto last = std::prev(work.placing.end());
+  while (count-- > 0 && !work.pending_placements.empty()) {
+    auto last = std::prev(work.pending_placements.end());
     const std::string& id = last->second.machine;
-    book_unwritten(id, task, -1);
+    adjust_reservation(id, task, -1);
     if (auto m = machines_.find(id); m != machines_.end()) m->second.candidate_known = false;
-    foreign_candidates_.erase(id);
-    work.placing.erase(last);
+    remote_candidates_.erase(id);
+    work.pending_placements.erase(last);
   }
 }
 
-void Controller::book_unwritten(const std::string& machine, const wire::JobSpec& spec, int sign) {
+void Controller::adjust_reservation(const std::string& machine, const wire::JobSpec& spec,
+                                    int sign) {
   const auto change = [sign](double& amount, double by) {
     amount = std::max(0.0, amount + sign * by);
   };
@@ -202,21 +204,21 @@
     change(m->second.reserved_memory, spec.memory_gb);
     return;
   }
-  const auto at = foreign_unwritten_.try_emplace(machine).first;
+  const auto at = remote_reservations_.try_emplace(machine).first;
   change(at->second.cpus, spec.cpus);
   change(at->second.gpus, spec.gpus);
   change(at->second.memory_gb, spec.memory_gb);
   const bool none = at->second.cpus <= k::kAmountSlack && at->second.gpus <= k::kAmountSlack &&
                     at->second.memory_gb <= k::kAmountSlack;
-  if (none) foreign_unwritten_.erase(at);
+  if (none) remote_reservations_.erase(at);
 }
 
-void Controller::count_foreign_unwritten() {
-  foreign_unwritten_.clear();
-  for (const auto& [id, work] : work_) {
-    for (const auto& [task, placement] : work.placing) {
+void Controller::recount_remote_reservations() {
+  remote_reservations_.clear();
+  for (const auto& [id, work] : range_states_) {
+    for (const auto& [task, placement] : work.pending_placements) {
       if (machines_.contains(placement.machine)) continue;
-      Amounts& sum = foreign_unwritten_[placement.machine];
+      Amounts& sum = remote_reservations_[placement.machine];
       sum.cpus += work.cpus;
       sum.gpus += work.gpus;
       sum.memory_gb += work.memory_gb;
@@ -230,9 +232,9 @@
   return std::max(k::kPassEveryMs, walked * 1000 / k::kPassWalkPerS);
 }
 
-void Controller::clear_placing(RangeWork& work) {
-  drop_placing(work, work.placing.size());
-  work.uncertain = false;
+void Controller::clear_pending_placements(RangeState& work) {
+  drop_pending_placements(work, work.pending_placements.size());
+  work.write_uncertain = false;
 }
 
 double Controller::age_s(Ms now, const Job& job) const {
@@ -240,16 +242,16 @@
 }
 
 // The aims of its class that the job can still meet, as times by which its tasks must have started.
-Waiting Controller::waiting(Ms now, const Job& job) const {
+PendingJob Controller::pending_job(Ms now, const Job& job) const {
   const auto& spec = job.record.spec;
-  Waiting w;
+  PendingJob w;
   w.age = age_s(now, job);
   const std::uint64_t held = job.done_tasks() + job.placed_tasks();
   w.work = static_cast<double>(spec.tasks - std::min<std::uint64_t>(spec.tasks, held)) *
            spec.estimate_s * std::max(spec.cpus, 0.1);
   if (spec.is_service()) {
     // Every second that a replica is missing counts, however long it has been so.
-    w.start_by.push_back(0);
+    w.latest_starts.push_back(0);
     w.priority = static_cast<int>(spec.priority);
     return w;
   }
@@ -264,11 +266,11 @@
     const bool finishing = o.kind == ObjectiveKind::deadline || o.kind == ObjectiveKind::finished;
     any = any || finishing;
     if (start_by < 0) continue;
-    w.start_by.push_back(start_by);
+    w.latest_starts.push_back(start_by);
     finish_open = finish_open || finishing;
   }
-  if (!any) w.start_by.push_back(std::max(0.0, k::kDefaultHorizonS - spec.estimate_s - w.age));
-  std::sort(w.start_by.begin(), w.start_by.end());
+  if (!any) w.latest_starts.push_back(std::max(0.0, k::kDefaultHorizonS - spec.estimate_s - w.age));
+  std::sort(w.latest_starts.begin(), w.latest_starts.end());
   // While its class has an aim to meet, low work waits in one queue with standard work (measured,
   // docs/design.md); it still stops nothing and may be stopped.
   w.priority = static_cast<int>(finish_open ? std::max(spec.priority, wire::Priority::normal)
@@ -276,7 +278,7 @@
   return w;
 }
 
-bool Controller::pressed(Ms now, const Job& job) const {
+bool Controller::is_urgent(Ms now, const Job& job) const {
   const auto& spec = job.record.spec;
   if (spec.is_service()) return true;
   const double age = age_s(now, job);
@@ -290,10 +292,10 @@
     if (o.kind == ObjectiveKind::finished) start_by = o.within_s - spec.estimate_s;
     if (start_by > age) left = std::min(left, start_by - age);
   }
-  return left < k::kPressedS;
+  return left < k::kUrgentStartS;
 }
 
-double Controller::fleet_cpus(Ms now) {
+double Controller::total_fleet_cpus(Ms now) {
   if (now < fleet_cpus_at_) return fleet_cpus_;
   fleet_cpus_at_ = now + k::kSizeEveryMs;
   fleet_cpus_ = 0;
@@ -309,24 +311,24 @@
   schedule_after_ = now + pass_interval();
   if (!can_write(now)) return;
   count_service_reserve();
-  Pass pass;
+  SchedulingPass pass;
   pass.now = now;
-  pass.left = k::kPlacementsPerPass;
+  pass.remaining_placements = k::kPlacementsPerPass;
   // Few writes wait at once: which work goes next is decided when it can be written, not before a
   // queue of seconds, and what gathers meanwhile goes in one write.
-  pass.writes = k::kWritesQueued - static_cast<int>(state_client_.queued());
+  pass.remaining_writes = k::kWritesQueued - static_cast<int>(state_client_.queued());
   for (const auto& [id, m] : machines_)
     if (usable(now, m)) {
-      pass.pool.push_back(&candidate(now, m));
+      pass.candidates.push_back(&candidate(now, m));
       pass.zones.insert(m.zone);
     }
-  pass.own_machines = pass.pool.size();
+  pass.local_machines = pass.candidates.size();
   auto write = [&](const RangeId& id) {
     write_range(id);
-    --pass.writes;
+    --pass.remaining_writes;
   };
   // Ends of ranges first: users wait for them.
-  for (auto& [id, w] : work_)
+  for (auto& [id, w] : range_states_)
     if (!w.busy && now >= w.retry_at && completes(id, w)) write(id);
   struct Entry {
     RangeId id;
@@ -334,14 +336,14 @@
     const wire::RangeRecord* range;
     std::size_t waiter;
     bool old;
-    Urgency urgency;
+    SchedulingPriority scheduling_priority;
   };
   double all_cpus = 0, old_cpus = 0;  // of our part; of those, what old jobs use
-  for (const auto* c : pass.pool)
+  for (const auto* c : pass.candidates)
     if (const auto* type = replica_.type(c->type)) all_cpus += type->cpus;
   std::vector<Entry> entries;
   // All jobs that wait, of whatever part: every controller comes to the same order.
-  std::vector<Waiting> waiters;
+  std::vector<PendingJob> waiters;
   std::vector<const std::string*> classes;
   std::map<std::string_view, double> of_class;  // live jobs
   for (const auto& [id, job] : replica_.jobs()) {
@@ -356,87 +358,91 @@
       if (cluster_view_.range_owner(wire::range_key(id, number), r.owner) != settings_.name)
         continue;
       if (old) old_cpus += job.record.spec.cpus * static_cast<double>(r.placed.size());
-      RangeWork& w = work_[range];
+      RangeState& w = range_states_[range];
       if (open_tasks(w, r) == 0) continue;
       if (w.first_seen == 0) w.first_seen = now;
       waits = true;
       entries.push_back({range, &job, &r, waiter, old, {}});
     }
     if (!waits) continue;
-    waiters.push_back(waiting(now, job));
+    waiters.push_back(pending_job(now, job));
     classes.push_back(&job.record.spec.job_class);
   }
   // The aims are shares of a class: one job of a small class counts for more.
   for (std::size_t i = 0; i < waiters.size(); ++i) waiters[i].weight = 1.0 / of_class[*classes[i]];
-  const auto place = places(waiters, fleet_cpus(now));
+  const auto place = order_by_deadline(waiters, total_fleet_cpus(now));
   for (auto& e : entries) {
-    const Waiting& w = waiters[e.waiter];
+    const PendingJob& w = waiters[e.waiter];
     // Nobody is starved: whoever has waited this long without any task started begins now, and goes
     // on in its own place afterwards.
-    e.urgency.begun = w.age < k::kBeginWithinS || e.job->done_tasks() + e.job->placed_tasks() > 0;
-    e.urgency.hopeless = w.start_by.empty();
-    e.urgency.place = place[e.waiter];
+    e.scheduling_priority.has_started =
+        w.age < k::kBeginWithinS || e.job->done_tasks() + e.job->placed_tasks() > 0;
+    e.scheduling_priority.misses_every_objective = w.latest_starts.empty();
+    e.scheduling_priority.place = place[e.waiter];
   }
   // Old jobs have a share of the machines before all others, so that an overload that lasts does
   // not put them off for ever; the rest goes by the aims.
   if (old_cpus < k::kOldShare * all_cpus) {
     for (auto& e : entries)
-      if (e.old) e.urgency.begun = false;
+      if (e.old) e.scheduling_priority.has_started = false;
   }
   std::sort(entries.begin(), entries.end(), [](const Entry& x, const Entry& y) {
     const bool x_service = x.job->record.spec.is_service();
     const bool y_service = y.job->record.spec.is_service();
     if (x_service != y_service) return x_service;
-    if (x.urgency.begun != y.urgency.begun) return !x.urgency.begun;
-    if (x.urgency.place != y.urgency.place) return x.urgency.place < y.urgency.place;
+    if (x.scheduling_priority.has_started != y.scheduling_priority.has_started)
+      return !x.scheduling_priority.has_started;
+    if (x.scheduling_priority.place != y.scheduling_priority.place)
+      return x.scheduling_priority.place < y.scheduling_priority.place;
     return x.id < y.id;
   });
-  quota_need_.clear();
+  quota_demand_.clear();
   for (const auto& e : entries) {
-    if (pass.left <= 0) {
+    if (pass.remaining_placements <= 0) {
       dirty_ = true;
       break;
     }
-    RangeWork& w = work_[e.id];
-    if (w.busy || w.uncertain || now < w.retry_at ||
+    RangeState& w = range_states_[e.id];
+    if (w.busy || w.write_uncertain || now < w.retry_at ||
         failure_tracker_.next_attempt_at(e.id.job) > now)
       continue;
-    if (pass.writes <= 0 && e.job->record.spec.priority < wire::Priority::high) {
+    if (pass.remaining_writes <= 0 && e.job->record.spec.priority < wire::Priority::high) {
       dirty_ = true;
       continue;
     }
     if (e.job->record.spec.is_service()) {
       place_service(pass, e.id, *e.job, *e.range);
     } else if (e.job->record.spec.is_gang()) {
-      place_gang(pass, e.id, *e.job, *e.range, e.urgency.begun);
+      place_gang(pass, e.id, *e.job, *e.range, e.scheduling_priority.has_started);
     } else {
-      place_array(pass, e.id, *e.job, *e.range, e.urgency);
+      place_array(pass, e.id, *e.job, *e.range, e.scheduling_priority);
     }
-    if (!w.placing.empty()) write(e.id);
+    if (!w.pending_placements.empty()) write(e.id);
   }
-  if (pass.writes > 0) take_ranges(now, pass);
-  for (auto& [id, w] : work_) {
-    if (!w.busy && now >= w.retry_at && pressing(now, id, w, pass.writes > 0)) write(id);
+  if (pass.remaining_writes > 0) steal_ranges(now, pass);
+  for (auto& [id, w] : range_states_) {
+    if (!w.busy && now >= w.retry_at && must_write_now(now, id, w, pass.remaining_writes > 0))
+      write(id);
   }
-  std::erase_if(work_,
+  std::erase_if(range_states_,
                 [this](const auto& w) { return !w.second.busy && !replica_.range(w.first); });
   state_client_.tick(now);
 }
 
 // Keeps the machines with most room for what must begin and finds none yet. Guards against large
 // tasks and gangs that wait for ever, since small ones take every bit of room as it comes.
-void Controller::reserve(Pass& pass, const wire::JobSpec& spec, std::size_t tasks) {
+void Controller::reserve(SchedulingPass& pass, const wire::JobSpec& spec, std::size_t tasks) {
   std::vector<int> open = machines_for(pass, spec, "", false);
   const std::size_t n = std::min(tasks, open.size() / 4 + 1);
   const auto middle = open.begin() + static_cast<std::ptrdiff_t>(std::min(n, open.size()));
   std::partial_sort(open.begin(), middle, open.end(), [&](int a, int b) {
-    return pass.pool[static_cast<std::size_t>(a)]->cpus >
-           pass.pool[static_cast<std::size_t>(b)]->cpus;
+    return pass.candidates[static_cast<std::size_t>(a)]->cpus >
+           pass.candidates[static_cast<std::size_t>(b)]->cpus;
   });
   pass.reserved.insert(open.begin(), middle);
 }
 
-std::set<std::string> Controller::zones_open(const Pass& pass, const Job& job) const {
+std::set<std::string> Controller::zones_open(const SchedulingPass& pass, const Job& job) const {
   const auto& spec = job.record.spec;
   std::map<std::string, std::size_t> here;  // tasks by zone
   auto count = [&](const wire::Placement& p) {
@@ -447,8 +453,8 @@
     // What is proven gone though not yet recorded holds its zone no longer.
     for (const auto& [task, p] : r.placed)
       if (!released({{spec.id, number}, task}, p.attempt)) count(p);
-    if (auto w = work_.find({spec.id, number}); w != work_.end())
-      for (const auto& [task, p] : w->second.placing) count(p);
+    if (auto w = range_states_.find({spec.id, number}); w != range_states_.end())
+      for (const auto& [task, p] : w->second.pending_placements) count(p);
   }
   std::set<std::string> out;
   for (const auto& zone : pass.zones) {
@@ -470,39 +476,41 @@
   });
 }
 
-Controller::NarrowedMachines Controller::narrow(const Pass& pass, const wire::JobSpec& spec,
-                                                const std::vector<int>& eligible) const {
-  NarrowedMachines out;
+Controller::PreferredMachines Controller::find_preferred(const SchedulingPass& pass,
+                                                         const wire::JobSpec& spec,
+                                                         const std::vector<int>& eligible) const {
+  PreferredMachines out;
   for (const int i : eligible) {
-    const Candidate& c = *pass.pool[static_cast<std::size_t>(i)];
+    const Candidate& c = *pass.candidates[static_cast<std::size_t>(i)];
     if (!c.fits(spec)) continue;
     const bool long_fetch = spec.image_gb / std::max(0.01, c.fetch_gb_per_s) >= k::kLongFetchS;
     const bool has_image =
         std::find(c.images.begin(), c.images.end(), spec.image) != c.images.end();
     if (long_fetch && has_image) out.with_image.push_back(i);
     if (pass.whole_machine_gangs && (c.spot || !c.booked.empty()))
-      out.of_no_use_to_gangs.push_back(i);
+      out.useless_to_gangs.push_back(i);
   }
   return out;
 }
 
-int Controller::choose_narrowed(Pass& pass, const wire::JobSpec& spec,
-                                const std::vector<int>& eligible, NarrowedMachines& narrowed) {
-  for (const auto* some : {&narrowed.with_image, &narrowed.of_no_use_to_gangs}) {
-    const int machine = choose(pass.now, pass.pool, spec, *some, random_);
+int Controller::pick_preferred(SchedulingPass& pass, const wire::JobSpec& spec,
+                               const std::vector<int>& eligible, PreferredMachines& preferred) {
+  for (const auto* some : {&preferred.with_image, &preferred.useless_to_gangs}) {
+    const int machine = pick_of_two(pass.now, pass.candidates, spec, *some, random_);
     if (machine >= 0) return machine;
   }
-  const int machine = choose(pass.now, pass.pool, spec, eligible, random_);
+  const int machine = pick_of_two(pass.now, pass.candidates, spec, eligible, random_);
   if (machine >= 0) {
     // The next task of the job finds the image on its way there, and the machine in use.
-    narrowed.with_image.push_back(machine);
-    if (pass.whole_machine_gangs) narrowed.of_no_use_to_gangs.push_back(machine);
+    preferred.with_image.push_back(machine);
+    if (pass.whole_machine_gangs) preferred.useless_to_gangs.push_back(machine);
   }
   return machine;
 }
 
-void Controller::place_array(Pass& pass, const RangeId& id, const Job& job,
-                             const wire::RangeRecord& range, const Urgency& urgency) {
+void Controller::place_array(SchedulingPass& pass, const RangeId& id, const Job& job,
+                             const wire::RangeRecord& range,
+                             const SchedulingPriority& scheduling_priority) {
   const auto& spec = job.record.spec;
   const bool zoned = spec.one_zone || spec.spread;
   for (const auto* f : pass.failed) {
@@ -512,15 +520,15 @@
         spec.priority <= f->priority)
       return;
   }
-  if (zoned) add_foreign(pass);
+  if (zoned) add_remote_candidates(pass);
   const std::vector<int>& of_kind = machines_for(pass, spec, "", zoned);
-  const bool keep_reserved = urgency.begun && !pass.reserved.empty();
+  const bool keep_reserved = scheduling_priority.has_started && !pass.reserved.empty();
   std::vector<int> some;  // of those, if not all may be used
   const bool all = !keep_reserved && !failure_tracker_.has_failed(spec.id);
   if (!all) {
     std::copy_if(of_kind.begin(), of_kind.end(), std::back_inserter(some), [&](int i) {
       if (keep_reserved && pass.reserved.contains(i)) return false;
-      const Candidate& c = *pass.pool[static_cast<std::size_t>(i)];
+      const Candidate& c = *pass.candidates[static_cast<std::size_t>(i)];
       return !failure_tracker_.has_failed_on(pass.now, c.id, spec.id);
     });
   }
@@ -529,19 +537,21 @@
   const std::vector<int>& eligible = all        ? of_kind
                                      : anywhere ? machines_for(pass, spec, "", false)
                                                 : some;
-  RangeWork& w = work_[id];
-  const std::size_t most = placed_most(range.end - range.begin);
+  RangeState& w = range_states_[id];
+  const std::size_t most = max_placements(range.end - range.begin);
   while (w.cursor < range.end && (w.cursor < range.begin || range.done[w.cursor - range.begin]))
     ++w.cursor;
-  std::optional<NarrowedMachines> narrowed;  // made for the first task that is placed
-  std::uint32_t waiting = 0;
-  std::uint32_t begin_with = urgency.begun ? range.end : k::kTasksToBegin;
+  std::optional<PreferredMachines> preferred;  // made for the first task that is placed
+  std::uint32_t tasks_without_quota = 0;
+  std::uint32_t begin_with = scheduling_priority.has_started ? range.end : k::kTasksToBegin;
   for (std::uint32_t task = std::max(w.cursor, range.begin); task < range.end; ++task) {
-    if (!unstarted(w, range, task)) continue;
-    if (pass.left <= 0 || range.placed.size() + w.placing.size() >= most) break;
+    if (!is_unstarted(w, range, task)) continue;
+    if (pass.remaining_placements <= 0 || range.placed.size() + w.pending_placements.size() >= most)
+      break;
     if (begin_with-- == 0) break;
-    if (!grant_allows(pass, spec)) {
-      for (std::uint32_t t = task; t < range.end; ++t) waiting += unstarted(w, range, t) ? 1 : 0;
+    if (!quota_allows(pass, spec)) {
+      for (std::uint32_t t = task; t < range.end; ++t)
+        tasks_without_quota += is_unstarted(w, range, t) ? 1 : 0;
       break;
     }
     int chosen = -1;
@@ -550,24 +560,24 @@
       open = zones_open(pass, job);
       std::vector<int> here = eligible;
       std::erase_if(here, [&](int i) {
-        return !open.contains(pass.pool[static_cast<std::size_t>(i)]->zone);
+        return !open.contains(pass.candidates[static_cast<std::size_t>(i)]->zone);
       });
-      chosen = choose(pass.now, pass.pool, spec, here, random_);
+      chosen = pick_of_two(pass.now, pass.candidates, spec, here, random_);
     } else {
-      if (!narrowed) narrowed = narrow(pass, spec, eligible);
-      chosen = choose_narrowed(pass, spec, eligible, *narrowed);
+      if (!preferred) preferred = find_preferred(pass, spec, eligible);
+      chosen = pick_preferred(pass, spec, eligible, *preferred);
     }
     // What can meet no aim any more waits for room instead of making others late.
-    if (chosen < 0 && !urgency.hopeless)
-      chosen = preempt_for(pass, spec, pressed(pass.now, job), zoned ? &open : nullptr);
+    if (chosen < 0 && !scheduling_priority.misses_every_objective)
+      chosen = preempt_for(pass, spec, is_urgent(pass.now, job), zoned ? &open : nullptr);
     if (chosen < 0) {
-      if (!urgency.begun) reserve(pass, spec, 1);
+      if (!scheduling_priority.has_started) reserve(pass, spec, 1);
       if (!zoned) pass.failed.push_back(&spec);
       break;
     }
     assign(pass, w, job, task, range.next_attempt, chosen, false);
   }
-  need_quota(spec, waiting);
+  add_quota_demand(spec, tasks_without_quota);
 }
 
 }  // namespace scheduler
--- a/src/scheduling/services.cpp
+++ b/src/scheduling/services.cpp
@@ -58,47 +58,49 @@
   std::set<std::string> machines;
   for (const auto& [number, range] : job.ranges) {
     for (const auto& [task, placement] : range.placed) machines.insert(placement.machine);
-    const auto work = work_.find({job.record.spec.id, number});
-    if (work == work_.end()) continue;
-    for (const auto& [task, placement] : work->second.placing) machines.insert(placement.machine);
+    const auto work = range_states_.find({job.record.spec.id, number});
+    if (work == range_states_.end()) continue;
+    for (const auto& [task, placement] : work->second.pending_placements)
+      machines.insert(placement.machine);
   }
   return machines;
 }
 
-void Controller::place_service(Pass& pass, const RangeId& id, const Job& job,
+void Controller::place_service(SchedulingPass& pass, const RangeId& id, const Job& job,
                                const wire::RangeRecord& range) {
   const wire::JobSpec& spec = job.record.spec;
-  RangeWork& work = work_[id];
-  const std::size_t most = placed_most(range.end - range.begin);
+  RangeState& work = range_states_[id];
+  const std::size_t most = max_placements(range.end - range.begin);
   std::uint32_t without_grant = 0, without_machine = 0;
   for (std::uint32_t task = range.begin; task < range.end; ++task) {
-    if (!unstarted(work, range, task)) continue;
-    if (pass.left <= 0 || range.placed.size() + work.placing.size() >= most + work.released.size())
+    if (!is_unstarted(work, range, task)) continue;
+    if (pass.remaining_placements <= 0 ||
+        range.placed.size() + work.pending_placements.size() >= most + work.released.size())
       break;
-    if (!grant_allows(pass, spec)) {
+    if (!quota_allows(pass, spec)) {
       ++without_grant;
       continue;
     }
-    const int machine = choose_for_replica(pass, job, task);
+    const int machine = pick_for_replica(pass, job, task);
     if (machine >= 0) {
       assign(pass, work, job, task, range.next_attempt, machine, false);
     } else if (++without_machine >= k::kReplicasWithoutMachine) {
       break;  // others may go where a result of these is kept
     }
   }
-  need_quota(spec, without_grant);
+  add_quota_demand(spec, without_grant);
 }
 
 // Narrows our own machines step by step: the loss of one is to take few replicas, so machines
 // without a replica of the job come first. Among these, machines that were heard lately do: guards
 // against replicas that are begun on machines which have died together with the one they were on.
-int Controller::choose_own(Pass& pass, ReplicaChoice choice) {
+int Controller::pick_local_for_replica(SchedulingPass& pass, ReplicaChoice choice) {
   for (const bool without_replica : {true, false}) {
     for (const bool contacted_recently : {true, false}) {
       choice.without_replica = without_replica;
       choice.contacted_recently = contacted_recently;
-      const int machine = choose(pass.now, pass.pool, *choice.spec,
-                                 replica_candidates(pass, choice, true), random_);
+      const int machine = pick_of_two(pass.now, pass.candidates, *choice.spec,
+                                      replica_candidates(pass, choice, true), random_);
       if (machine >= 0) return machine;
     }
   }
@@ -109,7 +111,7 @@
 // sampled is narrowed step by step. Our own machines come first: a replica on another part's
 // machine makes placements of its owner fail and starts later. Machines where the job failed come
 // last, and only if it has failed on several or no other is left.
-int Controller::choose_for_replica(Pass& pass, const Job& job, std::uint32_t task) {
+int Controller::pick_for_replica(SchedulingPass& pass, const Job& job, std::uint32_t task) {
   const wire::JobSpec& spec = job.record.spec;
   const bool bound_to_zones = spec.one_zone || spec.spread;
   ReplicaChoice choice;
@@ -117,27 +119,28 @@
   choice.replica = {spec.id, task};
   choice.taken = machines_of(job);
   if (bound_to_zones) choice.zones = zones_open(pass, job);
-  const int own = choose_own(pass, choice);
-  if (own >= 0) return own;
+  const int local = pick_local_for_replica(pass, choice);
+  if (local >= 0) return local;
   const int preempted = preempt_for(pass, spec, true, bound_to_zones ? &*choice.zones : nullptr);
   if (preempted >= 0) return preempted;
   // Guards against a service whose zone has no machine of our part.
-  add_foreign(pass);
+  add_remote_candidates(pass);
   if (bound_to_zones) choice.zones = zones_open(pass, job);
   // Guards against a service bound to a zone of another part that waits because each machine with
   // room there has a replica already.
   for (const bool without_replica : {true, false}) {
     choice.without_replica = without_replica;
-    const int foreign =
-        choose(pass.now, pass.pool, spec, replica_candidates(pass, choice, false), random_);
-    if (foreign >= 0) return foreign;
+    const int remote = pick_of_two(pass.now, pass.candidates, spec,
+                                   replica_candidates(pass, choice, false), random_);
+    if (remote >= 0) return remote;
   }
   // Guards against a replica that waits for as long as errors are remembered because the only room
   // is on a machine that has failed it once.
   const bool others = !failure_tracker_.is_faulty_job(spec.id) && other_machine_left(pass, choice);
   choice.avoid_failures.reset();
   if (others) choice.avoid_failures = k::kRetryFailedMachineMs;
-  return choose(pass.now, pass.pool, spec, replica_candidates(pass, choice, true), random_);
+  return pick_of_two(pass.now, pass.candidates, spec, replica_candidates(pass, choice, true),
+                     random_);
 }
 
 bool Controller::contacted_recently(Ms now, const std::string& machine) const {
@@ -147,22 +150,22 @@
 }
 
 // Whether some machine on which the job has not failed is allowed, with room or without.
-bool Controller::other_machine_left(const Pass& pass, const ReplicaChoice& choice) const {
+bool Controller::other_machine_left(const SchedulingPass& pass, const ReplicaChoice& choice) const {
   const wire::JobSpec& spec = *choice.spec;
-  return std::any_of(pass.pool.begin(), pass.pool.end(), [&](const Candidate* c) {
+  return std::any_of(pass.candidates.begin(), pass.candidates.end(), [&](const Candidate* c) {
     return allowed(spec, c->type, c->zone, c->spot) &&
            !failure_tracker_.has_failed_on(pass.now, c->id, spec.id) &&
            !failure_tracker_.has_kept_result(pass.now, c->id, choice.replica);
   });
 }
 
-std::vector<int> Controller::replica_candidates(const Pass& pass, const ReplicaChoice& choice,
-                                                bool own) const {
+std::vector<int> Controller::replica_candidates(const SchedulingPass& pass,
+                                                const ReplicaChoice& choice, bool local) const {
   const wire::JobSpec& spec = *choice.spec;
   std::vector<int> out;
-  for (std::size_t i = 0; i < pass.pool.size(); ++i) {
-    const Candidate& c = *pass.pool[i];
-    if (c.own != own || !c.fits(spec) || !allowed(spec, c.type, c.zone, c.spot)) continue;
+  for (std::size_t i = 0; i < pass.candidates.size(); ++i) {
+    const Candidate& c = *pass.candidates[i];
+    if (c.local != local || !c.fits(spec) || !allowed(spec, c.type, c.zone, c.spot)) continue;
     if (choice.zones && !choice.zones->contains(c.zone)) continue;
     if (choice.without_replica && choice.taken.contains(c.id)) continue;
     if (choice.contacted_recently && !contacted_recently(pass.now, c.id)) continue;
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -49,7 +49,7 @@
       record.number = id.number;
       apply_range(id, job, old == job.ranges.end() ? nullptr : &old->second, &record);
       job.ranges[id.number] = std::move(record);
-      job.unwritten.erase(id.number);
+      job.unrecorded_ranges.erase(id.number);
     } else {
       if (old != job.ranges.end()) {
         apply_range(id, job, &old->second, nullptr);
@@ -67,7 +67,7 @@
       if (it == jobs_.end()) return true;
       if (it->second.known) count_job(it->second, -1);
       it->second.known = false;
-      for (const std::uint32_t n : std::exchange(it->second.unwritten, {}))
+      for (const std::uint32_t n : std::exchange(it->second.unrecorded_ranges, {}))
         it->second.ranges.erase(n);
       if (it->second.ranges.empty()) jobs_.erase(it);
       return true;
@@ -90,7 +90,7 @@
       r.begin = share.begin;
       r.end = share.end;
       r.done.assign(share.end - share.begin, false);
-      job.unwritten.insert(share.number);
+      job.unrecorded_ranges.insert(share.number);
     }
     if (cancelled_now) {
       for (const auto& [number, r] : job.ranges)
@@ -118,8 +118,8 @@
     view_changed_ = true;
     return state_client(live_, rest(key, wire::kLivePrefix), item.value);
   }
-  if (key.starts_with(wire::kRentalPrefix))
-    return state_client(rentals_, rest(key, wire::kRentalPrefix), item.value);
+  if (key.starts_with(wire::kScaleOutPrefix))
+    return state_client(scale_out_requests_, rest(key, wire::kScaleOutPrefix), item.value);
   if (key.starts_with(wire::kQuotaPrefix))
     return state_client(quotas_, rest(key, wire::kQuotaPrefix), item.value);
   if (key == wire::kViewKey) {
@@ -147,7 +147,7 @@
 }
 
 void Replica::count_placement(const Job& job, const wire::Placement& p, int sign) {
-  Usage& u = usage_[job.record.spec.team][p.grant];
+  Usage& u = usage_[job.record.spec.team][p.quota_holder];
   u.cpus += sign * job.record.spec.cpus;
   u.gpus += sign * job.record.spec.gpus;
   if (!job.record.spec.is_service()) return;
@@ -335,7 +335,7 @@
   return it == r->placed.end() ? nullptr : &it->second;
 }
 
-std::vector<std::string> Replica::unrecorded() const {
+std::vector<std::string> Replica::unrecorded_machines() const {
   std::vector<std::string> out;
   for (const auto& [id, tasks] : placed_on_)
     if (!machines_.contains(id)) out.push_back(id);
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -35,7 +35,7 @@
   wire::JobRecord record;
   std::map<std::uint32_t, wire::RangeRecord> ranges;
   // Of these, the ones that have no record of their own yet.
-  std::set<std::uint32_t> unwritten;
+  std::set<std::uint32_t> unrecorded_ranges;
   // Known once the record itself was read; ranges may come first.
   bool known = false;
   // Sums over the ranges, kept up to date.
@@ -55,7 +55,9 @@
   const wire::ViewRecord& view() const { return view_; }
   const std::map<std::string, wire::LiveRecord>& live() const { return live_; }
   const std::map<std::string, wire::MachineRecord>& machines() const { return machines_; }
-  const std::map<std::string, wire::RentRequest>& rentals() const { return rentals_; }
+  const std::map<std::string, wire::ScaleOutRequest>& scale_out_requests() const {
+    return scale_out_requests_;
+  }
   const std::map<std::string, wire::QuotaRecord>& quotas() const { return quotas_; }
   const std::vector<wire::MachineType>& catalog() const { return catalog_; }
   bool has_catalog() const { return has_catalog_; }
@@ -81,7 +83,7 @@
   // Whether replicas of services are placed on the machine.
   bool hosts_service(const std::string& machine) const { return replicas_on_.contains(machine); }
   // Machines with placements of which there is no record.
-  std::vector<std::string> unrecorded() const;
+  std::vector<std::string> unrecorded_machines() const;
   const wire::Placement* placement(const TaskRef& task) const;
   // Tasks of a team recorded as placed, by the grant that they use.
   Usage usage(const std::string& team, const std::string& grant) const;
@@ -117,7 +119,7 @@
   std::unordered_map<std::string, std::map<ShardId, wire::ShardRecord::Contact>> contacts_;
   std::map<std::string, wire::MachineRecord> machines_;        // merged from all these
   std::map<std::string, std::map<std::string, Usage>> usage_;  // team -> grant
-  std::map<std::string, wire::RentRequest> rentals_;
+  std::map<std::string, wire::ScaleOutRequest> scale_out_requests_;
   std::map<std::string, wire::QuotaRecord> quotas_;
   std::vector<wire::MachineType> catalog_;
   bool has_catalog_ = false;
--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -14,9 +14,9 @@
 namespace {
 // Read at the start, in this order; final states stay out of recovery's way.
 const std::string_view kLoadedPrefixes[] = {
-    wire::kViewKey,      wire::kFormatKey,   wire::kCatalogKey,      wire::kLivePrefix,
-    wire::kFleetPrefix,  wire::kShardPrefix, wire::kJobPrefixKey,    wire::kRangePrefix,
-    wire::kRentalPrefix, wire::kQuotaPrefix, wire::kShardGuardPrefix};
+    wire::kViewKey,        wire::kFormatKey,   wire::kCatalogKey,      wire::kLivePrefix,
+    wire::kFleetPrefix,    wire::kShardPrefix, wire::kJobPrefixKey,    wire::kRangePrefix,
+    wire::kScaleOutPrefix, wire::kQuotaPrefix, wire::kShardGuardPrefix};
 // Never written: asking for it tells the current revision.
 constexpr std::string_view kBarrierKey = "barrier";
 }  // namespace
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -304,7 +304,7 @@
   });
 }
 
-std::string rent_body(const RentRequest& r) {
+std::string scale_out_body(const ScaleOutRequest& r) {
   return object([&](Writer& w) {
     put(w, "hire", r.name);
     put(w, "fleet", r.type);
@@ -314,7 +314,7 @@
   });
 }
 
-bool parse_rented(std::string_view body, std::vector<std::string>& machines) {
+bool parse_scale_out_reply(std::string_view body, std::vector<std::string>& machines) {
   rapidjson::Document doc;
   if (!parse_object(body, doc)) return false;
   const Json* rigs = member(doc, "rigs");
@@ -327,7 +327,7 @@
   return true;
 }
 
-std::string return_body(const std::vector<std::string>& machines) {
+std::string scale_in_body(const std::vector<std::string>& machines) {
   return object([&](Writer& w) {
     w.Key("rigs");
     w.StartArray();
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -124,16 +124,16 @@
 bool parse_catalog(std::string_view body, std::vector<MachineType>& out);
 std::string catalog_body(const std::vector<MachineType>& types);
 
-struct RentRequest {
+struct ScaleOutRequest {
   std::string name;  // never reused
   std::string type;
   std::string zone;
   bool spot = false;
   std::uint32_t count = 0;
 };
-std::string rent_body(const RentRequest& request);
-bool parse_rented(std::string_view body, std::vector<std::string>& machines);
-std::string return_body(const std::vector<std::string>& machines);
+std::string scale_out_body(const ScaleOutRequest& request);
+bool parse_scale_out_reply(std::string_view body, std::vector<std::string>& machines);
+std::string scale_in_body(const std::vector<std::string>& machines);
 
 enum class CloudState : std::uint8_t { booting, running, failed };
 struct CloudMachine {
@@ -146,8 +146,8 @@
 
 // Requests to the cloud.
 constexpr const char* kCatalogPath = "/catalog";
-constexpr const char* kRentPath = "/hosts";
-constexpr const char* kReturnPath = "/hosts/return";
+constexpr const char* kScaleOutPath = "/hosts";
+constexpr const char* kScaleInPath = "/hosts/return";
 std::string machine_list_path(std::string_view after, std::uint32_t most);
 // Requests to workers.
 constexpr const char* kCommandsPath = "/orders";
--- a/src/wire/record_keys.cpp
+++ b/src/wire/record_keys.cpp
@@ -14,7 +14,9 @@
   return std::string(kRangePrefix) + std::string(job) + "/" + std::to_string(number);
 }
 
-std::string rental_key(std::string_view name) { return std::string(kRentalPrefix).append(name); }
+std::string scale_out_key(std::string_view name) {
+  return std::string(kScaleOutPrefix).append(name);
+}
 
 std::string fleet_key(std::uint32_t group) {
   return std::string(kFleetPrefix) + std::to_string(group);
--- a/src/wire/record_keys.h
+++ b/src/wire/record_keys.h
@@ -31,7 +31,7 @@
 constexpr std::string_view kFleetPrefix = "fleet/";
 constexpr std::string_view kShardPrefix = "part/";
 constexpr std::string_view kShardGuardPrefix = "claim/";
-constexpr std::string_view kRentalPrefix = "hire/";
+constexpr std::string_view kScaleOutPrefix = "hire/";
 constexpr std::string_view kQuotaPrefix = "quota/";
 constexpr std::string_view kFinalStatePrefix = "over/";
 
@@ -39,7 +39,7 @@
 std::string final_state_key(std::string_view id);
 std::string range_key(std::string_view job, std::uint32_t number);
 bool parse_range_key(std::string_view key, std::string& job, std::uint32_t& number);
-std::string rental_key(std::string_view name);
+std::string scale_out_key(std::string_view name);
 std::string fleet_key(std::uint32_t group);
 bool parse_fleet_key(std::string_view key, std::uint32_t& group);
 std::string shard_key(std::string_view controller, std::uint32_t group);
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -165,8 +165,8 @@
              std::vector<std::pair<std::uint32_t, std::uint64_t>>>
         groups;
     for (const auto& [task, p] : r.placed)
-      groups[{p.machine, p.incarnation, p.grant == r.owner ? "" : p.grant}].emplace_back(task,
-                                                                                         p.attempt);
+      groups[{p.machine, p.incarnation, p.quota_holder == r.owner ? "" : p.quota_holder}]
+          .emplace_back(task, p.attempt);
     w.Key("p");
     w.StartArray();
     for (const auto& [where, tasks] : groups) {
@@ -203,8 +203,8 @@
     Placement p;
     p.machine = g[0].GetString();
     p.incarnation = g[1].GetUint64();
-    p.grant = g[2].GetString();
-    if (p.grant.empty()) p.grant = r.owner;
+    p.quota_holder = g[2].GetString();
+    if (p.quota_holder.empty()) p.quota_holder = r.owner;
     for (rapidjson::SizeType i = 3; i < g.Size(); i += 2) {
       if (!g[i].IsUint() || !g[i + 1].IsUint64()) return false;
       const std::uint32_t task = g[i].GetUint();
@@ -300,7 +300,7 @@
   return object([&](Writer& w) { put(w, "by", by); });
 }
 
-std::string encode(const RentRequest& r) {
+std::string encode(const ScaleOutRequest& r) {
   return object([&](Writer& w) {
     put(w, "type", r.type);
     put(w, "zone", r.zone);
@@ -309,7 +309,7 @@
   });
 }
 
-bool decode(std::string_view text, RentRequest& r) {
+bool decode(std::string_view text, ScaleOutRequest& r) {
   rapidjson::Document doc;
   return parse_object(text, doc) && read(doc, "type", r.type) && read(doc, "zone", r.zone) &&
          read(doc, "spot", r.spot) && read(doc, "count", r.count);
@@ -347,19 +347,19 @@
 
 std::string encode(const QuotaRecord& r) {
   return object([&](Writer& w) {
-    put_amounts(w, "grants", r.grants);
-    put_amounts(w, "wanted", r.wanted);
-    if (!r.service_wanted.empty()) put_amounts(w, "services", r.service_wanted);
+    put_amounts(w, "grants", r.leases);
+    put_amounts(w, "wanted", r.demand);
+    if (!r.service_demand.empty()) put_amounts(w, "services", r.service_demand);
   });
 }
 
 bool decode(std::string_view text, QuotaRecord& r) {
   rapidjson::Document doc;
-  if (!parse_object(text, doc) || !read_amounts(doc, "grants", r.grants) ||
-      !read_amounts(doc, "wanted", r.wanted))
+  if (!parse_object(text, doc) || !read_amounts(doc, "grants", r.leases) ||
+      !read_amounts(doc, "wanted", r.demand))
     return false;
-  r.service_wanted.clear();
-  return !member(doc, "services") || read_amounts(doc, "services", r.service_wanted);
+  r.service_demand.clear();
+  return !member(doc, "services") || read_amounts(doc, "services", r.service_demand);
 }
 
 std::string encode(const FinalStateRecord& r) {
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -64,7 +64,7 @@
   std::uint64_t attempt = 0;
   std::string machine;
   std::uint64_t incarnation = 0;
-  std::string grant;  // controller whose quota grant it uses
+  std::string quota_holder;  // controller whose quota grant it uses
   bool operator==(const Placement&) const = default;
 };
 struct RangeRecord {
@@ -119,18 +119,18 @@
 // The value of a claim; only its stamp matters.
 std::string shard_guard_body(std::string_view by);
 
-std::string encode(const RentRequest& r);
-bool decode(std::string_view text, RentRequest& r);
+std::string encode(const ScaleOutRequest& r);
+bool decode(std::string_view text, ScaleOutRequest& r);
 
 struct QuotaRecord {
   struct Amount {
     double cpus = 0, gpus = 0;
   };
-  std::map<std::string, Amount> grants;
-  std::map<std::string, Amount> wanted;
+  std::map<std::string, Amount> leases;
+  std::map<std::string, Amount> demand;
   // Of what is wanted, the part for replicas of services. The production version neither writes nor
   // keeps it.
-  std::map<std::string, Amount> service_wanted;
+  std::map<std::string, Amount> service_demand;
 };
 std::string encode(const QuotaRecord& r);
 bool decode(std::string_view text, QuotaRecord& r);
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -298,13 +298,13 @@
     const auto* p = replica_.placement(ref);
     if (!p || p->incarnation < m.incarnation || !must_not_run(m, ref, *p)) return false;
     if (m.tasks.contains({ref.range.job, ref.index})) return false;
-    const auto work = work_.find(ref.range);
-    return work == work_.end() || !work->second.released.contains(ref.index);
+    const auto work = range_states_.find(ref.range);
+    return work == range_states_.end() || !work->second.released.contains(ref.index);
   });
 }
 
 void Controller::release_task(const TaskRef& ref, std::uint64_t attempt, bool done) {
-  Released& f = work_[ref.range].released[ref.index];
+  Released& f = range_states_[ref.range].released[ref.index];
   if (f.attempt == attempt && f.done) return;
   f = {attempt, done};
   log(LogLevel::debug, std::string(done ? "done: " : "free: ") +
@@ -314,8 +314,8 @@
 }
 
 void Controller::on_exit(Ms now, Machine& m, const TaskRef& ref, const ReportedTask& seen) {
-  auto w = work_.find(ref.range);
-  if (w != work_.end()) {
+  auto w = range_states_.find(ref.range);
+  if (w != range_states_.end()) {
     auto f = w->second.released.find(ref.index);
     if (f != w->second.released.end() && f->second.attempt == seen.attempt) return;  // counted
   }
--- a/src/workers/machine_checks.cpp
+++ b/src/workers/machine_checks.cpp
@@ -54,7 +54,8 @@
         seen.running_since ? static_cast<double>(now - seen.running_since) / 1000.0 : 0;
     const double need = ran < spec.estimate_s ? spec.estimate_s - ran : k::kOverrunAllowanceS;
     if (spec.is_gang()) {
-      for (const auto& [number, r] : job->ranges) work_[{task.job, number}].stop_requested = true;
+      for (const auto& [number, r] : job->ranges)
+        range_states_[{task.job, number}].stop_requested = true;
       dirty_ = true;
       continue;
     }
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -42,11 +42,11 @@
 TEST(Placement, PredictionIsWaitFetchAndEstimate) {
   const auto job = spec(4);
   Candidate free = machine("a", 8, 8);
-  EXPECT_DOUBLE_EQ(predict(kNow, free, job), 62);
+  EXPECT_DOUBLE_EQ(predict_finish(kNow, free, job), 62);
   free.images.push_back("i");
-  EXPECT_DOUBLE_EQ(predict(kNow, free, job), 60);
-  EXPECT_DOUBLE_EQ(predict(kNow, machine("b", 8, 2), job), 92);
-  EXPECT_GT(predict(kNow, machine("c", 2, 2), job), 1e6);  // never fits
+  EXPECT_DOUBLE_EQ(predict_finish(kNow, free, job), 60);
+  EXPECT_DOUBLE_EQ(predict_finish(kNow, machine("b", 8, 2), job), 92);
+  EXPECT_GT(predict_finish(kNow, machine("c", 2, 2), job), 1e6);  // never fits
 }
 
 TEST(Placement, OverrunningTaskEndsWithinTheAllowance) {
@@ -64,10 +64,10 @@
     all.push_back(i);
   }
   for (auto& m : machines) pool.push_back(&m);
-  for (int n = 0; n < 50; ++n) EXPECT_EQ(choose(kNow, pool, spec(4), all, random), 13);
+  for (int n = 0; n < 50; ++n) EXPECT_EQ(pick_of_two(kNow, pool, spec(4), all, random), 13);
   machines[13].cpus = 0;
-  EXPECT_EQ(choose(kNow, pool, spec(4), all, random), -1);
-  EXPECT_EQ(choose(kNow, pool, spec(4), {}, random), -1);
+  EXPECT_EQ(pick_of_two(kNow, pool, spec(4), all, random), -1);
+  EXPECT_EQ(pick_of_two(kNow, pool, spec(4), {}, random), -1);
 }
 
 TEST(Placement, LowerPredictionOfTwoSamplesWins) {
@@ -83,7 +83,7 @@
   }
   for (auto& m : machines) pool.push_back(&m);
   int hits = 0;
-  for (int n = 0; n < 4000; ++n) hits += choose(kNow, pool, spec(1), all, random) < 2;
+  for (int n = 0; n < 4000; ++n) hits += pick_of_two(kNow, pool, spec(1), all, random) < 2;
   EXPECT_NEAR(hits / 4000.0, 1 - std::pow(0.75, constants::kSampledMachines), 0.03);
 }
 
@@ -130,26 +130,26 @@
   const Team team{"t", 0, 40, 0, 0};
   const std::vector<std::string> live{"a", "b", "c"};
   wire::QuotaRecord record;
-  record.grants = {{"a", {8, 0}}, {"b", {15, 0}}, {"c", {17, 0}}};
-  record.wanted = {{"a", {12, 0}}, {"b", {5, 0}}, {"c", {3, 0}}, {"gone", {9, 0}}};
+  record.leases = {{"a", {8, 0}}, {"b", {15, 0}}, {"c", {17, 0}}};
+  record.demand = {{"a", {12, 0}}, {"b", {5, 0}}, {"c", {3, 0}}, {"gone", {9, 0}}};
   std::map<std::string, double> used, started;
-  for (Ms wall = 0; wall < 20 * constants::kGrantTurnMs; wall += constants::kGrantsEveryMs) {
+  for (Ms wall = 0; wall < 20 * constants::kQuotaTurnMs; wall += constants::kQuotaCheckMs) {
     for (const auto& who : live) {
-      QuotaInput in;
+      QuotaLeaseInput in;
       in.team = &team;
       in.self = who;
       in.live = live;
       for (const auto& n : live) in.used[n] = {used[n], 0};
       in.need.cpus = 20;
-      in.yield = used[who] == 0 && collector(record, live, wall) != who;
-      if (const auto next = next_quota(in, record)) record = *next;
+      in.yield = used[who] == 0 && quota_collector(record, live, wall) != who;
+      if (const auto next = next_quota_record(in, record)) record = *next;
       double granted = 0;
-      for (const auto& [n, g] : record.grants) granted += g.cpus;
+      for (const auto& [n, g] : record.leases) granted += g.cpus;
       ASSERT_LE(granted, 40 + 1e-6);
-      if (used[who] == 0 && within_grant(team, record, who, {0, 0}, 20, 0)) {
+      if (used[who] == 0 && within_lease(team, record, who, {0, 0}, 20, 0)) {
         used[who] = 20;
         ++started[who];
-      } else if (wall % constants::kGrantTurnMs == 0) {
+      } else if (wall % constants::kQuotaTurnMs == 0) {
         used[who] = 0;
       }
     }
@@ -169,29 +169,29 @@
   const Team team{"t", 0, 40, 0, 0};
   std::vector<Part> parts{{"c", 13, 26, 23, {}}, {"b", 4, 16, 16, {}}, {"a", 1, 1, 0, {}}};
   wire::QuotaRecord record;
-  record.grants = {{"a", {0, 0}}, {"b", {16, 0}}, {"c", {24, 0}}};
-  record.service_wanted = {{"a", {1, 0}}, {"b", {16, 0}}, {"c", {26, 0}}};
+  record.leases = {{"a", {0, 0}}, {"b", {16, 0}}, {"c", {24, 0}}};
+  record.service_demand = {{"a", {1, 0}}, {"b", {16, 0}}, {"c", {26, 0}}};
   Ms started_at = 0;
   const auto look = [&](Part& part, const wire::QuotaRecord& seen, Ms wall) {
-    const double own = seen.grants.at(part.name).cpus;
+    const double own = seen.leases.at(part.name).cpus;
     if (own <= part.used) part.stuck_since = wall;
-    const std::string turn = collector(seen, {"a", "b", "c"}, wall);
-    QuotaInput in;
+    const std::string turn = quota_collector(seen, {"a", "b", "c"}, wall);
+    QuotaLeaseInput in;
     in.team = &team;
     in.self = part.name;
     in.live = {"a", "b", "c"};
     for (const auto& p : parts) in.used[p.name] = {p.used, 0};
     in.need.cpus = part.lacking;
-    in.yield = wall - part.stuck_since > constants::kGrantStuckMs && turn != part.name;
-    in.hold_back = part.memory.hold_back(in.yield, turn);
+    in.yield = wall - part.stuck_since > constants::kQuotaStuckMs && turn != part.name;
+    in.leave_to_collector = part.memory.leave_to_collector(in.yield, turn);
     if (!in.yield) {
       in.used[part.name].cpus += part.lacking;
       in.service_reserve.cpus = part.lacking;
       in.need.cpus = 0;
     }
-    return next_quota(in, seen);
+    return next_quota_record(in, seen);
   };
-  for (Ms wall = 0; wall < 20'000 && started_at == 0; wall += constants::kGrantsEveryMs) {
+  for (Ms wall = 0; wall < 20'000 && started_at == 0; wall += constants::kQuotaCheckMs) {
     // Each knows the record of the look before and its own write; a write that another was faster
     // with fails.
     const wire::QuotaRecord seen = record;
@@ -203,7 +203,7 @@
         written = true;
       }
     }
-    if (record.grants.at("a").cpus >= 1) started_at = wall;
+    if (record.leases.at("a").cpus >= 1) started_at = wall;
   }
   EXPECT_GT(started_at, 0);
   EXPECT_LT(started_at, 12'000);
@@ -223,15 +223,15 @@
       live = live.size() == 3 ? std::vector<std::string>{"a", "b"}
                               : std::vector<std::string>{"a", "b", "c"};
     const std::string who = live[random(static_cast<std::uint32_t>(live.size()))];
-    QuotaInput in{&team, who, live, {}, {}, {}, false, false};
+    QuotaLeaseInput in{&team, who, live, {}, {}, {}, false, false};
     for (const auto& [n, u] : used) in.used[n] = {u, 0};
     in.need.cpus = random(3) == 0 ? random(60) : 0;
-    if (const auto next = next_quota(in, record)) record = *next;
+    if (const auto next = next_quota_record(in, record)) record = *next;
     double granted = 0;
-    for (const auto& [n, g] : record.grants) granted += g.cpus;
+    for (const auto& [n, g] : record.leases) granted += g.cpus;
     ASSERT_LE(granted, 100 + 1e-6);
     const double task = 1 + random(8);
-    if (within_grant(team, record, who, {used[who], 0}, task, 0)) {
+    if (within_lease(team, record, who, {used[who], 0}, task, 0)) {
       used[who] += task;
       got_after_wait = got_after_wait || waited;
     } else {
@@ -262,10 +262,10 @@
   EXPECT_FALSE(h.failed(2000, "m1", "req-000010"));  // the faulty job's errors do not count
 }
 
-Waiting waits(double work, std::vector<double> start_by, int priority = 1, double age = 0) {
-  Waiting w;
+PendingJob waits(double work, std::vector<double> latest_starts, int priority = 1, double age = 0) {
+  PendingJob w;
   w.work = work;
-  w.start_by = std::move(start_by);
+  w.latest_starts = std::move(latest_starts);
   w.priority = priority;
   w.age = age;
   return w;
@@ -276,30 +276,32 @@
 
 TEST(Order, PutsOffTheLargestWhenNotAllCanBeInTime) {
   // Due after 10, 11 and 12 s; 4 + 9 + 4 s of work: without the one of 9 the others are in time.
-  EXPECT_EQ(places({waits(4, {10}), waits(9, {11}), waits(4, {12})}, kOneCpu),
+  EXPECT_EQ(order_by_deadline({waits(4, {10}), waits(9, {11}), waits(4, {12})}, kOneCpu),
             (std::vector<std::size_t>{0, 2, 1}));
   // The one of 9 counts for more: its class is small.
   auto rare = waits(9, {11});
   rare.weight = 4;
-  const auto p = places({waits(4, {10}), rare, waits(4, {12})}, kOneCpu);
+  const auto p = order_by_deadline({waits(4, {10}), rare, waits(4, {12})}, kOneCpu);
   EXPECT_LT(p[1], p[2]);
 }
 
 TEST(Order, ServesTheSmallestFirstWhileAllStayInTime) {
-  EXPECT_EQ(places({waits(5, {100}), waits(2, {200}), waits(9, {300})}, kOneCpu),
+  EXPECT_EQ(order_by_deadline({waits(5, {100}), waits(2, {200}), waits(9, {300})}, kOneCpu),
             (std::vector<std::size_t>{1, 0, 2}));
   // Unless the larger one would then be late.
-  EXPECT_EQ(places({waits(5, {5}), waits(2, {200})}, kOneCpu), (std::vector<std::size_t>{0, 1}));
+  EXPECT_EQ(order_by_deadline({waits(5, {5}), waits(2, {200})}, kOneCpu),
+            (std::vector<std::size_t>{0, 1}));
 }
 
 TEST(Order, MeetsALaterAimWhenTheFirstIsMissed) {
   // 8 s cannot be done by 5, but by 20.
-  const auto p = places({waits(8, {5, 20}), waits(4, {}, 1, 50), waits(3, {4})}, kOneCpu);
+  const auto p =
+      order_by_deadline({waits(8, {5, 20}), waits(4, {}, 1, 50), waits(3, {4})}, kOneCpu);
   EXPECT_EQ(p, (std::vector<std::size_t>{1, 2, 0}));
 }
 
 TEST(Order, HighPriorityFirstAndTheHopelessByAge) {
-  const auto p = places(
+  const auto p = order_by_deadline(
       {waits(1, {50}), waits(90, {1}, 2), waits(1, {}, 1, 10), waits(1, {}, 1, 20)}, kOneCpu);
   EXPECT_EQ(p, (std::vector<std::size_t>{1, 0, 3, 2}));
 }
@@ -328,10 +330,10 @@
   EXPECT_EQ(m.machine_owner("n-1", "z"), "p1");
 }
 
-TEST(Fleet, RentsForTheDemandAndAvoidsRefusedKinds) {
+TEST(FleetSizer, RentsForTheDemandAndAvoidsRefusedKinds) {
   Settings s;
   s.objectives = {{ObjectiveKind::finished, "c", 0.9, 0, 120}};
-  Fleet f(s);
+  FleetSizer f(s);
   wire::MachineType t;
   t.name = "t";
   t.cpus = 4;
@@ -342,26 +344,27 @@
   job.job_class = "c";
   job.tasks = 40;
   const std::vector<Demand> demand{{&job, 40}};
-  auto rent = f.to_rent(0, demand, {t}, {});
+  auto rent = f.next_scale_out(0, demand, {t}, {});
   int total = 0;
   for (const auto& r : rent) {
     total += static_cast<int>(r.count);
     EXPECT_FALSE(r.spot);
   }
   EXPECT_EQ(total, 17);  // 40 tasks side by side on 10 machines, half as many more, two to spare
-  f.refused(0, {"t", "x", false});
-  f.refused(0, {"t", "y", false});
-  EXPECT_TRUE(f.to_rent(1, demand, {t}, {}).empty());  // the job does not allow spot machines
+  f.on_refused(0, {"t", "x", false});
+  f.on_refused(0, {"t", "y", false});
+  EXPECT_TRUE(
+      f.next_scale_out(1, demand, {t}, {}).empty());  // the job does not allow spot machines
   job.spot = true;
-  EXPECT_FALSE(f.to_rent(1, demand, {t}, {}).empty());
-  EXPECT_FALSE(f.to_rent(constants::kRefusedPauseMs + 1, demand, {t}, {}).empty());
+  EXPECT_FALSE(f.next_scale_out(1, demand, {t}, {}).empty());
+  EXPECT_FALSE(f.next_scale_out(constants::kRefusedPauseMs + 1, demand, {t}, {}).empty());
 }
 
-TEST(Fleet, SpotMachinesDoNotServeWorkThatMayNotUseThem) {
+TEST(FleetSizer, SpotMachinesDoNotServeWorkThatMayNotUseThem) {
   // Found by the simulation: spot machines in a zone counted for work that may not use them, and
   // it waited for ever.
   Settings s;
-  Fleet f(s);
+  FleetSizer f(s);
   wire::MachineType t;
   t.name = "t";
   t.cpus = 4;
@@ -370,7 +373,8 @@
   t.zones = {"x", "y"};
   auto job = spec(4, 60);
   job.zone = "x";
-  const auto rent = f.to_rent(0, {{&job, 1}}, {t}, {{{"t", "x", true}, 9}, {{"t", "y", false}, 9}});
+  const auto rent =
+      f.next_scale_out(0, {{&job, 1}}, {t}, {{{"t", "x", true}, 9}, {{"t", "y", false}, 9}});
   ASSERT_EQ(rent.size(), 1U);
   EXPECT_EQ(rent[0].zone, "x");
   EXPECT_FALSE(rent[0].spot);
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -80,8 +80,8 @@
 
   Outcome answer(const Call& call) {
     if (call.path == wire::kCatalogPath) return {200, kCatalog};
-    if (call.path == wire::kReturnPath) return take_back(call.body);
-    if (call.path == wire::kRentPath) {
+    if (call.path == wire::kScaleInPath) return take_back(call.body);
+    if (call.path == wire::kScaleOutPath) {
       rentals_.push_back(call.body);
       return rental_answer_;
     }
@@ -125,7 +125,7 @@
 // minutes, and two of them for ever (docs/results.md, round 25).
 TEST_F(FleetCoordinatorTest, MachinesWithNothingToDoAreReturnedWithinAMinute) {
   have_machines(5);
-  advance(k::kShrinkIdleAfterMs - 5000);
+  advance(k::kScaleInIdleAfterMs - 5000);
   EXPECT_TRUE(returned_.empty());
   advance(35'000);
   EXPECT_EQ(returned_.size(), 5U);
@@ -135,7 +135,7 @@
 
 TEST_F(FleetCoordinatorTest, AnIdleFleetOfHundredsIsReturnedWithinMinutes) {
   have_machines(300);
-  advance(k::kShrinkIdleAfterMs + 60'000);
+  advance(k::kScaleInIdleAfterMs + 60'000);
   EXPECT_GT(returned_.size(), 200U);
   advance(120'000);
   EXPECT_EQ(returned_.size(), 300U);
@@ -145,7 +145,7 @@
 TEST_F(FleetCoordinatorTest, MachinesBeyondTheWorkAreKeptForMinutes) {
   have_machines(8);
   have_job(1);
-  advance(k::kShrinkAfterMs - 5000);
+  advance(k::kScaleInAfterMs - 5000);
   EXPECT_TRUE(returned_.empty());
   advance(30'000);
   EXPECT_FALSE(returned_.empty());
@@ -159,7 +159,7 @@
   ASSERT_TRUE(decode(state_.items[wire::job_key("req-000001")].value, job));
   job.cancelled = true;
   put(wire::job_key("req-000001"), encode(job));
-  advance(k::kShrinkIdleAfterMs - 2000);
+  advance(k::kScaleInIdleAfterMs - 2000);
   job.cancelled = false;
   put(wire::job_key("req-000001"), encode(job));
   advance(60'000);
@@ -173,7 +173,7 @@
   advance(3000);
   ASSERT_FALSE(rentals_.empty());
   const std::string first = rentals_.front();
-  EXPECT_EQ(replica_.rentals().size(), 1U);
+  EXPECT_EQ(replica_.scale_out_requests().size(), 1U);
   advance(10'000);
   EXPECT_GE(rentals_.size(), 3U);
   for (const std::string& body : rentals_) EXPECT_EQ(body, first);
@@ -182,7 +182,7 @@
   EXPECT_TRUE(replica_.machine("n-900"));
   rapidjson::Document document;
   ASSERT_TRUE(wire::parse_object(first, document));
-  EXPECT_FALSE(state_.items.contains(wire::rental_key(document["hire"].GetString())));
+  EXPECT_FALSE(state_.items.contains(wire::scale_out_key(document["hire"].GetString())));
 }
 
 TEST_F(FleetCoordinatorTest, UnexpectedMachinesAreAdoptedAndFailedOnesReturned) {
@@ -195,7 +195,7 @@
 
 // A list that was asked for before a pause is as old as that: what it lacks may have come since.
 TEST_F(FleetCoordinatorTest, AListFromBeforeAPauseIsNotUsed) {
-  MachineList list(context_, [](Ms) {});
+  CloudInventory list(context_, [](Ms) {});
   run(1000, [&](Ms now) { list.tick(now); });
   ASSERT_EQ(calls_.size(), 1U);
   list.on_pause(now_);
@@ -220,19 +220,19 @@
     writer.set_state(id, record, MachineState::ready);
     machines.insert(id);
   }
-  writer.settle_rental("r", machines);
-  put(wire::rental_key("r"), encode(wire::RentRequest{"", "g", "a", false, 50}));
+  writer.settle_scale_out("r", machines);
+  put(wire::scale_out_key("r"), encode(wire::ScaleOutRequest{"", "g", "a", false, 50}));
   run(10'000, [&](Ms now) {
     // The request is not forgotten before all that it brought is recorded.
     const bool all = std::all_of(machines.begin(), machines.end(),
                                  [&](const std::string& id) { return replica_.machine(id); });
     if (!all) {
-      EXPECT_TRUE(state_.items.contains(wire::rental_key("r")));
+      EXPECT_TRUE(state_.items.contains(wire::scale_out_key("r")));
     }
     writer.write(now);
   });
   for (const auto& id : machines) EXPECT_TRUE(replica_.machine(id)) << id;
-  EXPECT_FALSE(state_.items.contains(wire::rental_key("r")));
+  EXPECT_FALSE(state_.items.contains(wire::scale_out_key("r")));
   EXPECT_EQ(state_.over_limits, 0);
 }
 
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -348,7 +348,7 @@
 TEST(UpgradeFormat, ShardGuard) { EXPECT_EQ(shard_guard_body("puffin-2"), fixture("claim.json")); }
 
 TEST(UpgradeFormat, Hire) {
-  const auto hire = read_fixture<RentRequest>("hire.json");
+  const auto hire = read_fixture<ScaleOutRequest>("hire.json");
   EXPECT_EQ(hire.name, "");  // it is in the key
   EXPECT_EQ(hire.type, "c16");
   EXPECT_EQ(hire.zone, "c");
@@ -358,21 +358,21 @@
 
 TEST(UpgradeFormat, Quota) {
   const auto quota = read_fixture<QuotaRecord>("quota.json");
-  ASSERT_EQ(quota.grants.size(), 3U);
-  EXPECT_EQ(quota.grants.at("puffin-0").cpus, 12.5);
-  EXPECT_EQ(quota.grants.at("puffin-0").gpus, 2.0);
-  EXPECT_DOUBLE_EQ(quota.grants.at("puffin-1").cpus, 0.1);
-  EXPECT_EQ(quota.grants.at("puffin-1").gpus, 0.0);
-  EXPECT_EQ(quota.grants.at("puffin-3").cpus, 0.0);
-  EXPECT_EQ(quota.grants.at("puffin-3").gpus, 0.0);
-  ASSERT_EQ(quota.wanted.size(), 2U);
-  EXPECT_EQ(quota.wanted.at("puffin-1").cpus, 64.0);
-  EXPECT_EQ(quota.wanted.at("puffin-1").gpus, 8.0);
-  EXPECT_EQ(quota.wanted.at("puffin-2").cpus, 0.0);
-  EXPECT_EQ(quota.wanted.at("puffin-2").gpus, 0.5);
+  ASSERT_EQ(quota.leases.size(), 3U);
+  EXPECT_EQ(quota.leases.at("puffin-0").cpus, 12.5);
+  EXPECT_EQ(quota.leases.at("puffin-0").gpus, 2.0);
+  EXPECT_DOUBLE_EQ(quota.leases.at("puffin-1").cpus, 0.1);
+  EXPECT_EQ(quota.leases.at("puffin-1").gpus, 0.0);
+  EXPECT_EQ(quota.leases.at("puffin-3").cpus, 0.0);
+  EXPECT_EQ(quota.leases.at("puffin-3").gpus, 0.0);
+  ASSERT_EQ(quota.demand.size(), 2U);
+  EXPECT_EQ(quota.demand.at("puffin-1").cpus, 64.0);
+  EXPECT_EQ(quota.demand.at("puffin-1").gpus, 8.0);
+  EXPECT_EQ(quota.demand.at("puffin-2").cpus, 0.0);
+  EXPECT_EQ(quota.demand.at("puffin-2").gpus, 0.5);
   const auto empty = read_fixture<QuotaRecord>("quota_empty.json");
-  EXPECT_TRUE(empty.grants.empty());
-  EXPECT_TRUE(empty.wanted.empty());
+  EXPECT_TRUE(empty.leases.empty());
+  EXPECT_TRUE(empty.demand.empty());
 }
 
 // Sums of decimals have no short text. The production version reads them to within the last digits
@@ -380,12 +380,12 @@
 TEST(UpgradeFormat, QuotaOfSumsIsRewrittenAsTheProductionVersionDoes) {
   QuotaRecord quota;
   ASSERT_TRUE(decode(fixture("quota_sums.json"), quota));
-  EXPECT_DOUBLE_EQ(quota.grants.at("puffin-0").cpus, 0.1 + 0.2);
-  EXPECT_DOUBLE_EQ(quota.wanted.at("puffin-1").cpus, 1.1 * 3);
+  EXPECT_DOUBLE_EQ(quota.leases.at("puffin-0").cpus, 0.1 + 0.2);
+  EXPECT_DOUBLE_EQ(quota.demand.at("puffin-1").cpus, 1.1 * 3);
   EXPECT_EQ(encode(quota), fixture("quota_sums_rewritten.json"));
   const auto rewritten = read_fixture<QuotaRecord>("quota_sums_rewritten.json");
-  EXPECT_DOUBLE_EQ(rewritten.grants.at("puffin-0").cpus, 0.1 + 0.2);
-  EXPECT_DOUBLE_EQ(rewritten.wanted.at("puffin-1").cpus, 1.1 * 3);
+  EXPECT_DOUBLE_EQ(rewritten.leases.at("puffin-0").cpus, 0.1 + 0.2);
+  EXPECT_DOUBLE_EQ(rewritten.demand.at("puffin-1").cpus, 1.1 * 3);
 }
 
 TEST(UpgradeFormat, Over) {
@@ -490,7 +490,7 @@
   expect_unknown_field_ignored<RangeRecord>("range_placed.json");
   expect_unknown_field_ignored<FleetRecord>("fleet.json");
   expect_unknown_field_ignored<ShardRecord>("part.json");
-  expect_unknown_field_ignored<RentRequest>("hire.json");
+  expect_unknown_field_ignored<ScaleOutRequest>("hire.json");
   expect_unknown_field_ignored<QuotaRecord>("quota.json");
   expect_unknown_field_ignored<FinalStateRecord>("over_done.json");
   for (const std::string& extended : with_unknown_field(fixture("catalog.json"))) {
@@ -559,7 +559,7 @@
     out += " done " + std::to_string(job->done) + " placed " + std::to_string(job->placed);
     for (const auto& [number, range] : job->ranges) {
       out += "\nrange " + std::to_string(number) + encode(range);
-      if (job->unwritten.contains(number)) out += " unwritten";
+      if (job->unrecorded_ranges.contains(number)) out += " unwritten";
     }
   }
   for (const auto& [group, fleet] : replica.fleet()) {
@@ -572,8 +572,9 @@
   for (const auto& [id, machine] : replica.machines())
     out += "\nmachine " + id + " session " + std::to_string(machine.incarnation) + " tasks " +
            std::to_string(replica.placed_on(id).size());
-  for (const auto& id : replica.unrecorded()) out += "\nunrecorded " + id;
-  for (const auto& [name, hire] : replica.rentals()) out += "\nhire " + name + encode(hire);
+  for (const auto& id : replica.unrecorded_machines()) out += "\nunrecorded " + id;
+  for (const auto& [name, hire] : replica.scale_out_requests())
+    out += "\nhire " + name + encode(hire);
   for (const auto& [team, quota] : replica.quotas()) out += "\nquota " + team + encode(quota);
   for (const std::string team : {"vision", "speech", "ops", ""}) {
     const Usage usage = replica.usage(team);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -108,7 +108,7 @@
   ASSERT_TRUE(decode(encode(a), b));
   EXPECT_EQ(encode(a), encode(b));
   EXPECT_EQ(b.done, a.done);
-  EXPECT_EQ(b.placed.at(104).grant, "puffin-1");
+  EXPECT_EQ(b.placed.at(104).quota_holder, "puffin-1");
   EXPECT_FALSE(decode(R"({"o":"x","b":3,"e":3,"d":"","n":1,"p":[]})", b));
   EXPECT_FALSE(decode(R"({"o":"x","b":0,"e":4,"d":"z","n":1,"p":[]})", b));
   EXPECT_FALSE(decode(R"({"o":"x","b":0,"e":4,"d":"0","n":1,"p":[["m",1,"g",9,1]]})", b));
@@ -138,8 +138,8 @@
   ASSERT_TRUE(decode(encode(view), view2));
   EXPECT_EQ(encode(view), encode(view2));
   QuotaRecord quota, quota2;
-  quota.grants["a"] = {1.5, 2};
-  quota.wanted["b"] = {0, 1};
+  quota.leases["a"] = {1.5, 2};
+  quota.demand["b"] = {0, 1};
   ASSERT_TRUE(decode(encode(quota), quota2));
   EXPECT_EQ(encode(quota), encode(quota2));
   FleetRecord fleet, fleet2;
