--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -100,21 +100,21 @@
   carrying_ = true;
   for (;;) {
     Output out = controller_.take_output();
-    if (out.calls.empty() && out.answers.empty() && out.peers.empty() && out.logs.empty()) break;
+    if (out.calls.empty() && out.replies.empty() && out.peers.empty() && out.logs.empty()) break;
     for (auto& line : out.logs) {
       spdlog::log(line.level == LogLevel::error  ? spdlog::level::err
                   : line.level == LogLevel::info ? spdlog::level::info
                                                  : spdlog::level::debug,
                   "{}", line.text);
     }
-    for (auto& a : out.answers) server_->answer(a.request, a.status, a.body, a.retry_after_s);
+    for (auto& a : out.replies) server_->reply(a.request, a.status, a.body, a.retry_after_s);
     for (auto& c : out.calls) {
       const std::string& address = c.target == Target::state   ? settings_.state
                                    : c.target == Target::cloud ? settings_.cloud
                                                                : c.address;
       client_.send({address, std::move(c.method), std::move(c.path), std::move(c.body), c.timeout},
                    [this, id = c.id](int status, std::string body) {
-                     controller_.on_outcome(steady_ms(), id, {status, std::move(body)});
+                     controller_.on_result(steady_ms(), id, {status, std::move(body)});
                      carry_out();
                    });
     }
--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -184,11 +184,11 @@
 // ---- users ----
 // Milliseconds after which a waiting request is given up with 503 (users wait 2 s for polls and
 // 5 s for submissions; an early no lets them come back).
-constexpr std::int64_t kPollPatienceMs = 1500;
-constexpr std::int64_t kSubmitPatienceMs = 2500;
+constexpr std::int64_t kPollTimeoutMs = 1500;
+constexpr std::int64_t kSubmitTimeoutMs = 2500;
 // Milliseconds for which a cancellation that is recorded waits for the proof that nothing is left:
 // a halt and a write take about 100, more on a busy controller.
-constexpr std::int64_t kCancelPatienceMs = 1000;
+constexpr std::int64_t kCancelTimeoutMs = 1000;
 // Times that a cancellation is tried again when its job's record or the view changes under it.
 constexpr int kCancelTries = 3;
 // Seconds named in Retry-After.
@@ -334,13 +334,13 @@
 
 // ---- peers ----
 // Milliseconds between hints to the other controllers.
-constexpr std::int64_t kHintEveryMs = 500;
+constexpr std::int64_t kGossipIntervalMs = 500;
 // Milliseconds for which jobs whose cancellation is recorded are named to controllers that can't
 // read the records: about as long as such a cut lasts before their workers have gone elsewhere.
-constexpr std::int64_t kCancelledHintMs = 60'000;
+constexpr std::int64_t kGossipCancellationMs = 60'000;
 // Such jobs named in one hint, and jobs stopped on such a word.
-constexpr std::size_t kCancelledHints = 32;
-constexpr std::size_t kStopHintsMost = 1000;
+constexpr std::size_t kGossipedCancellations = 32;
+constexpr std::size_t kGossipedCancellationsMost = 1000;
 
 // ---- messages passed on for others (workers/relay.h) ----
 // Milliseconds until a command that a peer passes on counts as unanswered, and the worker's part of
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -79,20 +79,20 @@
 
 // Statuses of an Outcome besides those of HTTP. No answer: the request may have been executed or
 // may still be. Too large: it was answered, by more than is taken in (base/capacity.h).
-constexpr int kNoAnswer = 0;
-constexpr int kAnswerTooLarge = -1;
+constexpr int kNoReply = 0;
+constexpr int kReplyTooLarge = -1;
 
-struct Outcome {
-  int status = kNoAnswer;
+struct HttpResult {
+  int status = kNoReply;
   std::string body;
 };
-using OutcomeHandler = std::function<void(Ms now, const Outcome&)>;
+using ResultHandler = std::function<void(Ms now, const HttpResult&)>;
 
 struct Request {
   std::string method, path, body;
 };
 
-struct Answer {
+struct HttpReply {
   std::uint64_t request = 0;
   int status = 0;
   std::string body;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -26,7 +26,7 @@
   out.name = settings.name;
   for (const auto& peer : settings.peers) out.peers.push_back(peer.name);
   out.heartbeat_interval = to_ms(settings.heartbeat_interval_s);
-  out.hint_interval = k::kHintEveryMs;
+  out.gossip_interval = k::kGossipIntervalMs;
   out.relays = settings.relays;
   return out;
 }
@@ -42,11 +42,11 @@
       state_client_(
           settings_,
           [this](Target t, std::string a, std::string m, std::string p, std::string b, Ms timeout,
-                 OutcomeHandler done) {
+                 ResultHandler done) {
             call(t, std::move(a), std::move(m), std::move(p), std::move(b), timeout,
                  std::move(done));
           },
-          [this](Ms now, const wire::StoredItem& item) { on_item(now, item); },
+          [this](Ms now, const wire::StoredItem& item) { on_record(now, item); },
           [this](LogLevel level, std::string text) { log(level, std::move(text)); }),
       cluster_view_(settings_),
       context_{settings_,
@@ -56,7 +56,7 @@
                cluster_view_,
                incarnation_,
                [this](Target target, std::string address, std::string method, std::string path,
-                      std::string body, Ms timeout, OutcomeHandler done) {
+                      std::string body, Ms timeout, ResultHandler done) {
                  call(target, std::move(address), std::move(method), std::move(path),
                       std::move(body), timeout, std::move(done));
                },
@@ -64,7 +64,7 @@
                [this](Ms now) { return can_write(now); }},
       fleet_(context_),
       links_(monitor_settings(settings_), state_client_.link(), fleet_.cloud_link()),
-      membership_manager_(context_, links_, [this](Ms now) { after_changes(now); }),
+      membership_manager_(context_, links_, [this](Ms now) { on_changes_applied(now); }),
       relay_(
           context_,
           [this](const std::string& peer, std::string bytes) {
@@ -88,16 +88,16 @@
   links_.tick(now);
   relay_.tick(now);
   update_membership(now);
-  after_changes(now);
+  on_changes_applied(now);
   check_machines(now);
   probe_zones(now);
   write_shard_records(now);
   update_quota_leases(now);
   if (now >= schedule_after_ + (dirty_ ? 0 : k::kIdlePassMs)) schedule(now);
   finish_jobs(now);
-  keep_cancel_waits(now);
+  reply_to_cancellations(now);
   fleet_.tick(now);
-  tell_peers(now);
+  gossip(now);
 }
 
 Ms Controller::next_tick(Ms now) const {
@@ -109,63 +109,63 @@
   detect_pause(now);
   const std::string path = r.path.substr(0, r.path.find('?'));
   const bool get = r.method == "GET", post = r.method == "POST";
-  auto method_error = [&] { answer(request, 405, wire::error_body("method not allowed")); };
+  auto method_error = [&] { reply(request, 405, wire::error_body("method not allowed")); };
   if (path == wire::kHeartbeatPath) {
     post ? on_heartbeat(now, request, r.body) : method_error();
   } else if (path == wire::kHealthPath) {
     get ? on_health(now, request) : method_error();
   } else if (path == wire::kJobsPath) {
-    note_request(now, request, "submit");
+    track_request(now, request, "submit");
     post ? on_submit(now, request, r.body) : method_error();
   } else if (path.starts_with(std::string(wire::kJobsPath) + "/")) {
     std::string id = path.substr(std::string_view(wire::kJobsPath).size() + 1);
     const bool cancel = id.ends_with(wire::kCancelSuffix);
     if (cancel) id.resize(id.size() - std::string_view(wire::kCancelSuffix).size());
     if (id.find('/') != std::string::npos) {
-      answer(request, 404, wire::error_body("no such path"));
+      reply(request, 404, wire::error_body("no such path"));
     } else if (cancel ? !post : !get) {
       method_error();
     } else if (!wire::valid_job_id(id)) {
-      answer(request, 404, wire::error_body("no such job"));
+      reply(request, 404, wire::error_body("no such job"));
     } else {
-      note_request(now, request, cancel ? "cancel" : "poll");
+      track_request(now, request, cancel ? "cancel" : "poll");
       cancel ? on_cancel(now, request, id, 0) : on_poll(now, request, id);
     }
   } else {
-    answer(request, 404, wire::error_body("no such path"));
+    reply(request, 404, wire::error_body("no such path"));
   }
   if (dirty_ && now >= schedule_after_) schedule(now);
 }
 
-void Controller::on_outcome(Ms now, std::uint64_t id, const Outcome& outcome) {
+void Controller::on_result(Ms now, std::uint64_t id, const HttpResult& http_result) {
   detect_pause(now);
   auto it = handlers_.find(id);
   if (it == handlers_.end()) return;
-  OutcomeHandler done = std::move(it->second);
+  ResultHandler done = std::move(it->second);
   handlers_.erase(it);
-  done(now, outcome);
-  after_changes(now);
+  done(now, http_result);
+  on_changes_applied(now);
   if (dirty_ && now >= schedule_after_) schedule(now);
 }
 
 void Controller::call(Target target, std::string address, std::string method, std::string path,
-                      std::string body, Ms timeout, OutcomeHandler done) {
+                      std::string body, Ms timeout, ResultHandler done) {
   const std::uint64_t id = next_call_++;
   handlers_.emplace(id, std::move(done));
   out_.calls.push_back({id, target, std::move(address), std::move(method), std::move(path),
                         std::move(body), timeout});
 }
 
-void Controller::answer(std::uint64_t request, int status, std::string body, int retry_after_s) {
+void Controller::reply(std::uint64_t request, int status, std::string body, int retry_after_s) {
   if (Relay::is_relayed(request)) {
     relay_.reply_to_heartbeat(request, status, body);
     return;
   }
   log_reply(request, status);
-  out_.answers.push_back({request, status, std::move(body), retry_after_s});
+  out_.replies.push_back({request, status, std::move(body), retry_after_s});
 }
 
-void Controller::note_request(Ms now, std::uint64_t request, std::string_view kind) {
+void Controller::track_request(Ms now, std::uint64_t request, std::string_view kind) {
   if (logs_debug()) user_requests_[request] = {kind, now};
 }
 
@@ -218,19 +218,19 @@
          std::to_string(state_client_.queued()) + ", over size " +
          std::to_string(state_client_.rejections()) + ", over rate " +
          std::to_string(state_client_.throttles()) + ", answers held " +
-         std::to_string(answers_held_);
+         std::to_string(replies_delayed_);
 }
 
 // ---- changes ----
 
-void Controller::on_item(Ms now, const wire::StoredItem& item) {
+void Controller::on_record(Ms now, const wire::StoredItem& item) {
   if (!replica_.apply(item)) log(LogLevel::error, "unreadable record " + item.key);
   // Each view is acted on by itself: two in one batch may take a machine away and give it back.
   if (item.key == wire::kViewKey) on_view(now);
   if (item.key == wire::kCatalogKey) remote_candidates_.clear();
 }
 
-void Controller::after_changes(Ms now) {
+void Controller::on_changes_applied(Ms now) {
   if (!state_client_.loaded()) return;  // they are looked at when all is known
   replica_.take_view_changed();
   for (const auto& id : replica_.take_changed_machines()) {
@@ -252,10 +252,10 @@
   for (const auto& id : replica_.take_changed_jobs()) {
     dirty_ = true;
     jobs_to_check_.insert(id);
-    note_cancelled(now, id);
-    cancelling = cancelling || cancel_waits_.contains(id);
+    remember_cancellation(now, id);
+    cancelling = cancelling || pending_cancellations_.contains(id);
   }
-  if (cancelling) keep_cancel_waits(now);
+  if (cancelling) reply_to_cancellations(now);
 }
 
 // A machine that is recorded and of our part.
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -41,7 +41,7 @@
 
 struct Output {
   std::vector<Call> calls;
-  std::vector<Answer> answers;
+  std::vector<HttpReply> replies;
   std::vector<PeerSend> peers;
   std::vector<LogLine> logs;
 };
@@ -54,7 +54,7 @@
   void start(Ms now, Ms wall);
   void tick(Ms now, Ms wall);
   void on_request(Ms now, std::uint64_t request, const Request& r);
-  void on_outcome(Ms now, std::uint64_t call, const Outcome& outcome);
+  void on_result(Ms now, std::uint64_t call, const HttpResult& http_result);
   void on_peer(Ms now, std::string_view bytes);
   // When tick() should be called next, if nothing else happens.
   Ms next_tick(Ms now) const;
@@ -149,7 +149,7 @@
   // Machines of one part that are alike.
   using ShardMachineKind =
       std::tuple<std::string, std::string, std::string, bool>;  // part, type, zone, spot
-  struct CancelWait {
+  struct PendingCancellation {
     std::uint64_t request = 0;
     Ms deadline = 0;
   };
@@ -166,20 +166,20 @@
 
   // ---- controller.cpp ----
   void call(Target target, std::string address, std::string method, std::string path,
-            std::string body, Ms timeout, OutcomeHandler done);
-  void answer(std::uint64_t request, int status, std::string body, int retry_after_s = 0);
+            std::string body, Ms timeout, ResultHandler done);
+  void reply(std::uint64_t request, int status, std::string body, int retry_after_s = 0);
   // For the log: a user's request that is not answered yet.
   struct UserRequest {
     std::string_view kind;
     Ms asked_at = 0;
   };
-  void note_request(Ms now, std::uint64_t request, std::string_view kind);
+  void track_request(Ms now, std::uint64_t request, std::string_view kind);
   void log_reply(std::uint64_t request, int status);
   void log(LogLevel level, std::string text);
   // Lines of level debug are built only if this is true.
   bool logs_debug() const { return settings_.log_debug; }
-  void on_item(Ms now, const wire::StoredItem& item);
-  void after_changes(Ms now);
+  void on_record(Ms now, const wire::StoredItem& item);
+  void on_changes_applied(Ms now);
   void on_view(Ms now);
   void discard_unrecorded_releases(const std::string& machine);
   std::map<std::string, Machine>::iterator add_machine(Ms now, const std::string& id);
@@ -230,44 +230,46 @@
 
   // ---- jobs.cpp ----
   void on_submit(Ms now, std::uint64_t request, const std::string& body);
-  void on_submitted(Ms now, std::uint64_t request, const std::string& job);
+  void on_job_recorded(Ms now, std::uint64_t request, const std::string& job);
   void on_cancel(Ms now, std::uint64_t request, const std::string& job, int tries);
   void write_cancelled(Ms now, std::uint64_t request, const std::string& job, int tries);
   void on_health(Ms now, std::uint64_t request);
-  void decline(std::uint64_t request, int retry_after_s);
-  bool shed(std::uint64_t request);
+  void reply_unavailable(std::uint64_t request, int retry_after_s);
+  bool shed_load(std::uint64_t request);
   std::string verdict(const wire::JobSpec& spec) const;
   void finish_jobs(Ms now);
   void write_final_state(const std::string& id, const Job& job);
 
   // ---- job_answers.cpp ----
-  struct JobAnswer {
+  struct JobStatus {
     bool known = false;  // false: nobody ever submitted it
     wire::JobState state = wire::JobState::queued;
     std::uint64_t done = 0, running = 0;  // tasks
   };
-  using Found = std::function<void(Ms now, const JobAnswer& answer)>;
+  using OnJobRead = std::function<void(Ms now, const JobStatus& reply)>;
   // Finds the job as of now or later. Whoever cannot be told is answered 503 or 429 at once, or at
   // `give_up`.
-  void lookup(Ms now, std::uint64_t request, const std::string& job, Ms deadline, Found found);
+  void read_job(Ms now, std::uint64_t request, const std::string& job, Ms deadline,
+                OnJobRead on_job_read);
   // Calls `then` once the replica is the job's state at revision `Store::watched()`, with nothing
   // newer. At `give_up` the request is answered 503 instead.
-  void when_settled(Ms now, std::uint64_t request, const std::string& job, Ms deadline,
-                    const std::function<void(Ms now)>& then);
-  void find(Ms now, std::uint64_t request, const std::string& job, const Found& found);
+  void wait_until_job_settled(Ms now, std::uint64_t request, const std::string& job, Ms deadline,
+                              const std::function<void(Ms now)>& then);
+  void read_settled_job(Ms now, std::uint64_t request, const std::string& job,
+                        const OnJobRead& on_job_read);
   void on_final_state_read(Ms now, std::uint64_t request, const std::string& job,
-                           const Outcome& outcome, const Found& found);
+                           const HttpResult& http_result, const OnJobRead& on_job_read);
   void on_poll(Ms now, std::uint64_t request, const std::string& job);
-  void await_cancelled(Ms now, std::uint64_t request, const std::string& job);
-  bool answer_cancelled(std::uint64_t request, const std::string& job);
-  bool provable_soon(Ms now, const std::string& job) const;
-  void keep_cancel_waits(Ms now);
+  void wait_until_cancelled(Ms now, std::uint64_t request, const std::string& job);
+  bool reply_if_cancelled(std::uint64_t request, const std::string& job);
+  bool can_be_proven_soon(Ms now, const std::string& job) const;
+  void reply_to_cancellations(Ms now);
   wire::JobState state_of(const Job& job) const;
-  static JobAnswer final_answer(const wire::FinalStateRecord& record);
+  static JobStatus final_status(const wire::FinalStateRecord& record);
   // The newest revision of what the replica holds of the job; 0 if it holds nothing.
   std::uint64_t newest_revision(const std::string& job) const;
   // Which revision an answer about a job rests on.
-  void log_answer(const std::string& job, wire::JobState state);
+  void log_job_reply(const std::string& job, wire::JobState state);
 
   // ---- reports.cpp ----
   void on_heartbeat(Ms now, std::uint64_t request, const std::string& body);
@@ -303,7 +305,7 @@
     bool relayed = false;                 // through a peer
     std::uint64_t pauses = 0;
   };
-  void on_command_result(Ms now, const SentCommands& sent, const Outcome& outcome);
+  void on_command_result(Ms now, const SentCommands& sent, const HttpResult& http_result);
   void on_commands_unanswered(Ms now, Machine& m, const SentCommands& sent);
 
   // ---- watch.cpp ----
@@ -476,15 +478,15 @@
   void update_quota_leases(Ms now);
 
   // ---- peers.cpp ----
-  void tell_peers(Ms now);
-  void on_hint(Ms now, const wire::PeerHint& hint);
+  void gossip(Ms now);
+  void on_gossip(Ms now, const wire::GossipMessage& gossip_message);
   void log_link_changes(const wire::LinkRow& row);
-  std::vector<std::string> cancelled_lately(Ms now);
-  void note_cancelled(Ms now, const std::string& id);
-  void take_stop_hints(Ms now, const std::vector<std::string>& jobs);
+  std::vector<std::string> recent_cancellations(Ms now);
+  void remember_cancellation(Ms now, const std::string& id);
+  void apply_gossiped_cancellations(Ms now, const std::vector<std::string>& jobs);
   // Cancelled by our records, or by a peer's word while we can't read them.
   bool is_cancelled(const std::string& id, const Job& job) const {
-    return job.record.cancelled || stop_hints_.contains(id);
+    return job.record.cancelled || gossiped_cancellations_.contains(id);
   }
   // A newer view exists that we cannot read: whoever it names gives the commands now.
   bool deposed(Ms now) const;
@@ -496,7 +498,7 @@
   std::string incarnation_;
   Output out_;
   std::uint64_t next_call_ = 1;
-  std::unordered_map<std::uint64_t, OutcomeHandler> handlers_;
+  std::unordered_map<std::uint64_t, ResultHandler> handlers_;
   Ms wall_offset_ = 0;  // time of day minus steady time
 
   Replica replica_;
@@ -538,10 +540,11 @@
   double fleet_cpus_ = 0;
   Ms fleet_cpus_at_ = 0;
   std::size_t waiting_requests_ = 0;
-  std::uint64_t answers_held_ = 0;  // waits of when_settled()
+  std::uint64_t replies_delayed_ = 0;  // waits of when_settled()
   std::unordered_map<std::uint64_t, UserRequest>
       user_requests_;  // only while debug lines are wanted
-  std::map<std::string, std::vector<CancelWait>> cancel_waits_;  // by job; counted in the former
+  std::map<std::string, std::vector<PendingCancellation>>
+      pending_cancellations_;  // by job; counted in the former
   std::map<std::string, bool> quota_write_in_flight_;
   std::set<std::string> quota_uncertain_;  // busy until written again
   std::map<std::string, wire::QuotaRecord::Amount> quota_demand_;
@@ -550,11 +553,11 @@
   Ms next_quota_check_ = 0;
 
   bool serving_users_ = true;  // by the last verdict
-  Ms peers_at_ = 0;
-  wire::LinkRow told_row_;                  // our own links, as last told
-  std::map<std::string, Ms> cancelled_at_;  // jobs, by when we read of it
-  std::set<std::string> stop_hints_;        // jobs that a peer says are cancelled
-  std::uint64_t newest_epoch_seen_ = 0;     // of any view heard of
+  Ms next_gossip_ = 0;
+  wire::LinkRow last_sent_row_;                   // our own links, as last told
+  std::map<std::string, Ms> cancelled_at_;        // jobs, by when we read of it
+  std::set<std::string> gossiped_cancellations_;  // jobs that a peer says are cancelled
+  std::uint64_t newest_epoch_seen_ = 0;           // of any view heard of
   Ms next_machine_check_ = 0;
 };
 
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -25,47 +25,48 @@
 }
 
 // A row of a controller whose version sends none.
-wire::LinkRow row_from(const wire::PeerHint& hint) {
+wire::LinkRow row_from(const wire::GossipMessage& gossip_message) {
   wire::LinkRow row;
-  row.controller = hint.from;
-  row.as_of_ms = hint.sent_ms;
-  row.state = hint.state_answers ? links::Status::up : links::Status::down;
+  row.controller = gossip_message.from;
+  row.as_of_ms = gossip_message.sent_ms;
+  row.state = gossip_message.state_answers ? links::Status::up : links::Status::down;
   return row;
 }
 
 }  // namespace
 
-void Controller::tell_peers(Ms now) {
-  if (now < peers_at_) return;
-  peers_at_ = now + k::kHintEveryMs;
-  wire::PeerHint hint;
-  hint.from = settings_.name;
-  hint.incarnation = incarnation_;
-  hint.epoch = std::max(cluster_view_.epoch(), newest_epoch_seen_);
-  hint.state_answers =
+void Controller::gossip(Ms now) {
+  if (now < next_gossip_) return;
+  next_gossip_ = now + k::kGossipIntervalMs;
+  wire::GossipMessage gossip_message;
+  gossip_message.from = settings_.name;
+  gossip_message.incarnation = incarnation_;
+  gossip_message.epoch = std::max(cluster_view_.epoch(), newest_epoch_seen_);
+  gossip_message.state_answers =
       state_client_.loaded() && state_client_.answering(now) && resynchronising_until_ == 0;
   for (const auto& [id, m] : machines_) {
-    if (usable(now, m)) hint.free_cpus += std::max(0.0, candidate(now, m).cpus);
+    if (usable(now, m)) gossip_message.free_cpus += std::max(0.0, candidate(now, m).cpus);
   }
-  hint.sent_ms = static_cast<std::uint64_t>(now + wall_offset_);
-  hint.links = links_.rows_to_spread(moment(now));
+  gossip_message.sent_ms = static_cast<std::uint64_t>(now + wall_offset_);
+  gossip_message.links = links_.rows_to_spread(moment(now));
   // It answers, but what it has said so far is not known yet.
-  if (!hint.state_answers && hint.links.front().state == links::Status::up)
-    hint.links.front().state = links::Status::unknown;
-  log_link_changes(hint.links.front());
-  hint.cancelled = cancelled_lately(now);
-  std::string bytes = encode(hint);
-  if (bytes.size() > wire::kPeerHintMost) {  // many controllers or zones: our own row matters most
-    hint.links.resize(1);
-    bytes = encode(hint);
+  if (!gossip_message.state_answers && gossip_message.links.front().state == links::Status::up)
+    gossip_message.links.front().state = links::Status::unknown;
+  log_link_changes(gossip_message.links.front());
+  gossip_message.cancelled = recent_cancellations(now);
+  std::string bytes = encode(gossip_message);
+  if (bytes.size() >
+      wire::kGossipBytesMost) {  // many controllers or zones: our own row matters most
+    gossip_message.links.resize(1);
+    bytes = encode(gossip_message);
   }
   for (const auto& p : settings_.peers) out_.peers.push_back({p.name, bytes});
 }
 
 // Cancelled jobs are named only while some controller can't read of them.
-std::vector<std::string> Controller::cancelled_lately(Ms now) {
+std::vector<std::string> Controller::recent_cancellations(Ms now) {
   std::erase_if(cancelled_at_,
-                [now](const auto& c) { return now - c.second > k::kCancelledHintMs; });
+                [now](const auto& c) { return now - c.second > k::kGossipCancellationMs; });
   const auto rows = links_.matrix().fresh(now + wall_offset_, links::constants::kStateWordFreshMs);
   const bool needed = std::any_of(rows.begin(), rows.end(), [](const auto* entry) {
     return entry->row.state == links::Status::down;
@@ -73,16 +74,16 @@
   std::vector<std::string> jobs;
   if (!needed || !state_client_.answering(now)) return jobs;
   for (const auto& [job, at] : cancelled_at_) {
-    if (jobs.size() < k::kCancelledHints) jobs.push_back(job);
+    if (jobs.size() < k::kGossipedCancellations) jobs.push_back(job);
   }
   return jobs;
 }
 
-void Controller::note_cancelled(Ms now, const std::string& id) {
+void Controller::remember_cancellation(Ms now, const std::string& id) {
   const Job* job = replica_.job(id);
   const auto* final_state = replica_.final_state(id);
   if (!(job && job->record.cancelled) && !(final_state && !final_state->done)) return;
-  if (cancelled_at_.size() < k::kCancelledHints) cancelled_at_.try_emplace(id, now);
+  if (cancelled_at_.size() < k::kGossipedCancellations) cancelled_at_.try_emplace(id, now);
 }
 
 void Controller::log_link_changes(const wire::LinkRow& row) {
@@ -92,15 +93,15 @@
     event.field("link", link).field("status", text_of(status)).field("before", text_of(before));
     log(LogLevel::info, event.text());
   };
-  changed("state", told_row_.state, row.state);
-  changed("cloud", told_row_.cloud, row.cloud);
-  for (const auto& [peer, status] : row.heard) changed(peer, told_row_.heard[peer], status);
+  changed("state", last_sent_row_.state, row.state);
+  changed("cloud", last_sent_row_.cloud, row.cloud);
+  for (const auto& [peer, status] : row.heard) changed(peer, last_sent_row_.heard[peer], status);
   for (const auto& [zone, links] : row.workers) {
-    const wire::ZoneLinkStatus before = told_row_.workers[zone];
+    const wire::ZoneLinkStatus before = last_sent_row_.workers[zone];
     changed("reports/" + zone, before.reports, links.reports);
     changed("commands/" + zone, before.commands, links.commands);
   }
-  told_row_ = row;
+  last_sent_row_ = row;
 }
 
 void Controller::on_peer(Ms now, std::string_view bytes) {
@@ -110,38 +111,41 @@
     return std::any_of(settings_.peers.begin(), settings_.peers.end(),
                        [&](const auto& p) { return p.name == from; });
   };
-  if (const auto* hint = std::get_if<wire::PeerHint>(&message)) {
-    if (known(hint->from)) on_hint(now, *hint);
+  if (const auto* gossip_message = std::get_if<wire::GossipMessage>(&message)) {
+    if (known(gossip_message->from)) on_gossip(now, *gossip_message);
   } else if (const auto* request = std::get_if<wire::RelayRequest>(&message)) {
     if (settings_.relays && known(request->from))
       relay_.on_request(now, now + wall_offset_, *request);
-  } else if (const auto* answer = std::get_if<wire::RelayAnswer>(&message)) {
-    relay_.on_answer(now, *answer);
+  } else if (const auto* reply = std::get_if<wire::RelayReply>(&message)) {
+    relay_.on_reply(now, *reply);
   } else {
     log(LogLevel::info, "unreadable message from a peer");
   }
 }
 
-void Controller::on_hint(Ms now, const wire::PeerHint& hint) {
+void Controller::on_gossip(Ms now, const wire::GossipMessage& gossip_message) {
   // Whatever its age, that a view exists stays true, and so does a cancellation; the rest is of its
   // moment. Guards against a copy that comes late and passes for a peer's word.
-  newest_epoch_seen_ = std::max(newest_epoch_seen_, hint.epoch);
-  take_stop_hints(now, hint.cancelled);
+  newest_epoch_seen_ = std::max(newest_epoch_seen_, gossip_message.epoch);
+  apply_gossiped_cancellations(now, gossip_message.cancelled);
   const links::Moment when = moment(now);
-  if (when.wall - static_cast<Ms>(hint.sent_ms) > links::constants::kStateWordFreshMs) return;
-  links_.peer_heard(now, hint.from);
-  if (hint.links.empty()) links_.merge(when, row_from(hint));
-  for (const auto& row : hint.links) links_.merge(when, row);
+  if (when.wall - static_cast<Ms>(gossip_message.sent_ms) > links::constants::kStateWordFreshMs)
+    return;
+  links_.peer_heard(now, gossip_message.from);
+  if (gossip_message.links.empty()) links_.merge(when, row_from(gossip_message));
+  for (const auto& row : gossip_message.links) links_.merge(when, row);
 }
 
 // A peer has read that these jobs are cancelled, which we can't. Their tasks are stopped; what that
 // proves is recorded once we can write again. Nothing is ever started on a peer's word.
-void Controller::take_stop_hints(Ms now, const std::vector<std::string>& jobs) {
+void Controller::apply_gossiped_cancellations(Ms now, const std::vector<std::string>& jobs) {
   if (state_client_.answering(now)) return;
   for (const auto& id : jobs) {
     const Job* job = replica_.job(id);
-    if (!job || job->record.cancelled || stop_hints_.size() >= k::kStopHintsMost) continue;
-    if (!stop_hints_.insert(id).second) continue;
+    if (!job || job->record.cancelled ||
+        gossiped_cancellations_.size() >= k::kGossipedCancellationsMost)
+      continue;
+    if (!gossiped_cancellations_.insert(id).second) continue;
     log(LogLevel::info, "stopping " + id + ": a peer has read that it is cancelled");
     for (const auto& [number, range] : job->ranges)
       for (const auto& [task, placement] : range.placed)
--- a/src/fleet/cloud_inventory.cpp
+++ b/src/fleet/cloud_inventory.cpp
@@ -44,20 +44,20 @@
 void CloudInventory::read_page(Ms /*now*/, const std::string& after) {
   context_.call(Target::cloud, "", "GET", wire::machine_list_path(after, k::kListPage), "",
                 k::kCloudTimeoutMs,
-                [this, generation = generation_](Ms now, const Outcome& outcome) {
-                  on_page(now, generation, outcome);
+                [this, generation = generation_](Ms now, const HttpResult& http_result) {
+                  on_page(now, generation, http_result);
                 });
 }
 
-void CloudInventory::on_page(Ms now, std::uint64_t generation, const Outcome& outcome) {
+void CloudInventory::on_page(Ms now, std::uint64_t generation, const HttpResult& http_result) {
   if (generation == generation_) {
-    if (outcome.status == kNoAnswer) link_.unanswered(now);
-    if (outcome.status == 503) link_.refused(now);
-    if (outcome.status == 200) link_.answered(now);
+    if (http_result.status == kNoReply) link_.unanswered(now);
+    if (http_result.status == 503) link_.refused(now);
+    if (http_result.status == 200) link_.answered(now);
   }
   bool more = false;
-  const bool read = outcome.status == 200 && generation == generation_ &&
-                    wire::parse_machine_list(outcome.body, pages_, more);
+  const bool read = http_result.status == 200 && generation == generation_ &&
+                    wire::parse_machine_list(http_result.body, pages_, more);
   if (read) {
     ++pages_read_;
     page_tries_ = 0;
--- a/src/fleet/cloud_inventory.h
+++ b/src/fleet/cloud_inventory.h
@@ -34,7 +34,7 @@
 
  private:
   void read_page(Ms now, const std::string& after);
-  void on_page(Ms now, std::uint64_t generation, const Outcome& outcome);
+  void on_page(Ms now, std::uint64_t generation, const HttpResult& http_result);
   void finish(Ms now);
   // When the list may be read again, so that its pages take their share of the cloud's rate only.
   Ms next_list_at(Ms now) const;
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -95,13 +95,13 @@
   reading_catalog_ = true;
   catalog_at_ = now + k::kCatalogEveryMs;
   context_.call(Target::cloud, "", "GET", wire::kCatalogPath, "", k::kCloudTimeoutMs,
-                [this](Ms at, const Outcome& outcome) { on_catalog(at, outcome); });
+                [this](Ms at, const HttpResult& http_result) { on_catalog(at, http_result); });
 }
 
-void FleetCoordinator::on_catalog(Ms now, const Outcome& outcome) {
+void FleetCoordinator::on_catalog(Ms now, const HttpResult& http_result) {
   reading_catalog_ = false;
   std::vector<wire::MachineType> types;
-  if (outcome.status != 200 || !wire::parse_catalog(outcome.body, types) || types.empty()) {
+  if (http_result.status != 200 || !wire::parse_catalog(http_result.body, types) || types.empty()) {
     catalog_at_ = now + k::kSizeEveryMs;
     return;
   }
@@ -290,16 +290,16 @@
   returning_ = true;
   const std::string body = wire::scale_in_body(ids);
   context_.call(Target::cloud, "", "POST", wire::kScaleInPath, body, k::kCloudTimeoutMs,
-                [this, ids = std::move(ids)](Ms at, const Outcome& outcome) {
-                  on_returned(at, ids, outcome);
+                [this, ids = std::move(ids)](Ms at, const HttpResult& http_result) {
+                  on_returned(at, ids, http_result);
                 });
 }
 
 void FleetCoordinator::on_returned(Ms now, const std::vector<std::string>& ids,
-                                   const Outcome& outcome) {
+                                   const HttpResult& http_result) {
   returning_ = false;
   return_at_ = now + k::kScaleInCheckMs;
-  if (outcome.status != 200) return;
+  if (http_result.status != 200) return;
   // The cloud's word: the machines and all on them are gone.
   for (const auto& id : ids) {
     gone_since_[id] = now;
--- a/src/fleet/fleet_coordinator.h
+++ b/src/fleet/fleet_coordinator.h
@@ -34,7 +34,7 @@
   std::map<MachineKind, int> held() const;
 
   void read_catalog(Ms now);
-  void on_catalog(Ms now, const Outcome& outcome);
+  void on_catalog(Ms now, const HttpResult& http_result);
 
   void on_list(Ms now);
   // A machine of the list. True when it is to be returned although it is not recorded as lost.
@@ -51,7 +51,7 @@
 
   void return_drained(Ms now);
   void return_machines(std::vector<std::string> ids);
-  void on_returned(Ms now, const std::vector<std::string>& ids, const Outcome& outcome);
+  void on_returned(Ms now, const std::vector<std::string>& ids, const HttpResult& http_result);
 
   const Context& context_;
   FleetSizer fleet_;
--- a/src/fleet/scale_out_requests.cpp
+++ b/src/fleet/scale_out_requests.cpp
@@ -49,21 +49,22 @@
 void ScaleOutRequests::send(const wire::ScaleOutRequest& request) {
   ++sent_;
   context_.call(Target::cloud, "", "POST", wire::kScaleOutPath, wire::scale_out_body(request),
-                k::kCloudTimeoutMs, [this, request](Ms now, const Outcome& outcome) {
+                k::kCloudTimeoutMs, [this, request](Ms now, const HttpResult& http_result) {
                   --sent_;
-                  on_outcome(now, request, outcome);
+                  on_result(now, request, http_result);
                 });
 }
 
-void ScaleOutRequests::on_outcome(Ms now, const wire::ScaleOutRequest& request,
-                                  const Outcome& outcome) {
+void ScaleOutRequests::on_result(Ms now, const wire::ScaleOutRequest& request,
+                                 const HttpResult& http_result) {
   std::vector<std::string> machines;
-  const bool rented = outcome.status == 200 && wire::parse_scale_out_reply(outcome.body, machines);
+  const bool rented =
+      http_result.status == 200 && wire::parse_scale_out_reply(http_result.body, machines);
   const bool no_capacity =
-      outcome.status == 503 && outcome.body.find("capacity") != std::string::npos;
+      http_result.status == 503 && http_result.body.find("capacity") != std::string::npos;
   if (no_capacity || (rented && machines.size() < request.count))
     fleet_.on_refused(now, {request.type, request.zone, request.spot});
-  if (!rented && !no_capacity && outcome.status != 400) {
+  if (!rented && !no_capacity && http_result.status != 400) {
     // Unanswered or not now: the same name again, which rents nothing twice.
     send_at_ = now + k::kScaleOutRetryMs;
     under_way_.erase(request.name);
--- a/src/fleet/scale_out_requests.h
+++ b/src/fleet/scale_out_requests.h
@@ -39,7 +39,7 @@
 
  private:
   void send(const wire::ScaleOutRequest& request);
-  void on_outcome(Ms now, const wire::ScaleOutRequest& request, const Outcome& outcome);
+  void on_result(Ms now, const wire::ScaleOutRequest& request, const HttpResult& http_result);
 
   const Context& context_;
   FleetSizer& fleet_;
--- a/src/jobs/job_reads.cpp
+++ b/src/jobs/job_reads.cpp
@@ -51,7 +51,7 @@
   return newest;
 }
 
-void Controller::log_answer(const std::string& id, wire::JobState state) {
+void Controller::log_job_reply(const std::string& id, wire::JobState state) {
   if (!logs_debug()) return;
   LogEvent event("answer");
   event.field("job", id).field("state", name_of(state));
@@ -59,92 +59,97 @@
   log(LogLevel::debug, event.text());
 }
 
-void Controller::when_settled(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
-                              const std::function<void(Ms now)>& then) {
+void Controller::wait_until_job_settled(Ms now, std::uint64_t request, const std::string& id,
+                                        Ms deadline, const std::function<void(Ms now)>& then) {
   const std::uint64_t newest = newest_revision(id);
   if (newest <= state_client_.applied_revision()) {
     then(now);
     return;
   }
-  if (shed(request)) return;
+  if (shed_load(request)) return;
   ++waiting_requests_;
-  ++answers_held_;
+  ++replies_delayed_;
   state_client_.wait_for_revision(
       now, newest, deadline, [this, request, id, deadline, then](Ms at, bool reached) {
         --waiting_requests_;
         if (!reached) {
-          decline(request, k::kRetryAfterS);
+          reply_unavailable(request, k::kRetryAfterS);
           return;
         }
-        when_settled(at, request, id, deadline, then);  // written again meanwhile, perhaps
+        wait_until_job_settled(at, request, id, deadline,
+                               then);  // written again meanwhile, perhaps
       });
 }
 
-Controller::JobAnswer Controller::final_answer(const wire::FinalStateRecord& record) {
+Controller::JobStatus Controller::final_status(const wire::FinalStateRecord& record) {
   if (!record.done) return {true, wire::JobState::cancelled, 0, 0};
   return {true, wire::JobState::done, record.tasks, 0};
 }
 
-void Controller::lookup(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
-                        Found found) {
+void Controller::read_job(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
+                          OnJobRead on_job_read) {
   // Final states never change, so the first one known is the answer.
   if (const auto* final_state = replica_.final_state(id)) {
-    found(now, final_answer(*final_state));
+    on_job_read(now, final_status(*final_state));
     return;
   }
   if (!ready() || !state_client_.answering(now) || resynchronising_until_ != 0) {
-    decline(request, k::kRetryAfterOutageS);
+    reply_unavailable(request, k::kRetryAfterOutageS);
     return;
   }
-  if (shed(request)) return;
+  if (shed_load(request)) return;
   ++waiting_requests_;
-  state_client_.barrier_read(now, deadline, [this, request, id, deadline, found](Ms at, bool ok) {
-    --waiting_requests_;
-    if (!ok) {
-      decline(request, k::kRetryAfterS);
-      return;
-    }
-    when_settled(at, request, id, deadline,
-                 [this, request, id, found](Ms then) { find(then, request, id, found); });
-  });
+  state_client_.barrier_read(
+      now, deadline, [this, request, id, deadline, on_job_read](Ms at, bool ok) {
+        --waiting_requests_;
+        if (!ok) {
+          reply_unavailable(request, k::kRetryAfterS);
+          return;
+        }
+        wait_until_job_settled(at, request, id, deadline,
+                               [this, request, id, on_job_read](Ms then) {
+                                 read_settled_job(then, request, id, on_job_read);
+                               });
+      });
 }
 
 // What the replica holds of the job is settled.
-void Controller::find(Ms now, std::uint64_t request, const std::string& id, const Found& found) {
+void Controller::read_settled_job(Ms now, std::uint64_t request, const std::string& id,
+                                  const OnJobRead& on_job_read) {
   if (const auto* final_state = replica_.final_state(id)) {
-    found(now, final_answer(*final_state));
+    on_job_read(now, final_status(*final_state));
     return;
   }
   if (const Job* job = replica_.job(id)) {
     const wire::JobState state = state_of(*job);
-    log_answer(id, state);
-    found(now, {true, state, job->done_tasks(), job->placed_tasks()});
+    log_job_reply(id, state);
+    on_job_read(now, {true, state, job->done_tasks(), job->placed_tasks()});
     return;
   }
   ++waiting_requests_;
   state_client_.read(now, wire::final_state_key(id),
-                     [this, request, id, found](Ms at, const Outcome& outcome) {
+                     [this, request, id, on_job_read](Ms at, const HttpResult& http_result) {
                        --waiting_requests_;
-                       on_final_state_read(at, request, id, outcome, found);
+                       on_final_state_read(at, request, id, http_result, on_job_read);
                      });
 }
 
 void Controller::on_final_state_read(Ms now, std::uint64_t request, const std::string& id,
-                                     const Outcome& outcome, const Found& found) {
+                                     const HttpResult& http_result, const OnJobRead& on_job_read) {
   wire::StoredItem item;
   wire::FinalStateRecord final_state;
-  if (outcome.status == 200 && wire::parse_item(outcome.body, item) && item.value &&
+  if (http_result.status == 200 && wire::parse_item(http_result.body, item) && item.value &&
       decode(*item.value, final_state)) {
     replica_.remember_final_state(id, final_state);
-    found(now, final_answer(final_state));
+    on_job_read(now, final_status(final_state));
     return;
   }
   // Accepted between the two reads: then the replica may have it by now.
-  if (outcome.status != 404 || replica_.job(id) || replica_.final_state(id)) {
-    decline(request, k::kRetryAfterS);
+  if (http_result.status != 404 || replica_.job(id) || replica_.final_state(id)) {
+    reply_unavailable(request, k::kRetryAfterS);
     return;
   }
-  found(now, {});
+  on_job_read(now, {});
 }
 
 // A cancellation is told once nothing of the job is left on any machine, by the records. Guards
@@ -157,42 +162,42 @@
 }
 
 void Controller::on_poll(Ms now, std::uint64_t request, const std::string& id) {
-  lookup(now, request, id, now + k::kPollPatienceMs,
-         [this, request, id](Ms, const JobAnswer& found) {
-           if (!found.known) {
-             answer(request, 404, wire::error_body("no such job"));
-             return;
-           }
-           answer(request, 200, wire::job_status_body(id, found.state, found.done, found.running));
-         });
+  read_job(
+      now, request, id, now + k::kPollTimeoutMs, [this, request, id](Ms, const JobStatus& status) {
+        if (!status.known) {
+          reply(request, 404, wire::error_body("no such job"));
+          return;
+        }
+        reply(request, 200, wire::job_status_body(id, status.state, status.done, status.running));
+      });
 }
 
 // The cancellation is recorded. It is told as soon as the records say that nothing of the job is
 // left on any machine, which takes a halt and a write. What takes longer is told to come back: at
 // once when a machine of ours is known not to answer, or the state service does not.
-void Controller::await_cancelled(Ms now, std::uint64_t request, const std::string& id) {
+void Controller::wait_until_cancelled(Ms now, std::uint64_t request, const std::string& id) {
   if (waiting_requests_ >= capacity_.waiting_requests) {
-    decline(request, k::kRetryAfterS);
+    reply_unavailable(request, k::kRetryAfterS);
     return;
   }
   ++waiting_requests_;
   // Guards against telling users while a start is on its way: our own write is known at once, what
   // another controller had placed before it only when the watch has passed it.
   state_client_.wait_until_current(
-      now, now + k::kCancelPatienceMs, [this, request, id](Ms at, bool ok) {
+      now, now + k::kCancelTimeoutMs, [this, request, id](Ms at, bool ok) {
         --waiting_requests_;
-        if (ok && answer_cancelled(request, id)) return;
-        if (!ok || !provable_soon(at, id)) {
-          decline(request, k::kRetryAfterS);
+        if (ok && reply_if_cancelled(request, id)) return;
+        if (!ok || !can_be_proven_soon(at, id)) {
+          reply_unavailable(request, k::kRetryAfterS);
           return;
         }
         ++waiting_requests_;
-        cancel_waits_[id].push_back({request, at + k::kCancelPatienceMs});
+        pending_cancellations_[id].push_back({request, at + k::kCancelTimeoutMs});
       });
 }
 
 // Answers when the end of the job is known, whichever it is.
-bool Controller::answer_cancelled(std::uint64_t request, const std::string& id) {
+bool Controller::reply_if_cancelled(std::uint64_t request, const std::string& id) {
   wire::JobState state = wire::JobState::queued;
   if (const auto* final_state = replica_.final_state(id)) {
     state = final_state->done ? wire::JobState::done : wire::JobState::cancelled;
@@ -201,13 +206,13 @@
   }
   if (state != wire::JobState::done && state != wire::JobState::cancelled) return false;
   log(LogLevel::info, "cancellation of " + id + " told");
-  log_answer(id, state);
-  answer(request, 200, wire::job_state_body(id, state));
+  log_job_reply(id, state);
+  reply(request, 200, wire::job_state_body(id, state));
   return true;
 }
 
 // Whether the machines of ours that still have tasks of the job answer, as far as we know.
-bool Controller::provable_soon(Ms now, const std::string& id) const {
+bool Controller::can_be_proven_soon(Ms now, const std::string& id) const {
   const Job* job = replica_.job(id);
   if (!job || !can_write(now)) return false;
   for (const auto& [number, r] : job->ranges) {
@@ -222,18 +227,18 @@
   return true;
 }
 
-void Controller::keep_cancel_waits(Ms now) {
-  for (auto it = cancel_waits_.begin(); it != cancel_waits_.end();) {
+void Controller::reply_to_cancellations(Ms now) {
+  for (auto it = pending_cancellations_.begin(); it != pending_cancellations_.end();) {
     auto& waits = it->second;
-    const bool misses_every_objective = !provable_soon(now, it->first);
-    std::erase_if(waits, [&](const CancelWait& w) {
-      const bool told = answer_cancelled(w.request, it->first);
+    const bool misses_every_objective = !can_be_proven_soon(now, it->first);
+    std::erase_if(waits, [&](const PendingCancellation& w) {
+      const bool told = reply_if_cancelled(w.request, it->first);
       if (!told && !misses_every_objective && now < w.deadline) return false;
-      if (!told) decline(w.request, k::kRetryAfterS);
+      if (!told) reply_unavailable(w.request, k::kRetryAfterS);
       --waiting_requests_;
       return true;
     });
-    it = waits.empty() ? cancel_waits_.erase(it) : std::next(it);
+    it = waits.empty() ? pending_cancellations_.erase(it) : std::next(it);
   }
 }
 
--- a/src/jobs/job_requests.cpp
+++ b/src/jobs/job_requests.cpp
@@ -10,13 +10,13 @@
 
 namespace k = constants;
 
-void Controller::decline(std::uint64_t request, int retry_after_s) {
-  answer(request, 503, wire::error_body("not now"), retry_after_s);
+void Controller::reply_unavailable(std::uint64_t request, int retry_after_s) {
+  reply(request, 503, wire::error_body("not now"), retry_after_s);
 }
 
-bool Controller::shed(std::uint64_t request) {
+bool Controller::shed_load(std::uint64_t request) {
   if (waiting_requests_ < capacity_.waiting_requests) return false;
-  answer(request, 429, wire::error_body("too many requests"), k::kRetryAfterS);
+  reply(request, 429, wire::error_body("too many requests"), k::kRetryAfterS);
   return true;
 }
 
@@ -29,9 +29,9 @@
     serving_users_ = decision.allowed;
   }
   if (healthy) {
-    answer(request, 200, "{}");
+    reply(request, 200, "{}");
   } else {
-    answer(request, 503, wire::error_body("no state"), k::kRetryAfterS);
+    reply(request, 503, wire::error_body("no state"), k::kRetryAfterS);
   }
 }
 
@@ -65,50 +65,50 @@
 void Controller::on_submit(Ms now, std::uint64_t request, const std::string& body) {
   wire::JobSpec spec;
   if (const std::string error = wire::parse_job(body, spec); !error.empty()) {
-    answer(request, 400, wire::error_body(error));
+    reply(request, 400, wire::error_body(error));
     return;
   }
   if (spec.is_service() && !services_enabled()) {
     // A controller of the former version could not read its records yet.
     if (settings_.record_format < wire::kServiceFormat) {
-      answer(request, 400, wire::error_body("shape is missing or invalid"));
+      reply(request, 400, wire::error_body("shape is missing or invalid"));
     } else {
-      decline(request, k::kRetryAfterOutageS);
+      reply_unavailable(request, k::kRetryAfterOutageS);
     }
     return;
   }
   const std::string id = spec.id;
   auto known = [this, request, id](wire::JobState state) {
-    answer(request, 200, wire::job_state_body(id, state));
+    reply(request, 200, wire::job_state_body(id, state));
   };
   if (const auto* final_state = replica_.final_state(id)) {
     known(final_state->done ? wire::JobState::done : wire::JobState::cancelled);
     return;
   }
   if (!can_write(now) || !replica_.has_catalog()) {
-    decline(request, k::kRetryAfterOutageS);
+    reply_unavailable(request, k::kRetryAfterOutageS);
     return;
   }
   const std::string reason = verdict(spec);
   if (replica_.job(id) || !reason.empty()) {
     // What was accepted once is never refused later, whatever has changed since.
-    lookup(now, request, id, now + k::kSubmitPatienceMs,
-           [this, request, reason, known](Ms, const JobAnswer& found) {
-             if (found.known) {
-               known(found.state);
-             } else if (!reason.empty()) {
-               answer(request, 422, wire::error_body(reason));
-             } else {
-               decline(request, k::kRetryAfterS);
-             }
-           });
+    read_job(now, request, id, now + k::kSubmitTimeoutMs,
+             [this, request, reason, known](Ms, const JobStatus& status) {
+               if (status.known) {
+                 known(status.state);
+               } else if (!reason.empty()) {
+                 reply(request, 422, wire::error_body(reason));
+               } else {
+                 reply_unavailable(request, k::kRetryAfterS);
+               }
+             });
     return;
   }
   if (replica_.jobs().size() >= capacity_.live_jobs) {
-    answer(request, 429, wire::error_body("too many jobs"), k::kRetryAfterOutageS);
+    reply(request, 429, wire::error_body("too many jobs"), k::kRetryAfterOutageS);
     return;
   }
-  if (shed(request)) return;
+  if (shed_load(request)) return;
   wire::JobRecord record;
   record.spec = spec;
   record.submitted_ms = now + wall_offset_;
@@ -120,35 +120,36 @@
     value = encode(record);
   }
   if (static_cast<double>(value.size()) > value_bytes()) {
-    answer(request, 422, wire::error_body("the description is too large"));
+    reply(request, 422, wire::error_body("the description is too large"));
     return;
   }
   Transaction t;
   t.conditions = {view_unchanged(), {wire::job_key(id), 0}, {wire::final_state_key(id), 0}};
   t.writes.push_back({wire::job_key(id), value, std::nullopt});
   t.urgent = true;
-  t.deadline = now + k::kSubmitPatienceMs;
+  t.deadline = now + k::kSubmitTimeoutMs;
   ++waiting_requests_;
   t.done = [this, request, id, known, body](Ms at, TxnResult result, const auto& failed) {
     --waiting_requests_;
     if (result == TxnResult::conflict && failed.size() == 1 && failed[0] == wire::kViewKey) {
       // Only the view has changed meanwhile; nothing speaks against the job itself.
       state_client_.barrier_read(
-          at, at + k::kPollPatienceMs, [this, request, body](Ms then, bool ok) {
-            ok ? on_submit(then, request, body) : decline(request, k::kRetryAfterS);
+          at, at + k::kPollTimeoutMs, [this, request, body](Ms then, bool ok) {
+            ok ? on_submit(then, request, body) : reply_unavailable(request, k::kRetryAfterS);
           });
       return;
     }
     if (result == TxnResult::committed) {
-      on_submitted(at, request, id);
+      on_job_recorded(at, request, id);
     } else if (result == TxnResult::conflict) {
       // Known already, or the view has changed.
-      lookup(at, request, id, at + k::kPollPatienceMs,
-             [this, request, known](Ms, const JobAnswer& found) {
-               found.known ? known(found.state) : decline(request, k::kRetryAfterS);
-             });
+      read_job(at, request, id, at + k::kPollTimeoutMs,
+               [this, request, known](Ms, const JobStatus& status) {
+                 status.known ? known(status.state) : reply_unavailable(request, k::kRetryAfterS);
+               });
     } else {
-      decline(request, result == TxnResult::refused ? k::kRetryAfterOutageS : k::kRetryAfterS);
+      reply_unavailable(request,
+                        result == TxnResult::refused ? k::kRetryAfterOutageS : k::kRetryAfterS);
     }
   };
   state_client_.submit(std::move(t));
@@ -157,12 +158,12 @@
 
 // The job is written. The answer may have been on its way for long: what has become of the job
 // since then may have been told already.
-void Controller::on_submitted(Ms now, std::uint64_t request, const std::string& id) {
+void Controller::on_job_recorded(Ms now, std::uint64_t request, const std::string& id) {
   const auto accepted = [this, request, id](wire::JobState state) {
-    answer(request, 201, wire::job_state_body(id, state));
+    reply(request, 201, wire::job_state_body(id, state));
   };
   if (const auto* final_state = replica_.final_state(id)) {
-    accepted(final_answer(*final_state).state);
+    accepted(final_status(*final_state).state);
     return;
   }
   const Job* job = replica_.job(id);
@@ -170,10 +171,10 @@
     accepted(wire::JobState::queued);
     return;
   }
-  when_settled(now, request, id, now + k::kPollPatienceMs, [this, id, accepted](Ms) {
+  wait_until_job_settled(now, request, id, now + k::kPollTimeoutMs, [this, id, accepted](Ms) {
     const auto* final_state = replica_.final_state(id);
     const Job* settled = replica_.job(id);
-    accepted(final_state ? final_answer(*final_state).state
+    accepted(final_state ? final_status(*final_state).state
              : settled   ? state_of(*settled)
                          : wire::JobState::queued);
   });
@@ -187,29 +188,29 @@
     write_cancelled(now, request, id, tries);
     return;
   }
-  lookup(now, request, id, now + k::kSubmitPatienceMs,
-         [this, request, id, tries](Ms at, const JobAnswer& found) {
-           const bool ended =
-               found.state == wire::JobState::done || found.state == wire::JobState::cancelled;
-           if (!found.known) {
-             answer(request, 404, wire::error_body("no such job"));
-           } else if (ended) {
-             answer(request, 200, wire::job_state_body(id, found.state));
-           } else if (!replica_.job(id) || tries > k::kCancelTries) {
-             decline(request, k::kRetryAfterS);
-           } else {
-             write_cancelled(at, request, id, tries);
-           }
-         });
+  read_job(now, request, id, now + k::kSubmitTimeoutMs,
+           [this, request, id, tries](Ms at, const JobStatus& status) {
+             const bool ended =
+                 status.state == wire::JobState::done || status.state == wire::JobState::cancelled;
+             if (!status.known) {
+               reply(request, 404, wire::error_body("no such job"));
+             } else if (ended) {
+               reply(request, 200, wire::job_state_body(id, status.state));
+             } else if (!replica_.job(id) || tries > k::kCancelTries) {
+               reply_unavailable(request, k::kRetryAfterS);
+             } else {
+               write_cancelled(at, request, id, tries);
+             }
+           });
 }
 
 void Controller::write_cancelled(Ms now, std::uint64_t request, const std::string& id, int tries) {
   const Job* job = replica_.job(id);
   if (job->record.cancelled) {  // on its way: its tasks are being stopped
-    await_cancelled(now, request, id);
+    wait_until_cancelled(now, request, id);
     return;
   }
-  if (shed(request)) return;
+  if (shed_load(request)) return;
   wire::JobRecord record = job->record;
   record.cancelled = true;
   Transaction t;
@@ -217,17 +218,17 @@
   t.conditions = {view_unchanged(), state_client_.unchanged(key)};
   t.writes = {{key, encode(record), std::nullopt}};
   t.urgent = true;
-  t.deadline = now + k::kSubmitPatienceMs;
+  t.deadline = now + k::kSubmitTimeoutMs;
   ++waiting_requests_;
   t.done = [this, request, id, tries](Ms at, TxnResult result, const auto&) {
     --waiting_requests_;
     if (result == TxnResult::committed) {
       log(LogLevel::info, "cancellation of " + id + " recorded");
-      await_cancelled(at, request, id);
+      wait_until_cancelled(at, request, id);
     } else if (result == TxnResult::conflict) {
       on_cancel(at, request, id, tries + 1);
     } else {
-      decline(request, k::kRetryAfterS);
+      reply_unavailable(request, k::kRetryAfterS);
     }
   };
   state_client_.submit(std::move(t));
--- a/src/links/monitor.cpp
+++ b/src/links/monitor.cpp
@@ -12,7 +12,7 @@
 Monitor::Monitor(MonitorSettings settings, const RequestLink& state, const RequestLink& cloud)
     : settings_(std::move(settings)), state_(state), cloud_(cloud), matrix_(settings_.name) {
   for (const auto& peer : settings_.peers)
-    peers_.emplace(peer, PhiDetector(settings_.hint_interval));
+    peers_.emplace(peer, PhiDetector(settings_.gossip_interval));
 }
 
 // ---- evidence ----
--- a/src/links/monitor.h
+++ b/src/links/monitor.h
@@ -27,7 +27,7 @@
   std::string name;                // of this controller
   std::vector<std::string> peers;  // the other controllers that are configured
   Ms heartbeat_interval = 0;       // of workers
-  Ms hint_interval = 0;            // of messages between controllers
+  Ms gossip_interval = 0;          // of messages between controllers
   bool relays = false;             // this controller passes messages on for others
 };
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -91,7 +91,7 @@
     });
   }
 
-  void answer(int status, const std::string& body, int retry_after_s) {
+  void reply(int status, const std::string& body, int retry_after_s) {
     if (!waiting_) return;
     waiting_ = false;
     const bool crowded = server_.crowded();
@@ -344,14 +344,14 @@
   connections_.erase(it);
 }
 
-void HttpServer::answer(std::uint64_t id, int status, const std::string& body, int retry_after_s) {
+void HttpServer::reply(std::uint64_t id, int status, const std::string& body, int retry_after_s) {
   auto it = requests_.find(id);
   if (it == requests_.end()) return;
   auto c = connections_.find(it->second);
   requests_.erase(it);
   if (c == connections_.end()) return;
   const auto connection = c->second;  // kept while it answers
-  connection->answer(status, body, retry_after_s);
+  connection->reply(status, body, retry_after_s);
 }
 
 }  // namespace scheduler::net
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -28,7 +28,7 @@
   ~HttpServer();
 
   // Answers a request once. Unknown numbers (the client has gone) are ignored.
-  void answer(std::uint64_t id, int status, const std::string& body, int retry_after_s);
+  void reply(std::uint64_t id, int status, const std::string& body, int retry_after_s);
   std::size_t connections() const { return connections_.size(); }
   // Connections refused because all were in use, and those closed early to make room.
   std::uint64_t refused() const { return refused_; }
--- a/src/scheduling/ranges.cpp
+++ b/src/scheduling/ranges.cpp
@@ -266,10 +266,11 @@
   return range->done_count() + done >= range->end - range->begin;
 }
 
-// Whether the range's changes are to be written now; `may_queue_writes`: writes can still be asked for. That
-// tasks ended can wait a little, to be written together: their room is free already, and their
-// machines list them until it is recorded.
-bool Controller::must_write_now(Ms now, const RangeId& id, RangeState& w, bool may_queue_writes) const {
+// Whether the range's changes are to be written now; `may_queue_writes`: writes can still be asked
+// for. That tasks ended can wait a little, to be written together: their room is free already, and
+// their machines list them until it is recorded.
+bool Controller::must_write_now(Ms now, const RangeId& id, RangeState& w,
+                                bool may_queue_writes) const {
   if (!w.pending_placements.empty() || w.stop_requested || w.write_uncertain) return true;
   if (w.released.empty()) {
     w.released_since = 0;
--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -41,14 +41,15 @@
 }
 
 void StateClient::call(Ms sent, std::string method, std::string path, std::string body,
-                       OutcomeHandler done) {
+                       ResultHandler done) {
   send_(Target::state, "", std::move(method), std::move(path), std::move(body), k::kStateTimeoutMs,
-        [this, sent, pauses = pauses_, done = std::move(done)](Ms now, const Outcome& outcome) {
+        [this, sent, pauses = pauses_, done = std::move(done)](Ms now,
+                                                               const HttpResult& http_result) {
           // Guards against taking single answers that were lost for a service that is down: what
           // was asked later has been answered.
-          const bool single = outcome.status == 0 && link_.last_answer() > sent;
-          if (!single) note(now, outcome, pauses == pauses_);
-          done(now, outcome);
+          const bool single = http_result.status == 0 && link_.last_answer() > sent;
+          if (!single) note(now, http_result, pauses == pauses_);
+          done(now, http_result);
         });
 }
 
@@ -62,13 +63,13 @@
   for (auto& b : old) b.done(now, false);
 }
 
-void StateClient::note(Ms now, const Outcome& outcome, bool current) {
-  if (!current && outcome.status != 429) return;
-  if (outcome.status == kNoAnswer) {
+void StateClient::note(Ms now, const HttpResult& http_result, bool current) {
+  if (!current && http_result.status != 429) return;
+  if (http_result.status == kNoReply) {
     link_.unanswered(now);
-  } else if (outcome.status == 503) {
+  } else if (http_result.status == 503) {
     link_.refused(now);
-  } else if (outcome.status == 429) {
+  } else if (http_result.status == 429) {
     paused_until_ = std::max(paused_until_, now + k::kThrottledPauseMs);
   } else {
     link_.answered(now);
@@ -128,12 +129,13 @@
 void StateClient::load_next(Ms now) {
   const std::string prefix(kLoadedPrefixes[load_prefix_]);
   call(now, "GET", wire::page_path(prefix, load_after_, k::kPageItems), "",
-       [this](Ms at, const Outcome& outcome) {
+       [this](Ms at, const HttpResult& http_result) {
          if (load_phase_ != LoadPhase::reading) return;
          std::vector<wire::StoredItem> items;
          bool more = false;
          std::uint64_t revision = 0;
-         if (outcome.status != 200 || !wire::parse_page(outcome.body, items, more, revision)) {
+         if (http_result.status != 200 ||
+             !wire::parse_page(http_result.body, items, more, revision)) {
            load_phase_ = LoadPhase::none;
            load_retry_at_ = at + k::kProbeEveryMs;
            return;
@@ -208,19 +210,19 @@
   const std::uint64_t generation = ++watch_generation_;
   send_(Target::state, "", "GET", wire::watch_path(applied_revision_, k::kWatchMs), "",
         k::kWatchMs + k::kWatchGraceMs,
-        [this, generation, pauses = pauses_](Ms at, const Outcome& outcome) {
-          on_watch(at, generation, pauses, outcome);
+        [this, generation, pauses = pauses_](Ms at, const HttpResult& http_result) {
+          on_watch(at, generation, pauses, http_result);
         });
 }
 
 void StateClient::on_watch(Ms now, std::uint64_t generation, std::uint64_t pauses,
-                           const Outcome& outcome) {
+                           const HttpResult& http_result) {
   if (generation != watch_generation_) return;
   watching_ = false;
   const double rate = share(settings_.state_rps) * k::kRateShare * k::kWatchRateShare;
   watch_at_ = std::max(now, watch_opened_ + static_cast<Ms>(1000.0 / std::max(rate, 0.1)));
   // Guards against asking for ever for an answer that is longer each time, after a long cut.
-  if (outcome.status == 410 || outcome.status == kAnswerTooLarge) {
+  if (http_result.status == 410 || http_result.status == kReplyTooLarge) {
     log_(LogLevel::info, "watch fell behind; reading the state again");
     load_phase_ = LoadPhase::none;
     load_retry_at_ = now;
@@ -228,7 +230,7 @@
   }
   std::vector<wire::StoredItem> events;
   std::uint64_t revision = 0;
-  if (outcome.status != 200 || !wire::parse_events(outcome.body, events, revision)) {
+  if (http_result.status != 200 || !wire::parse_events(http_result.body, events, revision)) {
     watch_at_ = now + k::kProbeEveryMs;
     return;
   }
@@ -286,11 +288,11 @@
   auto batch = std::make_shared<std::vector<Barrier>>(std::move(queued_barriers_));
   queued_barriers_.clear();
   call(now, "GET", wire::item_path(kBarrierKey), "",
-       [this, batch, sent = now, pauses = pauses_](Ms at, const Outcome& outcome) {
+       [this, batch, sent = now, pauses = pauses_](Ms at, const HttpResult& http_result) {
          barrier_in_flight_ = false;
          std::uint64_t revision = 0;
-         if (pauses == pauses_ && outcome.status == 404 &&
-             wire::parse_revision(outcome.body, revision)) {
+         if (pauses == pauses_ && http_result.status == 404 &&
+             wire::parse_revision(http_result.body, revision)) {
            note_revision(at, revision);
            log_read(at, sent, "barrier", revision, batch->size());
            for (auto& b : *batch) revision_waits_.push_back({revision, std::move(b)});
@@ -315,7 +317,7 @@
   for (auto& b : ready) b.done(now, true);
 }
 
-void StateClient::read(Ms now, const std::string& key, OutcomeHandler done) {
+void StateClient::read(Ms now, const std::string& key, ResultHandler done) {
   call(now, "GET", wire::item_path(key), "", std::move(done));
 }
 
@@ -330,26 +332,27 @@
   lease_in_flight_ = true;
   if (lease_id_ == 0) {
     call(now, "POST", wire::kLeasesPath, wire::lease_body(k::kSessionLeaseMs),
-         [this](Ms at, const Outcome& outcome) {
+         [this](Ms at, const HttpResult& http_result) {
            lease_in_flight_ = false;
            lease_due_ = at + k::kProbeEveryMs;
            std::uint64_t permit = 0;
-           if (outcome.status == 200 && wire::parse_lease_id(outcome.body, permit)) {
+           if (http_result.status == 200 && wire::parse_lease_id(http_result.body, permit)) {
              lease_id_ = permit;
              lease_due_ = at + k::kLeaseRenewalMs;
            }
          });
     return;
   }
-  call(now, "POST", wire::renew_lease_path(lease_id_), "{}", [this](Ms at, const Outcome& outcome) {
-    lease_in_flight_ = false;
-    lease_due_ = at + (outcome.status == 200 ? k::kLeaseRenewalMs : k::kProbeEveryMs);
-    if (outcome.status == 404) {
-      log_(LogLevel::info, "our hold has ended");
-      lease_id_ = 0;
-      lease_due_ = at;
-    }
-  });
+  call(now, "POST", wire::renew_lease_path(lease_id_), "{}",
+       [this](Ms at, const HttpResult& http_result) {
+         lease_in_flight_ = false;
+         lease_due_ = at + (http_result.status == 200 ? k::kLeaseRenewalMs : k::kProbeEveryMs);
+         if (http_result.status == 404) {
+           log_(LogLevel::info, "our hold has ended");
+           lease_id_ = 0;
+           lease_due_ = at;
+         }
+       });
 }
 
 // ---- transactions ----
@@ -476,20 +479,21 @@
   }
   auto shared = std::make_shared<std::vector<Transaction>>(std::move(group));
   call(now, "POST", wire::kTransactionPath, wire::transaction_body(conditions, writes),
-       [this, shared, sent = now](Ms at, const Outcome& outcome) {
+       [this, shared, sent = now](Ms at, const HttpResult& http_result) {
          --in_flight_;
-         log_write(at, sent, shared->front().writes, outcome);
-         on_group(at, std::move(*shared), outcome);
+         log_write(at, sent, shared->front().writes, http_result);
+         on_group(at, std::move(*shared), http_result);
        });
 }
 
 void StateClient::log_write(Ms now, Ms sent, const std::vector<wire::Write>& writes,
-                            const Outcome& outcome) {
+                            const HttpResult& http_result) {
   if (!settings_.log_debug) return;
   std::uint64_t revision = 0;
-  const bool committed = outcome.status == 200 && wire::parse_revision(outcome.body, revision);
+  const bool committed =
+      http_result.status == 200 && wire::parse_revision(http_result.body, revision);
   LogEvent event("transaction");
-  event.field("status", outcome.status).field("revision", committed ? revision : 0);
+  event.field("status", http_result.status).field("revision", committed ? revision : 0);
   event.field("watched", applied_revision_)
       .field("first", writes.empty() ? "-" : writes.front().key);
   event.field("took_ms", now - sent);
@@ -505,19 +509,20 @@
   }
 }
 
-void StateClient::on_group(Ms now, std::vector<Transaction> group, const Outcome& outcome) {
+void StateClient::on_group(Ms now, std::vector<Transaction> group, const HttpResult& http_result) {
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
-  if (outcome.status == 200 && wire::parse_revision(outcome.body, revision)) {
+  if (http_result.status == 200 && wire::parse_revision(http_result.body, revision)) {
     on_committed(now, std::move(group), revision);
-  } else if (outcome.status == 409 && wire::parse_conflict(outcome.body, revision, failed)) {
+  } else if (http_result.status == 409 &&
+             wire::parse_conflict(http_result.body, revision, failed)) {
     on_conflict(now, std::move(group), failed);
-  } else if (outcome.status == 429) {
+  } else if (http_result.status == 429) {
     on_throttled(std::move(group));
-  } else if (outcome.status == 400) {
-    on_bad_request(now, std::move(group), outcome.body);
+  } else if (http_result.status == 400) {
+    on_bad_request(now, std::move(group), http_result.body);
   } else {
-    const TxnResult result = outcome.status == 503 ? TxnResult::refused : TxnResult::unknown;
+    const TxnResult result = http_result.status == 503 ? TxnResult::refused : TxnResult::unknown;
     for (auto& t : group) t.done(now, result, {});
   }
 }
--- a/src/state/state_client.h
+++ b/src/state/state_client.h
@@ -37,7 +37,7 @@
 class StateClient {
  public:
   using Send = std::function<void(Target, std::string address, std::string method, std::string path,
-                                  std::string body, Ms timeout, OutcomeHandler)>;
+                                  std::string body, Ms timeout, ResultHandler)>;
   using Apply = std::function<void(Ms now, const wire::StoredItem&)>;
   using Log = std::function<void(LogLevel, std::string)>;
 
@@ -75,7 +75,7 @@
   void wait_until_current(Ms now, Ms deadline, std::function<void(Ms now, bool ok)> done) {
     wait_for_revision(now, newest_known_revision_, deadline, std::move(done));
   }
-  void read(Ms now, const std::string& key, OutcomeHandler done);
+  void read(Ms now, const std::string& key, ResultHandler done);
   std::size_t queued() const { return queue_.size(); }
   // Revision up to which the replica holds every change. Beyond it, it holds only what this
   // controller has written itself.
@@ -109,10 +109,11 @@
     return load_phase_ == LoadPhase::catching_up || load_phase_ == LoadPhase::complete;
   }
   void open_watch(Ms now);
-  void on_watch(Ms now, std::uint64_t generation, std::uint64_t pauses, const Outcome& outcome);
+  void on_watch(Ms now, std::uint64_t generation, std::uint64_t pauses,
+                const HttpResult& http_result);
   void flush(Ms now);
   void send_group(Ms now, std::vector<Transaction> group);
-  void on_group(Ms now, std::vector<Transaction> group, const Outcome& outcome);
+  void on_group(Ms now, std::vector<Transaction> group, const HttpResult& http_result);
   void on_committed(Ms now, std::vector<Transaction> group, std::uint64_t revision);
   void on_conflict(Ms now, std::vector<Transaction> group, const std::vector<std::string>& failed);
   void on_throttled(std::vector<Transaction> group);
@@ -123,13 +124,14 @@
   void send_barrier(Ms now);
   void release_barriers(Ms now);
   void renew_lease(Ms now);
-  void note(Ms now, const Outcome& outcome, bool current);
+  void note(Ms now, const HttpResult& http_result, bool current);
   void apply(Ms now, const wire::StoredItem& item);
   // What the state service said, at which revision, and how long it took from `sent` on.
-  void log_write(Ms now, Ms sent, const std::vector<wire::Write>& writes, const Outcome& outcome);
+  void log_write(Ms now, Ms sent, const std::vector<wire::Write>& writes,
+                 const HttpResult& http_result);
   void log_conflict(const std::vector<std::string>& failed);
   void log_read(Ms now, Ms sent, std::string_view kind, std::uint64_t revision, std::size_t count);
-  void call(Ms sent, std::string method, std::string path, std::string body, OutcomeHandler done);
+  void call(Ms sent, std::string method, std::string path, std::string body, ResultHandler done);
   double share(double rate) const { return rate / rate_sharers_; }
 
   const Settings& settings_;
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxNameLength = 128;  // bytes of a class, team, image, type or zone name
 
 template <typename E, std::size_t N>
-bool lookup(const std::pair<std::string_view, E> (&table)[N], std::string_view text, E& out) {
+bool read_job(const std::pair<std::string_view, E> (&table)[N], std::string_view text, E& out) {
   for (const auto& [name, value] : table) {
     if (name == text) {
       out = value;
@@ -60,7 +60,7 @@
 bool read_enum(const Json& o, const char* field, const std::pair<std::string_view, E> (&table)[N],
                E& out) {
   const Json* v = member(o, field);
-  return v && v->IsString() && lookup(table, {v->GetString(), v->GetStringLength()}, out);
+  return v && v->IsString() && read_job(table, {v->GetString(), v->GetStringLength()}, out);
 }
 
 bool read_name(const Json& o, const char* field, std::string& out) {
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -74,60 +74,64 @@
          });
 }
 
-void add_links(cbor_item_t* map, const PeerHint& hint) {
-  if (!hint.links.empty()) {
-    Item rows(cbor_new_definite_array(hint.links.size()));
-    for (const auto& row : hint.links) cbor::append(rows.get(), encode_row(row));
+void add_links(cbor_item_t* map, const GossipMessage& gossip_message) {
+  if (!gossip_message.links.empty()) {
+    Item rows(cbor_new_definite_array(gossip_message.links.size()));
+    for (const auto& row : gossip_message.links) cbor::append(rows.get(), encode_row(row));
     cbor::add(map, kRowsKey, rows);
   }
-  if (!hint.cancelled.empty()) {
-    Item jobs(cbor_new_definite_array(hint.cancelled.size()));
-    for (const auto& job : hint.cancelled) cbor::append(jobs.get(), cbor::text(job));
+  if (!gossip_message.cancelled.empty()) {
+    Item jobs(cbor_new_definite_array(gossip_message.cancelled.size()));
+    for (const auto& job : gossip_message.cancelled) cbor::append(jobs.get(), cbor::text(job));
     cbor::add(map, kCancelledKey, jobs);
   }
 }
 
 // What can't be read of these is left out: the rest of the hint is as good without.
-void read_links(const cbor_item_t* map, PeerHint& hint) {
+void read_links(const cbor_item_t* map, GossipMessage& gossip_message) {
   const bool rows = cbor::each_element(map, kRowsKey, [&](const cbor_item_t* element) {
     LinkRow row;
     if (!decode_row(element, row)) return false;
-    if (hint.links.size() < kMostRows) hint.links.push_back(std::move(row));
+    if (gossip_message.links.size() < kMostRows) gossip_message.links.push_back(std::move(row));
     return true;
   });
-  if (!rows) hint.links.clear();
+  if (!rows) gossip_message.links.clear();
   cbor::each_element(map, kCancelledKey, [&](const cbor_item_t* element) {
     auto job = cbor::as_text(element);
-    if (job && hint.cancelled.size() < kMostCancelled) hint.cancelled.push_back(std::move(*job));
+    if (job && gossip_message.cancelled.size() < kMostCancelled)
+      gossip_message.cancelled.push_back(std::move(*job));
     return job.has_value();
   });
 }
 
-bool read_hint(const cbor_item_t* map, PeerHint& hint) {
-  hint.links.clear();
-  hint.cancelled.clear();
-  const bool complete =
-      cbor::read(map, "from", hint.from) && cbor::read(map, "incarnation", hint.incarnation) &&
-      cbor::read(map, "epoch", hint.epoch) && cbor::read(map, "state", hint.state_answers) &&
-      cbor::read(map, "free", hint.free_cpus) && cbor::read(map, "sent", hint.sent_ms);
-  if (complete) read_links(map, hint);
+bool read_gossip(const cbor_item_t* map, GossipMessage& gossip_message) {
+  gossip_message.links.clear();
+  gossip_message.cancelled.clear();
+  const bool complete = cbor::read(map, "from", gossip_message.from) &&
+                        cbor::read(map, "incarnation", gossip_message.incarnation) &&
+                        cbor::read(map, "epoch", gossip_message.epoch) &&
+                        cbor::read(map, "state", gossip_message.state_answers) &&
+                        cbor::read(map, "free", gossip_message.free_cpus) &&
+                        cbor::read(map, "sent", gossip_message.sent_ms);
+  if (complete) read_links(map, gossip_message);
   return complete;
 }
 
 }  // namespace
 
-std::string encode(const PeerHint& hint) {
+std::string encode(const GossipMessage& gossip_message) {
   constexpr std::size_t kKeys = 6;
-  const std::size_t optional = (hint.links.empty() ? 0U : 1U) + (hint.cancelled.empty() ? 0U : 1U);
+  const std::size_t optional =
+      (gossip_message.links.empty() ? 0U : 1U) + (gossip_message.cancelled.empty() ? 0U : 1U);
   Item map(cbor_new_definite_map(kKeys + optional));
-  bool ok = cbor::add(map.get(), "from", cbor::text(hint.from));
-  ok = ok && cbor::add(map.get(), "incarnation", cbor::text(hint.incarnation));
-  ok = ok && cbor::add(map.get(), "epoch", number(hint.epoch));
-  ok = ok && cbor::add(map.get(), "state", Item(cbor_build_bool(hint.state_answers)));
-  ok = ok && cbor::add(map.get(), "free", Item(cbor_build_float8(hint.free_cpus)));
-  ok = ok && cbor::add(map.get(), "sent", number(hint.sent_ms));
+  bool ok = cbor::add(map.get(), "from", cbor::text(gossip_message.from));
+  ok = ok && cbor::add(map.get(), "incarnation", cbor::text(gossip_message.incarnation));
+  ok = ok && cbor::add(map.get(), "epoch", number(gossip_message.epoch));
+  ok = ok && cbor::add(map.get(), "state", Item(cbor_build_bool(gossip_message.state_answers)));
+  ok = ok && cbor::add(map.get(), "free", Item(cbor_build_float8(gossip_message.free_cpus)));
+  ok = ok && cbor::add(map.get(), "sent", number(gossip_message.sent_ms));
   if (!ok) return {};
-  add_links(map.get(), hint);
+  add_links(map.get(), gossip_message);
   return cbor::bytes_of(map);
 }
 
@@ -143,7 +147,7 @@
   return cbor::bytes_of(map);
 }
 
-std::string encode(const RelayAnswer& answer) {
+std::string encode(const RelayReply& answer) {
   constexpr std::size_t kKeys = 5;
   Item map(cbor_new_definite_map(kKeys));
   cbor::add(map.get(), kRelayKey, number(kRelayAnswerTag));
@@ -154,9 +158,9 @@
   return cbor::bytes_of(map);
 }
 
-bool decode(std::string_view bytes, PeerHint& hint) {
+bool decode(std::string_view bytes, GossipMessage& gossip_message) {
   const Item map = cbor::parse_map(bytes);
-  return map && read_hint(map.get(), hint);
+  return map && read_gossip(map.get(), gossip_message);
 }
 
 PeerMessage decode_peer_message(std::string_view bytes) {
@@ -165,11 +169,12 @@
   const cbor_item_t* map = item.get();
   std::uint64_t kind = 0;
   if (!cbor::read(map, kRelayKey, kind)) {
-    PeerHint hint;
-    return read_hint(map, hint) ? PeerMessage(std::move(hint)) : PeerMessage();
+    GossipMessage gossip_message;
+    return read_gossip(map, gossip_message) ? PeerMessage(std::move(gossip_message))
+                                            : PeerMessage();
   }
   if (kind == kRelayAnswerTag) {
-    RelayAnswer answer;
+    RelayReply answer;
     const bool complete =
         cbor::read(map, "from", answer.from) && cbor::read(map, "id", answer.id) &&
         cbor::read(map, "status", answer.status) && cbor::read(map, "body", answer.body);
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -13,7 +13,7 @@
 
 // Sent to every other controller at a fixed interval. Versions that don't know the last two entries
 // ignore them, and send hints without them.
-struct PeerHint {
+struct GossipMessage {
   std::string from;
   std::string incarnation;
   std::uint64_t epoch = 0;     // of the newest view the sender knows
@@ -38,7 +38,7 @@
   std::string address;  // of the worker, for commands
   std::string body;     // of the HTTP request
 };
-struct RelayAnswer {
+struct RelayReply {
   std::string from;
   std::uint64_t id = 0;
   std::uint64_t status = 0;  // of HTTP; 0: no answer
@@ -46,17 +46,17 @@
 };
 
 // monostate: not a message of these.
-using PeerMessage = std::variant<std::monostate, PeerHint, RelayRequest, RelayAnswer>;
+using PeerMessage = std::variant<std::monostate, GossipMessage, RelayRequest, RelayReply>;
 
-std::string encode(const PeerHint& hint);
+std::string encode(const GossipMessage& gossip_message);
 std::string encode(const RelayRequest& request);
-std::string encode(const RelayAnswer& answer);
-bool decode(std::string_view bytes, PeerHint& hint);
+std::string encode(const RelayReply& answer);
+bool decode(std::string_view bytes, GossipMessage& gossip_message);
 PeerMessage decode_peer_message(std::string_view bytes);
 
 // A frame on a peer link: four bytes of length, most significant first, then the message. Versions
 // that don't relay take in no more than the size of a hint.
-constexpr std::size_t kPeerHintMost = 4096;        // bytes; a hint takes about 300
+constexpr std::size_t kGossipBytesMost = 4096;     // bytes; a hint takes about 300
 constexpr std::size_t kPeerFrameMost = 80 * 1024;  // bytes; a relayed body takes up to 64 KiB
 
 }  // namespace scheduler::wire
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -170,18 +170,21 @@
   std::string body = wire::commands_body(token(m), m.incarnation, list);
   if (const auto peer = relay_for(now, m)) {
     sent.relayed = true;
-    if (relay_.send_command(
-            now, now + wall_offset_, *peer, m.address, body,
-            [this, sent](Ms at, const Outcome& outcome) { on_command_result(at, sent, outcome); }))
+    if (relay_.send_command(now, now + wall_offset_, *peer, m.address, body,
+                            [this, sent](Ms at, const HttpResult& http_result) {
+                              on_command_result(at, sent, http_result);
+                            }))
       return;
     sent.relayed = false;
   }
   call(Target::worker, m.address, "POST", wire::kCommandsPath, std::move(body),
-       k::kCommandTimeoutMs,
-       [this, sent](Ms at, const Outcome& outcome) { on_command_result(at, sent, outcome); });
+       k::kCommandTimeoutMs, [this, sent](Ms at, const HttpResult& http_result) {
+         on_command_result(at, sent, http_result);
+       });
 }
 
-void Controller::on_command_result(Ms now, const SentCommands& sent, const Outcome& outcome) {
+void Controller::on_command_result(Ms now, const SentCommands& sent,
+                                   const HttpResult& http_result) {
   --(sent.suspect ? probes_in_flight_ : direct_commands_in_flight_);
   auto it = machines_.find(sent.machine);
   if (it == machines_.end()) return;
@@ -190,8 +193,8 @@
   if (m.owned_since_epoch != sent.owned_since_epoch) return;
   const bool current = sent.pauses == pauses_;
   wire::Heartbeat heartbeat;
-  if ((outcome.status == 200 || outcome.status == 409) &&
-      wire::parse_heartbeat(outcome.body, heartbeat) && heartbeat.machine == m.id) {
+  if ((http_result.status == 200 || http_result.status == 409) &&
+      wire::parse_heartbeat(http_result.body, heartbeat) && heartbeat.machine == m.id) {
     const bool again = Counters(heartbeat.incarnation, heartbeat.sequence) <= sent.counters;
     if (again) on_agent_restart(now, m, heartbeat);
     apply_heartbeat(now, m, heartbeat);
@@ -204,7 +207,7 @@
     }
     // It has answered, so it is within reach. A restarted one shows our token first.
     if (!again) m.unreachable_since = 0;
-    m.next_command_at = outcome.status == 200 ? now : now + k::kCommandRetryMs / 4;
+    m.next_command_at = http_result.status == 200 ? now : now + k::kCommandRetryMs / 4;
     // What was stopped may be gone, and what waits for its room can start.
     m.next_command_check = std::min(m.next_command_check, now + k::kMachineCheckMs);
   } else if (!current) {
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -45,36 +45,36 @@
 void Controller::on_heartbeat(Ms now, std::uint64_t request, const std::string& body) {
   wire::Heartbeat heartbeat;
   if (!wire::parse_heartbeat(body, heartbeat)) {
-    answer(request, 400, wire::error_body("malformed report"));
+    reply(request, 400, wire::error_body("malformed report"));
     return;
   }
   if (!Relay::is_relayed(request)) links_.zone(heartbeat.zone).heartbeat_received(now);
   if (!state_client_.loaded() || !view_known_ || deposed(now) || resynchronising(now)) {
-    decline(request, k::kRetryAfterS);
+    reply_unavailable(request, k::kRetryAfterS);
     return;
   }
   if (ClusterView::epoch_of(heartbeat.token) > cluster_view_.epoch()) {
     // Somebody acts on a newer view than we know.
     newest_epoch_seen_ = std::max(newest_epoch_seen_, ClusterView::epoch_of(heartbeat.token));
-    decline(request, k::kRetryAfterS);
+    reply_unavailable(request, k::kRetryAfterS);
     return;
   }
   const std::string& owner = cluster_view_.machine_owner(heartbeat.machine, heartbeat.zone);
   if (owner != settings_.name) {
     if (owner.empty()) {
-      decline(request, k::kRetryAfterS);
+      reply_unavailable(request, k::kRetryAfterS);
     } else {
       redirect_heartbeat(now, request, owner, heartbeat, body);
     }
     return;
   }
   if (!ready()) {
-    decline(request, k::kRetryAfterS);
+    reply_unavailable(request, k::kRetryAfterS);
     return;
   }
   const auto* record = replica_.machine(heartbeat.machine);
   if (record && record->state == wire::MachineState::terminated) {
-    decline(request, k::kRetryAfterS);  // a late copy
+    reply_unavailable(request, k::kRetryAfterS);  // a late copy
     return;
   }
   auto it = machines_.find(heartbeat.machine);
@@ -90,7 +90,7 @@
     m.suspect = true;
     send_commands(now, m);
     m.lease_granted_at = std::max(m.lease_granted_at, now);
-    answer(request, 200, wire::heartbeat_reply(token(m), {}));
+    reply(request, 200, wire::heartbeat_reply(token(m), {}));
     return;
   }
   const bool stale = heartbeat.token < m.highest_token_seen;
@@ -111,14 +111,14 @@
     // with low counters looks the same; its answer to a message of our own tells (on_orders).
     m.suspect = true;
     send_commands(now, m);
-    decline(request, k::kRetryAfterS);
+    reply_unavailable(request, k::kRetryAfterS);
     return;
   }
   const auto list = commands_for(now, m);
   const std::uint64_t given = token(m);
   m.heartbeat_answered = true;
   m.lease_granted_at = std::max(m.lease_granted_at, now);
-  answer(request, 200, wire::heartbeat_reply(given, list));
+  reply(request, 200, wire::heartbeat_reply(given, list));
 }
 
 // Something that we sent did not reach the machine: everything sent from now on outruns it, and the
--- a/src/workers/relay.cpp
+++ b/src/workers/relay.cpp
@@ -19,7 +19,7 @@
       next_id_(std::stoull(context.incarnation, nullptr, kHexadecimal)) {}
 
 bool Relay::send(Ms now, Ms timeout, const std::string& peer, wire::RelayRequest request,
-                 OutcomeHandler done) {
+                 ResultHandler done) {
   const auto most = static_cast<std::size_t>(context_.capacity.direct_messages);
   if (pending_.size() >= most || request.body.size() > k::kRelayedBytesMost) return false;
   request.from = context_.settings.name;
@@ -32,7 +32,7 @@
 }
 
 bool Relay::send_command(Ms now, Ms wall, const std::string& peer, const std::string& address,
-                         std::string body, OutcomeHandler done) {
+                         std::string body, ResultHandler done) {
   wire::RelayRequest request;
   request.kind = wire::RelayKind::command;
   request.sent_ms = static_cast<std::uint64_t>(wall);
@@ -42,15 +42,15 @@
 }
 
 bool Relay::send_heartbeat(Ms now, Ms wall, const std::string& owner, const std::string& worker,
-                           std::string body, OutcomeHandler done) {
+                           std::string body, ResultHandler done) {
   wire::RelayRequest request;
   request.kind = wire::RelayKind::heartbeat;
   request.sent_ms = static_cast<std::uint64_t>(wall);
   request.body = std::move(body);
   return send(now, k::kRelayedReportMs, owner, std::move(request),
-              [this, worker, done = std::move(done)](Ms at, const Outcome& outcome) {
-                if (outcome.status == 200) passed_on_at_[worker] = at;
-                done(at, outcome);
+              [this, worker, done = std::move(done)](Ms at, const HttpResult& http_result) {
+                if (http_result.status == 200) passed_on_at_[worker] = at;
+                done(at, http_result);
               });
 }
 
@@ -72,7 +72,7 @@
   const Asked asked{request.from, request.id};
   const auto known = handled_.find(asked);
   if (known != handled_.end()) {
-    if (!known->second.answer.empty()) send_(asked.peer, known->second.answer);
+    if (!known->second.reply.empty()) send_(asked.peer, known->second.reply);
     return;
   }
   if (handled_.size() >= k::kRelayedMost) return;
@@ -91,23 +91,24 @@
   ++commands_in_flight_;
   context_.call(Target::worker, request.address, "POST", wire::kCommandsPath, request.body,
                 k::kRelayedWorkerMs,
-                [this, asked = Asked{request.from, request.id}](Ms, const Outcome& outcome) {
+                [this, asked = Asked{request.from, request.id}](Ms, const HttpResult& http_result) {
                   --commands_in_flight_;
-                  if (outcome.status != kNoAnswer) answer_peer(asked, outcome.status, outcome.body);
+                  if (http_result.status != kNoReply)
+                    reply_to_peer(asked, http_result.status, http_result.body);
                 });
 }
 
-void Relay::answer_peer(const Asked& asked, int status, std::string body) {
+void Relay::reply_to_peer(const Asked& asked, int status, std::string body) {
   if (status < 0 || body.size() > k::kRelayedBytesMost) return;
-  wire::RelayAnswer answer;
-  answer.from = context_.settings.name;
-  answer.id = asked.id;
-  answer.status = static_cast<std::uint64_t>(status);
-  answer.body = std::move(body);
-  std::string bytes = encode(answer);
+  wire::RelayReply reply;
+  reply.from = context_.settings.name;
+  reply.id = asked.id;
+  reply.status = static_cast<std::uint64_t>(status);
+  reply.body = std::move(body);
+  std::string bytes = encode(reply);
   send_(asked.peer, bytes);
   if (const auto known = handled_.find(asked); known != handled_.end())
-    known->second.answer = std::move(bytes);
+    known->second.reply = std::move(bytes);
 }
 
 void Relay::reply_to_heartbeat(std::uint64_t request, int status, const std::string& body) {
@@ -115,19 +116,19 @@
   if (heartbeat == relayed_heartbeats_.end()) return;
   const Asked asked = std::move(heartbeat->second);
   relayed_heartbeats_.erase(heartbeat);
-  answer_peer(asked, status, body);
+  reply_to_peer(asked, status, body);
 }
 
-void Relay::on_answer(Ms now, const wire::RelayAnswer& answer) {
-  const auto waiting = pending_.find(answer.id);
-  if (waiting == pending_.end() || waiting->second.peer != answer.from) return;
-  const OutcomeHandler done = std::move(waiting->second.done);
+void Relay::on_reply(Ms now, const wire::RelayReply& reply) {
+  const auto waiting = pending_.find(reply.id);
+  if (waiting == pending_.end() || waiting->second.peer != reply.from) return;
+  const ResultHandler done = std::move(waiting->second.done);
   pending_.erase(waiting);
-  done(now, {static_cast<int>(answer.status), answer.body});
+  done(now, {static_cast<int>(reply.status), reply.body});
 }
 
 void Relay::tick(Ms now) {
-  std::vector<OutcomeHandler> late;
+  std::vector<ResultHandler> late;
   for (auto entry = pending_.begin(); entry != pending_.end();) {
     Pending& pending = entry->second;
     if (now >= pending.deadline) {
@@ -141,7 +142,7 @@
     }
     ++entry;
   }
-  for (const auto& done : late) done(now, {kNoAnswer, ""});
+  for (const auto& done : late) done(now, {kNoReply, ""});
   forget(now);
 }
 
--- a/src/workers/relay.h
+++ b/src/workers/relay.h
@@ -30,10 +30,10 @@
   // Sends a command to a worker through `peer`. `done` is called with the worker's answer, or with
   // kNoAnswer: then it may have been executed, or may still be. False if too many are under way.
   bool send_command(Ms now, Ms wall, const std::string& peer, const std::string& address,
-                    std::string body, OutcomeHandler done);
+                    std::string body, ResultHandler done);
   // Passes a worker's report on to its owner.
   bool send_heartbeat(Ms now, Ms wall, const std::string& owner, const std::string& worker,
-                      std::string body, OutcomeHandler done);
+                      std::string body, ResultHandler done);
   // One worker of a zone in a while is sent to its owner although that doesn't hear the zone, so
   // that it is found out when it does again. True if that is to be this one; never one whose last
   // report was not passed on here, since its lease may be about to end.
@@ -41,7 +41,7 @@
                           const std::string& worker);
 
   void on_request(Ms now, Ms wall, const wire::RelayRequest& request);
-  void on_answer(Ms now, const wire::RelayAnswer& answer);
+  void on_reply(Ms now, const wire::RelayReply& reply);
   void tick(Ms now);
 
   // Whether a request of the controller is a report that a peer has passed on.
@@ -56,7 +56,7 @@
     std::string bytes;  // sent again until it is answered
     Ms send_at = 0;
     Ms deadline = 0;
-    OutcomeHandler done;
+    ResultHandler done;
   };
   // A request of a peer.
   struct Asked {
@@ -67,13 +67,13 @@
   // What became of it. Guards against carrying out a request twice that was sent again.
   struct Handled {
     Ms at = 0;
-    std::string answer;  // empty: not answered yet
+    std::string reply;  // empty: not answered yet
   };
 
   bool send(Ms now, Ms timeout, const std::string& peer, wire::RelayRequest request,
-            OutcomeHandler done);
+            ResultHandler done);
   void pass_command(const wire::RelayRequest& request);
-  void answer_peer(const Asked& asked, int status, std::string body);
+  void reply_to_peer(const Asked& asked, int status, std::string body);
   void forget(Ms now);
 
   const Context& context_;
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -45,11 +45,11 @@
   round->open = addresses.size();
   for (const auto& address : addresses) {
     call(Target::worker, address, "GET", wire::kStatusPath, "", links::constants::kProbeTimeoutMs,
-         [this, round, done, pauses = pauses_](Ms at, const Outcome& outcome) {
+         [this, round, done, pauses = pauses_](Ms at, const HttpResult& http_result) {
            --round->open;
            wire::Heartbeat heartbeat;
            const bool answers =
-               outcome.status == 200 && wire::parse_heartbeat(outcome.body, heartbeat);
+               http_result.status == 200 && wire::parse_heartbeat(http_result.body, heartbeat);
            if (pauses != pauses_ || round->answered) return;
            round->answered = answers;
            if (answers || round->open == 0) done(at, answers);
@@ -191,14 +191,14 @@
                          relay_.direct_attempt_due(now, owner, heartbeat.zone, heartbeat.machine));
   const bool sent =
       forward && relay_.send_heartbeat(now, now + wall_offset_, owner, heartbeat.machine, body,
-                                       [this, request](Ms, const Outcome& outcome) {
-                                         if (outcome.status == 200) {
-                                           answer(request, 200, outcome.body);
+                                       [this, request](Ms, const HttpResult& http_result) {
+                                         if (http_result.status == 200) {
+                                           reply(request, 200, http_result.body);
                                          } else {
-                                           decline(request, k::kRetryAfterS);
+                                           reply_unavailable(request, k::kRetryAfterS);
                                          }
                                        });
-  if (!sent) answer(request, 421, wire::redirect_body(owner));
+  if (!sent) reply(request, 421, wire::redirect_body(owner));
 }
 
 }  // namespace scheduler
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -13,7 +13,7 @@
 
 TEST_F(Alone, LateCopiesRenewNothingAndGetNoCommands) {
   EXPECT_EQ(report(50).status, 200);
-  const Answer copy = report(49);
+  const HttpReply copy = report(49);
   EXPECT_EQ(copy.status, 503);
   EXPECT_EQ(copy.body.find("orders"), std::string::npos);
 }
@@ -130,7 +130,7 @@
   while (status(first) == 0 && now_ < asked + 5000) run(20);
   EXPECT_EQ(status(first), 503);
   EXPECT_GT(answers_[first].retry_after_s, 0);
-  EXPECT_LE(now_ - asked, k::kCancelPatienceMs + 200);
+  EXPECT_LE(now_ - asked, k::kCancelTimeoutMs + 200);
   run(1000);  // the machine has not answered: known now
   const std::uint64_t second = cancel("req-000001");
   EXPECT_EQ(status(second), 503);
@@ -162,7 +162,7 @@
   run(100);
   // The second start goes out with this answer, which is on its way for long.
   hears_ = false;
-  const Answer late = report(sequence_ + 1);
+  const HttpReply late = report(sequence_ + 1);
   ASSERT_NE(late.body.find(R"("start","load":"req-000002)"), std::string::npos) << late.body;
   rapidjson::Document doc;
   ASSERT_TRUE(wire::parse_object(late.body, doc));
@@ -259,7 +259,7 @@
   token_ = raised;
   EXPECT_EQ(report(51).status, 200);
   rapidjson::Document doc;
-  const Answer a = report(52);
+  const HttpReply a = report(52);
   ASSERT_TRUE(wire::parse_object(a.body, doc));
   EXPECT_GE(doc["baton"].GetUint64(), raised);
 }
@@ -296,8 +296,8 @@
   submit("req-000001");
   wait(600);
   ASSERT_EQ(placed(), 2U);
-  for (auto& [call, outcome] : held_answers_)
-    if (places(call)) outcome = {409, R"({"failed":["range/req-000001/1"],"ledger":99})"};
+  for (auto& [call, http_result] : held_answers_)
+    if (places(call)) http_result = {409, R"({"failed":["range/req-000001/1"],"ledger":99})"};
   release_answers(places);
   submit("req-000002");
   wait(600);
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -62,7 +62,7 @@
           call.path = r.path;
           call.body = r.body;
           state_.serve(steady_ms(), call, 0, [this, id](int status, const std::string& body) {
-            state_server_->answer(id, status, body, 0);
+            state_server_->reply(id, status, body, 0);
           });
           state_.serve_watchers(steady_ms(), [](std::size_t) { return true; });
         });
@@ -72,18 +72,18 @@
         net::
             HttpServer>(io_, cloud, 100, [this](std::uint64_t id, const net::HttpServer::Request& r) {
       if (r.path == "/catalog") {
-        cloud_server_->answer(
+        cloud_server_->reply(
             id, 200,
             R"({"fleets":[{"label":"t","cpus":4,"memGb":16,"rate":1,"readyS":1,"yards":["a"]}]})",
             0);
       } else if (r.method == "GET") {
-        cloud_server_->answer(id, 200,
-                              R"({"rigs":[{"id":"n-000001","endpoint":")" + worker_ +
-                                  R"(","fleet":"t","yard":"a","standby":false,)"
-                                  R"("status":"running","heldS":9}],"hasNext":false})",
-                              0);
+        cloud_server_->reply(id, 200,
+                             R"({"rigs":[{"id":"n-000001","endpoint":")" + worker_ +
+                                 R"(","fleet":"t","yard":"a","standby":false,)"
+                                 R"("status":"running","heldS":9}],"hasNext":false})",
+                             0);
       } else {
-        cloud_server_->answer(id, 503, R"({"error":"no capacity"})", 0);
+        cloud_server_->reply(id, 503, R"({"error":"no capacity"})", 0);
       }
     });
     bind_ = text(free_endpoint(io_));
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -73,12 +73,12 @@
   void serve_cloud() {
     for (auto& pending : std::exchange(calls_, {})) {
       ASSERT_EQ(pending.call.target, Target::cloud);
-      const Outcome outcome = answer(pending.call);
-      pending.done(now_, outcome);
+      const HttpResult http_result = answer(pending.call);
+      pending.done(now_, http_result);
     }
   }
 
-  Outcome answer(const Call& call) {
+  HttpResult answer(const Call& call) {
     if (call.path == wire::kCatalogPath) return {200, kCatalog};
     if (call.path == wire::kScaleInPath) return take_back(call.body);
     if (call.path == wire::kScaleOutPath) {
@@ -88,7 +88,7 @@
     return {200, list_body()};
   }
 
-  Outcome take_back(const std::string& body) {
+  HttpResult take_back(const std::string& body) {
     rapidjson::Document document;
     EXPECT_TRUE(wire::parse_object(body, document));
     for (const auto& id : document["rigs"].GetArray()) {
@@ -118,7 +118,7 @@
   std::map<std::string, std::string> listed_;  // machine -> status
   std::set<std::string> returned_;
   std::vector<std::string> rentals_;  // bodies of the requests
-  Outcome rental_answer_{503, R"({"error":"no capacity"})"};
+  HttpResult rental_answer_{503, R"({"error":"no capacity"})"};
 };
 
 // Guards against machines that are paid for all night: five with nothing to do were kept for five
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -389,7 +389,7 @@
 }
 
 TEST(PeerMessages, RowsAndCancelledJobsRoundTrip) {
-  wire::PeerHint hint;
+  wire::GossipMessage hint;
   hint.from = "a";
   hint.incarnation = "7";
   wire::LinkRow row = row_of("a", 12'345, Status::down);
@@ -400,7 +400,7 @@
   hint.links = {row, row_of("b", 12'000, Status::up)};
   hint.cancelled = {"req-000001"};
   const std::string bytes = encode(hint);
-  wire::PeerHint read;
+  wire::GossipMessage read;
   ASSERT_TRUE(decode(bytes, read));
   EXPECT_EQ(encode(read), bytes);
   ASSERT_EQ(read.links.size(), 2U);
@@ -419,10 +419,10 @@
   ASSERT_NE(read, nullptr);
   EXPECT_EQ(read->kind, wire::RelayKind::heartbeat);
   EXPECT_EQ(read->body, request.body);
-  const auto answer = wire::decode_peer_message(encode(wire::RelayAnswer{"b", 7, 200, "{}"}));
-  ASSERT_NE(std::get_if<wire::RelayAnswer>(&answer), nullptr);
-  EXPECT_EQ(std::get<wire::RelayAnswer>(answer).status, 200U);
-  wire::PeerHint hint;
+  const auto answer = wire::decode_peer_message(encode(wire::RelayReply{"b", 7, 200, "{}"}));
+  ASSERT_NE(std::get_if<wire::RelayReply>(&answer), nullptr);
+  EXPECT_EQ(std::get<wire::RelayReply>(answer).status, 200U);
+  wire::GossipMessage hint;
   EXPECT_FALSE(decode(encode(request), hint));
 }
 
--- a/tests/load/fleet_load.cpp
+++ b/tests/load/fleet_load.cpp
@@ -83,7 +83,7 @@
         [this](std::uint64_t request, const net::HttpServer::Request& r) {
           rapidjson::Document doc;
           if (wire::parse_object(r.body, doc)) obey(doc);
-          server_->answer(request, 200, body(), 0);
+          server_->reply(request, 200, body(), 0);
         });
     reports_.after(std::rand() % kReportMs);  // NOLINT(concurrency-mt-unsafe)
   }
@@ -280,7 +280,7 @@
           call.path = r.path;
           call.body = r.body;
           state_.serve(steady_ms(), call, 0, [this, id](int status, const std::string& body) {
-            state_server_->answer(id, status, body, 0);
+            state_server_->reply(id, status, body, 0);
           });
         });
     state_.limits.txn_ops = 16;
@@ -292,14 +292,14 @@
         io_, endpoint_of("127.0.0.1", 18082), 100,
         [this](std::uint64_t id, const net::HttpServer::Request& r) {
           if (r.path == "/catalog") {
-            cloud_server_->answer(
+            cloud_server_->reply(
                 id, 200,
                 R"({"fleets":[{"label":"t","cpus":16,"memGb":64,"rate":1,"readyS":1,"yards":["a"]}]})",
                 0);
           } else if (r.method == "GET") {
-            cloud_server_->answer(id, 200, page(r.path), 0);
+            cloud_server_->reply(id, 200, page(r.path), 0);
           } else {
-            cloud_server_->answer(id, 503, R"({"error":"no capacity"})", 0);
+            cloud_server_->reply(id, 503, R"({"error":"no capacity"})", 0);
           }
         });
   }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -61,10 +61,9 @@
   asio::io_context io;
   const auto endpoint = free_endpoint(io);
   std::unique_ptr<HttpServer> server;
-  server = std::make_unique<HttpServer>(io, endpoint, kConnections,
-                                        [&server](std::uint64_t id, const HttpServer::Request&) {
-                                          server->answer(id, 200, "{}", 0);
-                                        });
+  server = std::make_unique<HttpServer>(
+      io, endpoint, kConnections,
+      [&server](std::uint64_t id, const HttpServer::Request&) { server->reply(id, 200, "{}", 0); });
   std::vector<std::unique_ptr<ReportingMachine>> machines;
   for (int i = 0; i < kMachines; ++i) {
     machines.push_back(std::make_unique<ReportingMachine>(io, text(endpoint), milliseconds(400)));
@@ -89,7 +88,7 @@
   std::unique_ptr<HttpServer> server;
   server = std::make_unique<HttpServer>(
       io, endpoint, 10, [&server](std::uint64_t id, const HttpServer::Request& request) {
-        server->answer(id, 200, std::string(request.path == "/large" ? 5000 : 100, 'x'), 0);
+        server->reply(id, 200, std::string(request.path == "/large" ? 5000 : 100, 'x'), 0);
       });
   HttpClient client(io, {4, 1000});
   const auto ask = [&](const std::string& address, const std::string& path) {
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -285,7 +285,7 @@
   }
 
   void hear_cancelled(const std::string& job) {
-    wire::PeerHint hint;
+    wire::GossipMessage hint;
     hint.from = "puffin-1";
     hint.incarnation = "b";
     hint.epoch = 1;
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -101,7 +101,7 @@
   submit("req-000001");
   run(400);  // the watch brings the job, and it is placed
   ASSERT_EQ(status(submitted), 0);
-  const std::vector<std::pair<Call, Outcome>> late = std::exchange(held_answers_, {});
+  const std::vector<std::pair<Call, HttpResult>> late = std::exchange(held_answers_, {});
   holds_answer_ = nullptr;
   const std::uint64_t cancelled = cancel("req-000001");
   run(1000);
--- a/tests/sim/fingerprint.h
+++ b/tests/sim/fingerprint.h
@@ -29,7 +29,7 @@
       add_text(call.body);
       add_number(static_cast<std::uint64_t>(call.timeout));
     }
-    for (const auto& answer : output.answers) {
+    for (const auto& answer : output.replies) {
       add_header(now, node, Kind::answer);
       add_number(answer.request);
       add_number(static_cast<std::uint64_t>(answer.status));
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -63,13 +63,13 @@
     if (*answered || nodes_[i]->generation != generation) return;
     if (body.size() > capacity_.response_bytes) {
       ++result_.too_large;
-      status = kAnswerTooLarge;
+      status = kReplyTooLarge;
       body.clear();
     }
     input(i, [this, answered, id, status, body = std::move(body)](Controller& c) {
       if (*answered) return;
       *answered = true;
-      c.on_outcome(now_, id, {status, body});
+      c.on_result(now_, id, {status, body});
     });
   };
   at(now_ + call.timeout, [finish] { finish(0, ""); });
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -343,9 +343,9 @@
   fingerprint_.add(now_, i, out);
   for (const auto& l : out.logs) trace(n.name + " " + l.text);
   for (const auto& c : out.calls) trace(n.name + " -> " + c.address + c.path + " " + c.body);
-  for (const auto& a : out.answers)
+  for (const auto& a : out.replies)
     trace(n.name + " answers " + std::to_string(a.status) + " " + a.body);
-  for (const auto& a : out.answers) {
+  for (const auto& a : out.replies) {
     auto it = n.asked.find(a.request);
     if (it == n.asked.end()) continue;
     auto respond = std::move(it->second.second);
--- a/tests/support/component_test.h
+++ b/tests/support/component_test.h
@@ -22,7 +22,7 @@
   // A call of the component that the test is to answer.
   struct PendingCall {
     Call call;
-    OutcomeHandler done;
+    ResultHandler done;
   };
 
   static constexpr const char* kName = "puffin-0";
@@ -51,7 +51,7 @@
         state_client_(
             settings_,
             [this](Target target, std::string address, std::string method, std::string path,
-                   std::string body, Ms timeout, OutcomeHandler done) {
+                   std::string body, Ms timeout, ResultHandler done) {
               send({0, target, std::move(address), std::move(method), std::move(path),
                     std::move(body), timeout},
                    std::move(done));
@@ -67,7 +67,7 @@
                  cluster_view_,
                  incarnation_,
                  [this](Target target, std::string address, std::string method, std::string path,
-                        std::string body, Ms timeout, OutcomeHandler done) {
+                        std::string body, Ms timeout, ResultHandler done) {
                    send({0, target, std::move(address), std::move(method), std::move(path),
                          std::move(body), timeout},
                         std::move(done));
@@ -113,7 +113,7 @@
   std::vector<PendingCall> calls_;
 
  private:
-  void send(Call call, OutcomeHandler done) {
+  void send(Call call, ResultHandler done) {
     if (call.target != Target::state) {
       calls_.push_back({std::move(call), std::move(done)});
       return;
--- a/tests/support/single_controller_test.h
+++ b/tests/support/single_controller_test.h
@@ -61,7 +61,7 @@
       pump();
       std::erase_if(late_, [this](const auto& l) {
         if (l.first > now_) return false;
-        core_->on_outcome(now_, l.second, {0, ""});
+        core_->on_result(now_, l.second, {0, ""});
         return true;
       });
     }
@@ -69,16 +69,16 @@
 
   void pump() {
     for (auto out = core_->take_output();
-         !out.calls.empty() || !out.answers.empty() || !out.logs.empty() || !out.peers.empty();
+         !out.calls.empty() || !out.replies.empty() || !out.logs.empty() || !out.peers.empty();
          out = core_->take_output()) {
-      for (const auto& a : out.answers) answers_[a.request] = a;
+      for (const auto& a : out.replies) answers_[a.request] = a;
       for (const auto& c : out.calls) carry_out(c);
     }
   }
 
   void carry_out(const Call& c) {
     auto done = [this, id = c.id](int status, const std::string& body) {
-      core_->on_outcome(now_, id, {status, body});
+      core_->on_result(now_, id, {status, body});
     };
     if (garbage_) {
       static const std::vector<std::string> bodies{"",
@@ -96,7 +96,7 @@
       late_.emplace_back(now_ + c.timeout, c.id);
     } else if (c.target == Target::state && holds_answer_ && holds_answer_(c)) {
       state_.serve(now_, c, 0, [this, c](int status, const std::string& body) {
-        held_answers_.emplace_back(c, Outcome{status, body});
+        held_answers_.emplace_back(c, HttpResult{status, body});
       });
     } else if (c.target == Target::state) {
       state_.serve(now_, c, 0, done);
@@ -108,11 +108,11 @@
           token_ = std::max(token_, doc["baton"].GetUint64());
           obey(doc["orders"]);
         }
-        const Outcome outcome{200, body(session_, ++sequence_)};
+        const HttpResult http_result{200, body(session_, ++sequence_)};
         if (holds_answer_ && holds_answer_(c)) {
-          held_answers_.emplace_back(c, outcome);
+          held_answers_.emplace_back(c, http_result);
         } else {
-          done(outcome.status, outcome.body);
+          done(http_result.status, http_result.body);
         }
       } else {
         late_.emplace_back(now_ + c.timeout, c.id);
@@ -131,7 +131,7 @@
 
   // Answers that were given and that the test held back arrive now.
   void release_answers(const std::function<bool(const Call&)>& which) {
-    std::vector<std::pair<Call, Outcome>> arriving;
+    std::vector<std::pair<Call, HttpResult>> arriving;
     for (auto it = held_answers_.begin(); it != held_answers_.end();) {
       if (!which(it->first)) {
         ++it;
@@ -140,7 +140,7 @@
       arriving.push_back(std::move(*it));
       it = held_answers_.erase(it);
     }
-    for (const auto& [call, outcome] : arriving) core_->on_outcome(now_, call.id, outcome);
+    for (const auto& [call, http_result] : arriving) core_->on_result(now_, call.id, http_result);
     pump();
   }
 
@@ -181,12 +181,12 @@
     }
   }
 
-  Answer report(std::uint64_t sequence, const char* id = "n-1") {
+  HttpReply report(std::uint64_t sequence, const char* id = "n-1") {
     const std::uint64_t request = next_++;
     if (id == std::string("n-1")) sequence_ = std::max(sequence_, sequence);
     core_->on_request(now_, request, {"POST", "/hello", body(session_, sequence, id)});
     pump();
-    const Answer a = answers_[request];
+    const HttpReply a = answers_[request];
     rapidjson::Document doc;
     if (hears_ && a.status == 200 && wire::parse_object(a.body, doc)) {
       token_ = std::max(token_, doc["baton"].GetUint64());
@@ -240,7 +240,7 @@
   Settings settings_;
   std::unique_ptr<Controller> core_;
   sim::StateStandIn state_;
-  std::map<std::uint64_t, Answer> answers_;
+  std::map<std::uint64_t, HttpReply> answers_;
   std::vector<std::pair<Ms, std::uint64_t>> late_;  // calls that get no answer
   std::uint64_t next_ = 1, session_ = 1, sequence_ = 0, token_ = 0;
   bool reachable_ = true, hears_ = true, obeys_ = false;
@@ -251,7 +251,7 @@
   // State service and machines: these requests are carried out, and their answers wait for
   // release_answers().
   std::function<bool(const Call&)> holds_answer_;
-  std::vector<std::pair<Call, Outcome>> held_answers_;
+  std::vector<std::pair<Call, HttpResult>> held_answers_;
   bool garbage_ = false;  // all that is asked for is answered with it
   std::string lose_;  // state service: requests whose path begins so are carried out, unanswered
 };
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -422,9 +422,9 @@
   EXPECT_EQ(types[1].zones, std::vector<std::string>{"b"});
 }
 
-TEST(UpgradeFormat, PeerHint) {
+TEST(UpgradeFormat, GossipMessage) {
   const std::string bytes = hex_fixture("peer_hint.hex");
-  PeerHint hint;
+  GossipMessage hint;
   ASSERT_TRUE(decode(bytes, hint));
   EXPECT_EQ(hint.from, "puffin-0");
   EXPECT_EQ(hint.incarnation, "00000000000000a1");
@@ -522,7 +522,7 @@
                                   "\x81\x01"}) {
     for (const std::string& extended :
          {kMapOfSeven + bytes.substr(1) + entry, kMapOfSeven + entry + bytes.substr(1)}) {
-      PeerHint hint;
+      GossipMessage hint;
       ASSERT_TRUE(decode(extended, hint));
       EXPECT_EQ(encode(hint), bytes);
     }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -164,7 +164,7 @@
 }
 
 TEST(Wire, PeerHintRoundTripAndGarbage) {
-  PeerHint a{"puffin-0", "abc", 12, true, 3.5, 9, {}, {}}, b;
+  GossipMessage a{"puffin-0", "abc", 12, true, 3.5, 9, {}, {}}, b;
   const std::string bytes = encode(a);
   ASSERT_TRUE(decode(bytes, b));
   EXPECT_EQ(b.epoch, 12U);
