--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -18,7 +18,7 @@
   return settings;
 }
 
-TEST(Capacity, GrowsWithWhatTheProcessMayHold) {
+TEST(Capacity, GrowsWithProcessLimits) {
   const Capacity large = capacity_of(large_deployment());
   Settings small_settings = large_deployment();
   small_settings.memory_mb = 56;
@@ -52,7 +52,7 @@
   }
 }
 
-TEST(Capacity, SettingsTooSmallForTheFleetAreNamed) {
+TEST(Capacity, UndersizedSettingsAreNamed) {
   Settings settings = large_deployment();
   EXPECT_TRUE(capacity_problems(settings).empty());  // no fleet is named
   settings.expected_machines = 6000;
--- a/tests/concurrent_faults_control_test.cpp
+++ b/tests/concurrent_faults_control_test.cpp
@@ -16,26 +16,26 @@
   return out;
 }
 
-Options meeting(std::uint64_t seed, std::vector<Planned> troubles) {
+Options meeting(std::uint64_t seed, std::vector<PlannedFault> faults) {
   Options o;
   o.seed = seed;
-  o.troubles = false;
+  o.faults = false;
   o.longest_task_s = 30;
-  o.calm_ms = 700'000;
-  o.until_over = true;
+  o.recovery_ms = 700'000;
+  o.until_finished = true;
   o.machines = 12;
   o.capacity = 6;
   o.job_every_ms = 2000;
   o.largest_array = 18;
-  o.planned = std::move(troubles);
+  o.planned_faults = std::move(faults);
   if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
   return o;
 }
 
 // No rule is broken and all comes to an end.
 Result run_once(const Options& o) {
-  Result r = World(o).run();
-  EXPECT_TRUE(r.broken.empty()) << "seed " << o.seed << "\n" << list(r.broken);
+  Result r = SimulatedCluster(o).run();
+  EXPECT_TRUE(r.violations.empty()) << "seed " << o.seed << "\n" << list(r.violations);
   EXPECT_TRUE(r.unfinished.empty()) << "seed " << o.seed << "\n" << list(r.unfinished);
   EXPECT_GT(r.done, 5) << "seed " << o.seed;
   EXPECT_EQ(r.over_limits, 0) << "seed " << o.seed;
@@ -56,14 +56,14 @@
 
 // The state service is slow, refuses the controller with most machines, and then everybody for
 // longer than cancel_s, while users cancel. Nobody is told of a cancellation that is not complete.
-TEST(MeetingsOfControl, CancelledAsTheStateServiceRefusesOneThenAll) {
+TEST(ConcurrentControlFaults, CancellationsWhileStateServiceRefusesOneThenAll) {
   int before = 0, refused = 0, after = 0;
   Ms longest = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const std::size_t node = seed <= 3 ? 1 : seed % 3;  // 1 is alone in its zone
-    std::vector<Planned> plan{{12'000, Trouble::state_slow, 0, 8'000},
-                              {30'000, Trouble::refused_then_out, node, 26'000}};
-    if (seed % 2 == 0) plan.push_back({25'000, Trouble::state_refuses_one, node, 6'000});
+    std::vector<PlannedFault> plan{{12'000, Fault::state_slow, 0, 8'000},
+                                   {30'000, Fault::refused_then_outage, node, 26'000}};
+    if (seed % 2 == 0) plan.push_back({25'000, Fault::state_refuses_one, node, 6'000});
     Options o = meeting(seed, plan);
     o.cancels = {{15'000, 0.3}, {25'100, 0.3}, {30'000, 0.5},
                  {30'500, 0.5}, {45'000, 0.5}, {58'000, 0.3}};
@@ -84,24 +84,24 @@
 // Every part changes hands many times in two minutes, in half of the runs also while the state
 // service is out for longer than cancel_s. In the others the former owner lives on, cut from the
 // state service for just longer than its hold, and takes its part back.
-TEST(MeetingsOfControl, ViewsChangeTenTimesInTwoMinutes) {
+TEST(ConcurrentControlFaults, TenViewChangesInTwoMinutes) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    std::vector<Planned> plan;
+    std::vector<PlannedFault> plan;
     if (seed % 2 == 0) {
-      plan.push_back({15'000, Trouble::views_change, seed % 3, 120'000});
-      plan.push_back({50'000, Trouble::refused_then_out, seed % 3, 24'000});
+      plan.push_back({15'000, Fault::view_changes, seed % 3, 120'000});
+      plan.push_back({50'000, Fault::refused_then_outage, seed % 3, 24'000});
     } else {
       for (std::size_t i = 0; i < 10; ++i)
         plan.push_back({15'000 + static_cast<Ms>(i) * 12'000,
-                        i % 3 == 0 ? Trouble::isolated : Trouble::cut_from_state, (seed + i) % 3,
-                        7'000 + static_cast<Ms>(i % 4) * 700});
+                        i % 3 == 0 ? Fault::controller_isolated : Fault::cut_from_state,
+                        (seed + i) % 3, 7'000 + static_cast<Ms>(i % 4) * 700});
       for (Ms at = 20'000; at < 130'000; at += 10'000)
         plan.push_back(
-            {at, at % 20'000 == 0 ? Trouble::machine_deaf : Trouble::machine_hangs, 0, 7'500});
-      plan.push_back({15'000, Trouble::late_writes, 0, 120'000});
+            {at, at % 20'000 == 0 ? Fault::machine_unreachable : Fault::machine_hangs, 0, 7'500});
+      plan.push_back({15'000, Fault::late_writes, 0, 120'000});
     }
     Options o = meeting(seed, plan);
-    o.busy_ms = 140'000;
+    o.fault_ms = 140'000;
     o.limit_cpus = 24;
     o.cancels = {{40'000, 0.3}, {75'500, 0.3}, {100'000, 0.3}};
     const Result r = run(o);
@@ -112,14 +112,14 @@
 
 // Transactions without an answer are carried out after newer ones of the same controller, in half
 // of the runs after its end, while users submit and cancel.
-TEST(MeetingsOfControl, TransactionsCarriedOutLate) {
+TEST(ConcurrentControlFaults, DelayedTransactionsAreHarmless) {
   int applied = 0, failed = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    std::vector<Planned> plan{{10'000, Trouble::late_writes, 0, 50'000},
-                              {20'000, Trouble::job_burst, 0, 16'000}};
+    std::vector<PlannedFault> plan{{10'000, Fault::late_writes, 0, 50'000},
+                                   {20'000, Fault::job_burst, 0, 16'000}};
     if (seed % 2 == 0) {
-      plan.push_back({26'000, Trouble::crash_one, seed % 3, 0});
-      plan.push_back({40'000, Trouble::quick_restart, (seed + 1) % 3, 0});
+      plan.push_back({26'000, Fault::controller_crash, seed % 3, 0});
+      plan.push_back({40'000, Fault::quick_restart, (seed + 1) % 3, 0});
     }
     Options o = meeting(seed, plan);
     o.free_team_tenths = 3;
@@ -138,15 +138,15 @@
 // A controller keeps its workers and its users, but neither the state service nor its peers, and
 // jobs are cancelled through the others, and through it. In a third of the runs the others do not
 // reach its workers, which it goes on answering, so that what is cancelled runs on.
-TEST(MeetingsOfControl, IsolatedWithItsWorkersAndUsers) {
+TEST(ConcurrentControlFaults, ControllerIsolatedWithItsWorkersAndUsers) {
   int reached = 0, meanwhile = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const std::size_t node = seed % 3;
-    std::vector<Planned> plan{{20'000, Trouble::isolated, node, 40'000}};
-    if (seed % 3 == 1) plan.push_back({35'000, Trouble::away, (node + 1) % 3, 8'000});
+    std::vector<PlannedFault> plan{{20'000, Fault::controller_isolated, node, 40'000}};
+    if (seed % 3 == 1) plan.push_back({35'000, Fault::controller_down, (node + 1) % 3, 8'000});
     if (seed % 3 == 0) {
-      plan.push_back({19'900, Trouble::cut_from_workers, (node + 1) % 3, 40'000});
-      plan.push_back({19'900, Trouble::cut_from_workers, (node + 2) % 3, 40'000});
+      plan.push_back({19'900, Fault::cut_from_workers, (node + 1) % 3, 40'000});
+      plan.push_back({19'900, Fault::cut_from_workers, (node + 2) % 3, 40'000});
     }
     Options o = meeting(seed, plan);
     o.longest_task_s = 60;
@@ -167,11 +167,11 @@
 }
 
 // A job of two or three tasks is done when the last of them is, whoever knew of the first.
-TEST(MeetingsOfControl, TasksThatEndFarApartAcrossViews) {
+TEST(ConcurrentControlFaults, TasksCompleteFarApartAcrossViewChanges) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    std::vector<Planned> plan{{12'000, Trouble::views_change, seed % 3, 70'000}};
-    if (seed % 2 == 0) plan.push_back({30'000, Trouble::late_writes, 0, 20'000});
-    if (seed % 2 == 1) plan.push_back({30'000, Trouble::isolated, seed % 3, 20'000});
+    std::vector<PlannedFault> plan{{12'000, Fault::view_changes, seed % 3, 70'000}};
+    if (seed % 2 == 0) plan.push_back({30'000, Fault::late_writes, 0, 20'000});
+    if (seed % 2 == 1) plan.push_back({30'000, Fault::controller_isolated, seed % 3, 20'000});
     Options o = meeting(seed, plan);
     o.longest_task_s = 8;
     o.uneven = 0.8;
@@ -183,12 +183,13 @@
 }
 
 Options team_at_its_limit(std::uint64_t seed) {
-  std::vector<Planned> plan;
+  std::vector<PlannedFault> plan;
   for (Ms t = 20'000; t < 32'000; t += 2000)
-    plan.push_back({t, t % 4000 == 0 ? Trouble::machine_hangs : Trouble::machine_deaf, 0, 25'000});
-  if (seed % 3 == 0) plan.push_back({25'000, Trouble::cut_from_workers, seed % 2, 20'000});
-  plan.push_back({28'000, Trouble::away, seed % 3, 12'000});
-  if (seed % 2 == 0) plan.push_back({36'000, Trouble::quick_restart, (seed + 1) % 3, 0});
+    plan.push_back(
+        {t, t % 4000 == 0 ? Fault::machine_hangs : Fault::machine_unreachable, 0, 25'000});
+  if (seed % 3 == 0) plan.push_back({25'000, Fault::cut_from_workers, seed % 2, 20'000});
+  plan.push_back({28'000, Fault::controller_down, seed % 3, 12'000});
+  if (seed % 2 == 0) plan.push_back({36'000, Fault::quick_restart, (seed + 1) % 3, 0});
   Options o = meeting(seed, plan);
   o.free_team_tenths = 1;
   o.limit_cpus = 24;
@@ -198,7 +199,7 @@
 
 // A team is at its limit when the view changes; some of its machines cannot be asked, and jobs are
 // cancelled meanwhile. What may still run counts.
-TEST(MeetingsOfControl, LimitHoldsWhileMachinesCannotBeAsked) {
+TEST(ConcurrentControlFaults, QuotaLimitHoldsWhileMachinesAreUnreachable) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const Result r = run_once(team_at_its_limit(seed));
     EXPECT_GT(r.most_used.at("tight"), 20) << "seed " << seed;
@@ -207,16 +208,18 @@
 }
 
 // The same with services, most of them of the team at its limit.
-TEST(MeetingsOfControl, ServicesOfATeamAtItsLimit) { run_with_services(team_at_its_limit(1)); }
+TEST(ConcurrentControlFaults, ServicesOfATeamAtItsLimit) {
+  run_with_services(team_at_its_limit(1));
+}
 
 // A zone with workers and one or two controllers is cut off for several leases, while others end
 // and users cancel.
-TEST(MeetingsOfControl, ZoneWithControllersCutOff) {
+TEST(ConcurrentControlFaults, ZoneWithControllersPartitioned) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const std::size_t zone = 1 + seed % 2;  // a with two controllers, b with one
-    std::vector<Planned> plan{{20'000, Trouble::zone_cut, zone, 40'000}};
-    if (seed > 2) plan.push_back({26'000, Trouble::away, zone == 1 ? 1U : 0U, 9'000});
-    if (seed > 4) plan.push_back({59'000, Trouble::quick_restart, zone == 1 ? 0U : 1U, 0});
+    std::vector<PlannedFault> plan{{20'000, Fault::zone_cut, zone, 40'000}};
+    if (seed > 2) plan.push_back({26'000, Fault::controller_down, zone == 1 ? 1U : 0U, 9'000});
+    if (seed > 4) plan.push_back({59'000, Fault::quick_restart, zone == 1 ? 0U : 1U, 0});
     Options o = meeting(seed, plan);
     o.longest_task_s = 60;
     o.cancels = {{20'000, 0.2}, {35'000, 0.3}, {60'500, 0.3}};
@@ -227,16 +230,16 @@
 
 // The owner of machines with long tasks ends while they cannot be reached, or do not hear the
 // answers of the next owner.
-TEST(MeetingsOfControl, OwnerEndsWhileMachinesAreOutOfReach) {
+TEST(ConcurrentControlFaults, OwnerCrashesWhileMachinesAreUnreachable) {
   int lost = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    std::vector<Planned> plan;
-    const Trouble kind = seed % 2 == 0 ? Trouble::machine_deaf : Trouble::machine_hangs;
+    std::vector<PlannedFault> plan;
+    const Fault kind = seed % 2 == 0 ? Fault::machine_unreachable : Fault::machine_hangs;
     const Ms lasts = seed % 4 < 2 ? 7'000 : 20'000;
     for (Ms t = 24'000; t < 30'000; t += 1000) plan.push_back({t, kind, 0, lasts});
-    plan.push_back({25'500, Trouble::away, seed % 3, 10'000});
-    plan.push_back({27'000, Trouble::crash_one, (seed + 1) % 3, 0});
-    if (seed > 4) plan.push_back({31'500, Trouble::away, (seed + 2) % 3, 15'000});
+    plan.push_back({25'500, Fault::controller_down, seed % 3, 10'000});
+    plan.push_back({27'000, Fault::controller_crash, (seed + 1) % 3, 0});
+    if (seed > 4) plan.push_back({31'500, Fault::controller_down, (seed + 2) % 3, 15'000});
     Options o = meeting(seed, plan);
     o.longest_task_s = 60;
     o.cancels = {{30'000, 0.2}};
@@ -246,12 +249,13 @@
 }
 
 // No controller is there for longer than a lease: tasks end with it, and nobody saw them end.
-TEST(MeetingsOfControl, AllControllersAwayForLongerThanALease) {
+TEST(ConcurrentControlFaults, AllControllersDownBeyondALease) {
   int lost = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    std::vector<Planned> plan{{25'000, Trouble::all_away, seed % 3, 7'700 + 1500 * (Ms)seed}};
-    if (seed % 2 == 0) plan.push_back({24'000, Trouble::late_writes, 0, 30'000});
-    if (seed % 3 == 0) plan.push_back({26'000, Trouble::refused_then_out, 0, 21'000});
+    std::vector<PlannedFault> plan{
+        {25'000, Fault::all_controllers_down, seed % 3, 7'700 + 1500 * (Ms)seed}};
+    if (seed % 2 == 0) plan.push_back({24'000, Fault::late_writes, 0, 30'000});
+    if (seed % 3 == 0) plan.push_back({26'000, Fault::refused_then_outage, 0, 21'000});
     Options o = meeting(seed, plan);
     o.longest_task_s = 60;
     o.cancels = {{24'900, 0.3}, {40'000, 0.2}};
@@ -262,12 +266,12 @@
 }
 
 // A controller hands over and takes back, all end, and it alone returns within a second.
-TEST(MeetingsOfControl, HandedOverAndBackAndAllEnd) {
+TEST(ConcurrentControlFaults, FailoverFailbackAndFullRestart) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    std::vector<Planned> plan{{18'000, Trouble::hand_back, seed % 3, 3'000 + 2000 * (Ms)seed},
-                              {45'000, Trouble::hand_back, (seed + 1) % 3, 12'000}};
-    if (seed % 2 == 0) plan.push_back({26'000, Trouble::late_copies, 0, 30'000});
-    if (seed % 3 == 0) plan.push_back({26'500, Trouble::late_writes, 0, 10'000});
+    std::vector<PlannedFault> plan{{18'000, Fault::failback, seed % 3, 3'000 + 2000 * (Ms)seed},
+                                   {45'000, Fault::failback, (seed + 1) % 3, 12'000}};
+    if (seed % 2 == 0) plan.push_back({26'000, Fault::duplicate_heartbeats, 0, 30'000});
+    if (seed % 3 == 0) plan.push_back({26'500, Fault::late_writes, 0, 10'000});
     Options o = meeting(seed, plan);
     o.longest_task_s = 60;
     o.cancels = {{27'200, 0.3}, {55'000, 0.3}};
--- a/tests/concurrent_faults_workers_test.cpp
+++ b/tests/concurrent_faults_workers_test.cpp
@@ -12,7 +12,7 @@
 namespace scheduler::sim {
 namespace {
 
-struct Meeting {
+struct FaultPair {
   const char* name;
   std::uint64_t seeds;
   std::function<void(Options&, std::uint64_t seed)> day;
@@ -21,24 +21,24 @@
   int least;
 };
 
-void PrintTo(const Meeting& m, std::ostream* out) { *out << m.name; }
+void PrintTo(const FaultPair& m, std::ostream* out) { *out << m.name; }
 
 // Of one kind, every so often.
-void often(Options& o, Trouble kind, Ms from, Ms every, Ms lasts, std::size_t node = 0) {
-  for (Ms at = from; at < o.busy_ms - 5000; at += every)
-    o.planned.push_back({at, kind, node, lasts});
+void often(Options& o, Fault kind, Ms from, Ms every, Ms lasts, std::size_t node = 0) {
+  for (Ms at = from; at < o.fault_ms - 5000; at += every)
+    o.planned_faults.push_back({at, kind, node, lasts});
 }
 
-const Meeting kMeetings[] = {
+const FaultPair kMeetings[] = {
     // Controller::zones_open: what is still recorded in a zone counts, gone or not.
     {"ZoneBoundJobsLoseMachines", 3,
      [](Options& o, std::uint64_t seed) {
        o.bound = 0.7;
        o.machines = 18;
        o.capacity = 6;
-       often(o, Trouble::machine_dies, 10'000, 5'000, 0);
-       often(o, Trouble::machine_hangs, 12'000, 4'000, 5'000);
-       if (seed % 2 == 0) often(o, Trouble::spot_wave, 20'000, 25'000, 0);
+       often(o, Fault::machine_dies, 10'000, 5'000, 0);
+       often(o, Fault::machine_hangs, 12'000, 4'000, 5'000);
+       if (seed % 2 == 0) often(o, Fault::spot_wave, 20'000, 25'000, 0);
      },
      [](const Result& r) { return r.zone_losses; }, 10},
     // Controller::reconcile: only a token above that of every start sent proves that a task which
@@ -47,22 +47,22 @@
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.gang_tenths = 5;
-       often(o, Trouble::machine_hangs, 8'000, 1'200, 1'000 + 700 * static_cast<Ms>(seed % 6));
-       if (seed % 2 == 0) often(o, Trouble::links_slow, 20'000, 25'000, 15'000);
+       often(o, Fault::machine_hangs, 8'000, 1'200, 1'000 + 700 * static_cast<Ms>(seed % 6));
+       if (seed % 2 == 0) often(o, Fault::slow_links, 20'000, 25'000, 15'000);
      },
-     [](const Result& r) { return r.late_orders; }, 20},
+     [](const Result& r) { return r.late_commands; }, 20},
     // Controller::take_report: counters order the messages of a machine.
     {"OldReportsAfterNewer", 4,
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.gang_tenths = 5;
        o.copied = 1;
-       often(o, Trouble::late_copies, 6'000, 8'000, 8'000);
-       if (seed % 4 != 3) often(o, Trouble::machine_restarts, 10'000, 6'000, 0);
-       often(o, Trouble::machine_hangs, 9'000, 1'500, 3'000 + 2'000 * static_cast<Ms>(seed % 3));
-       if (seed % 2 == 0) often(o, Trouble::quick_restart, 15'000, 20'000, 0, seed % 3);
+       often(o, Fault::duplicate_heartbeats, 6'000, 8'000, 8'000);
+       if (seed % 4 != 3) often(o, Fault::machine_restarts, 10'000, 6'000, 0);
+       often(o, Fault::machine_hangs, 9'000, 1'500, 3'000 + 2'000 * static_cast<Ms>(seed % 3));
+       if (seed % 2 == 0) often(o, Fault::quick_restart, 15'000, 20'000, 0, seed % 3);
      },
-     [](const Result& r) { return r.old_reports; }, 100},
+     [](const Result& r) { return r.old_heartbeats; }, 100},
     // Controller::finish and on_cancel: both rest on the version of the job's record; either alone
     // is not enough.
     {"CallsAtTheEnd", 4,
@@ -73,9 +73,9 @@
        o.machines = 18;
        o.limit_cpus = 80;
        o.mistaken = 0;
-       often(o, Trouble::cancel_at_end, 1'000, 10'000, 10'000);
+       often(o, Fault::cancel_at_end, 1'000, 10'000, 10'000);
      },
-     [](const Result& r) { return r.met_at_end; }, 200},
+     [](const Result& r) { return r.requests_at_end; }, 200},
     // Controller::reconcile: nothing that a machine does not list counts as gone before it has
     // shown a token of the owner of now.
     {"ReportsHeldUntilANewOwnerActed", 7,
@@ -86,16 +86,16 @@
        // A gang loses a task, others of it hang, their owner ends, and the next one hears of them
        // by what they reported before the gang began.
        for (Ms at = 14'000; at < 80'000; at += 11'000) {
-         o.planned.push_back({at - 9'000, Trouble::reports_held, 0, 12'000});
-         for (Ms k = 0; k < 2; ++k) o.planned.push_back({at + k, Trouble::machine_dies, 0, 0});
+         o.planned_faults.push_back({at - 9'000, Fault::heartbeats_delayed, 0, 12'000});
+         for (Ms k = 0; k < 2; ++k) o.planned_faults.push_back({at + k, Fault::machine_dies, 0, 0});
          for (Ms k = 0; k < 7; ++k)
-           o.planned.push_back({at + 200 + 150 * k, Trouble::machine_hangs, 0, 7'300});
+           o.planned_faults.push_back({at + 200 + 150 * k, Fault::machine_hangs, 0, 7'300});
          const auto n = static_cast<std::size_t>(at / 11'000) + seed;
-         o.planned.push_back({at + 800, Trouble::crash_one, n % 3, 0});
+         o.planned_faults.push_back({at + 800, Fault::controller_crash, n % 3, 0});
        }
-       if (seed % 2 == 0) o.planned.push_back({20'000, Trouble::links_slow, 0, 40'000});
+       if (seed % 2 == 0) o.planned_faults.push_back({20'000, Fault::slow_links, 0, 40'000});
      },
-     [](const Result& r) { return r.held_arrived; }, 100},
+     [](const Result& r) { return r.delayed_heartbeats_arrived; }, 100},
     // within_grant (quota.cpp): a task counts against its controller's grant until it is recorded
     // as
     // gone, which slow links put off.
@@ -103,8 +103,8 @@
      [](Options& o, std::uint64_t) {
        o.longest_task_s = 12;
        o.free_team_tenths = 3;
-       often(o, Trouble::links_slow, 5'000, 30'000, 30'000);
-       often(o, Trouble::job_burst, 20'000, 25'000, 8'000);
+       often(o, Fault::slow_links, 5'000, 30'000, 30'000);
+       often(o, Fault::job_burst, 20'000, 25'000, 8'000);
      },
      [](const Result& r) { return r.stopped_saved; }, 1},
     // Controller::take_report: a new session's lease counts from when it was first heard of, by a
@@ -112,46 +112,46 @@
     {"MachinesThatReachNobody", 3,
      [](Options& o, std::uint64_t) {
        o.machines = 9;
-       often(o, Trouble::machine_mute, 10'000, 6'000, 25'000);
+       often(o, Fault::machine_heartbeats_lost, 10'000, 6'000, 25'000);
      },
-     [](const Result& r) { return r.mute_starts; }, 10},
+     [](const Result& r) { return r.starts_without_heartbeats; }, 10},
     // Controller::state_of: nobody is told while anything is recorded on a machine.
     {"CancelledOnHangingMachines", 4,
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.cancel_s = 12;
        o.limit_cpus = 80;
-       often(o, Trouble::cancel_now, 15'000, 13'000, 2'000 + 700 * static_cast<Ms>(seed));
+       often(o, Fault::cancel_now, 15'000, 13'000, 2'000 + 700 * static_cast<Ms>(seed));
      },
      [](const Result& r) { return r.cancelled_hanging; }, 30},
     // wire::parse_job, Controller::verdict and lookup.
     {"OddRequests", 2,
      [](Options& o, std::uint64_t seed) {
-       often(o, Trouble::odd_requests, 5'000, 10'000, 10'000);
-       o.planned.push_back({30'000, Trouble::crash_all, 0, 0});
-       if (seed % 2 == 0) o.planned.push_back({50'000, Trouble::state_outage, 0, 10'000});
+       often(o, Fault::invalid_requests, 5'000, 10'000, 10'000);
+       o.planned_faults.push_back({30'000, Fault::all_controllers_crash, 0, 0});
+       if (seed % 2 == 0) o.planned_faults.push_back({50'000, Fault::state_outage, 0, 10'000});
      },
-     [](const Result& r) { return r.odd_answered; }, 1000},
+     [](const Result& r) { return r.invalid_requests_answered; }, 1000},
 };
 
-class Meetings : public testing::TestWithParam<Meeting> {};
+class ConcurrentFaults : public testing::TestWithParam<FaultPair> {};
 
 // One run of the meeting, in which no rule is broken and everything ends.
-Result run(const Meeting& meeting, std::uint64_t seed, double services) {
+Result run(const FaultPair& meeting, std::uint64_t seed, double services) {
   Options o;
   o.seed = seed;
-  o.troubles = false;
+  o.faults = false;
   o.longest_task_s = 20;
-  o.calm_ms = 700'000;
-  o.until_over = true;
+  o.recovery_ms = 700'000;
+  o.until_finished = true;
   o.services = services;
   meeting.day(o, seed);
   if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
-  Result r = World(o).run();
+  Result r = SimulatedCluster(o).run();
   std::string text;
-  for (const auto& b : r.broken) text += "  " + b + "\n";
+  for (const auto& b : r.violations) text += "  " + b + "\n";
   for (const auto& u : r.unfinished) text += "  unfinished: " + u + "\n";
-  EXPECT_TRUE(r.broken.empty() && r.unfinished.empty()) << "seed " << seed << "\n" << text;
+  EXPECT_TRUE(r.violations.empty() && r.unfinished.empty()) << "seed " << seed << "\n" << text;
   EXPECT_GT(r.done, 10) << "seed " << seed;
   return r;
 }
@@ -161,8 +161,8 @@
   return only && std::strtoull(only, nullptr, 10) != seed;
 }
 
-TEST_P(Meetings, RulesHoldAndEverythingEnds) {
-  const Meeting& meeting = GetParam();
+TEST_P(ConcurrentFaults, InvariantsHoldAndAllJobsEnd) {
+  const FaultPair& meeting = GetParam();
   int met = 0;
   for (std::uint64_t seed = 1; seed <= meeting.seeds; ++seed) {
     if (!only_other_seed(seed)) met += meeting.met(run(meeting, seed, 0));
@@ -173,7 +173,7 @@
 }
 
 // The same while services are submitted among the arrays and gangs.
-TEST_P(Meetings, RulesHoldWithServices) {
+TEST_P(ConcurrentFaults, InvariantsHoldWithServices) {
   constexpr double kServices = 0.1;  // of the jobs
   int services = 0;
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
@@ -182,7 +182,7 @@
   EXPECT_GT(services, 3);
 }
 
-INSTANTIATE_TEST_SUITE_P(Workers, Meetings, testing::ValuesIn(kMeetings),
+INSTANTIATE_TEST_SUITE_P(Workers, ConcurrentFaults, testing::ValuesIn(kMeetings),
                          [](const auto& m) { return std::string(m.param.name); });
 
 }  // namespace
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -11,60 +11,60 @@
 
 namespace k = constants;
 
-TEST_F(Alone, LateCopiesRenewNothingAndGetNoCommands) {
-  EXPECT_EQ(report(50).status, 200);
-  const HttpReply copy = report(49);
+TEST_F(SingleControllerTest, DuplicateHeartbeatsRenewNoLease) {
+  EXPECT_EQ(heartbeat(50).status, 200);
+  const HttpReply copy = heartbeat(49);
   EXPECT_EQ(copy.status, 503);
   EXPECT_EQ(copy.body.find("orders"), std::string::npos);
 }
 
-TEST_F(Alone, AMachineBackWithLowCountersIsHeardOnceItHasAnsweredItself) {
-  EXPECT_EQ(report(50).status, 200);
+TEST_F(SingleControllerTest, RestartedAgentIsAcceptedAfterItsOwnReply) {
+  EXPECT_EQ(heartbeat(50).status, 200);
   run(200);
   token_ = 0;
   sequence_ = 0;
-  const int asked = direct_;
-  EXPECT_EQ(report(1).status, 503);  // may be a late copy
+  const int asked = direct_commands_;
+  EXPECT_EQ(heartbeat(1).status, 503);  // may be a late copy
   run(200);
-  EXPECT_GT(direct_, asked);
-  EXPECT_EQ(report(sequence_ + 1).status, 200);
+  EXPECT_GT(direct_commands_, asked);
+  EXPECT_EQ(heartbeat(sequence_ + 1).status, 200);
 }
 
-TEST_F(Alone, AReportOfAnUnknownMachineIsRecordedNowhere) {
-  report(9, "n-77");
+TEST_F(SingleControllerTest, HeartbeatOfAnUnknownMachineIsNotRecorded) {
+  heartbeat(9, "n-77");
   run(5000);
   for (const auto& [key, item] : state_.items)
     EXPECT_EQ(item.value.find("n-77"), std::string::npos) << key;
 }
 
-TEST_F(Alone, WhatDoesNotReachAMachineKeepsWorkFromItUntilItShowsTheNewToken) {
-  EXPECT_EQ(report(50).status, 200);
-  reachable_ = hears_ = false;
+TEST_F(SingleControllerTest, UnreachableMachineGetsNothingUntilItShowsTheNewToken) {
+  EXPECT_EQ(heartbeat(50).status, 200);
+  reachable_ = receives_replies_ = false;
   submit("req-000001");
   // The start cannot be delivered: it is placed once, and nothing more after that.
   for (int i = 0; i < 8; ++i) {
     run(1000);
-    report(51 + static_cast<std::uint64_t>(i));
+    heartbeat(51 + static_cast<std::uint64_t>(i));
   }
-  const auto* machine = core_->replica().machine("n-1");
+  const auto* machine = controller_->replica().machine("n-1");
   ASSERT_TRUE(machine);
   submit("req-000002");
   run(3000);
-  report(70);
-  const Job* second = core_->replica().job("req-000002");
+  heartbeat(70);
+  const Job* second = controller_->replica().job("req-000002");
   ASSERT_TRUE(second);
   EXPECT_EQ(second->placed_tasks(), 0U);
   // It hears an answer again and shows the token: it is used.
-  hears_ = true;
-  report(71);
-  report(72);
+  receives_replies_ = true;
+  heartbeat(71);
+  heartbeat(72);
   run(2000);
-  EXPECT_EQ(core_->replica().job("req-000002")->placed_tasks(), 2U);
+  EXPECT_EQ(controller_->replica().job("req-000002")->placed_tasks(), 2U);
 }
 
 // A cancellation takes no longer than its proof: none for a job with nothing placed, a halt and a
 // write for one that runs. The user does not have to come back for either.
-TEST_F(Alone, CancellationsAreToldAsSoonAsTheyAreProven) {
+TEST_F(SingleControllerTest, CancellationsAreConfirmedOnceProven) {
   start_two();
   const std::uint64_t running = cancel("req-000001");
   EXPECT_EQ(status(running), 0);  // the tasks are there
@@ -83,7 +83,7 @@
 
 // Refused for good what can never run, or could run without end; a repeat of what was accepted is
 // answered with its state, whatever was asked since.
-TEST_F(Alone, SubmissionsAreJudgedOnceAndForAll) {
+TEST_F(SingleControllerTest, SubmissionIsIdempotent) {
   const std::pair<const char*, const char*> never[] = {
       {R"("cpus":1.0)", R"("cpus":9.0)"},
       {R"("cpus":1.0)", R"("cpus":0)"},
@@ -102,7 +102,7 @@
     ASSERT_NE(body.find(from), std::string::npos) << from;
     body.replace(body.find(from), std::string(from).size(), to);
     const std::uint64_t request = next_++;
-    core_->on_request(now_, request, {"POST", "/v1/jobs", body});
+    controller_->on_request(now_, request, {"POST", "/v1/jobs", body});
     run(200);
     EXPECT_EQ(status(request), 422) << to;
   }
@@ -122,7 +122,7 @@
 }
 
 // What cannot be proven soon is answered at once: the user is to come back.
-TEST_F(Alone, CancellationsThatCannotBeProvenAreAnsweredWithRetryAfter) {
+TEST_F(SingleControllerTest, UnprovableCancellationsGetRetryAfter) {
   start_two();
   reachable_ = false;
   const Ms asked = now_;
@@ -137,39 +137,39 @@
 }
 
 // A report older than what is known proves nothing, not even that a task it lacks is gone.
-TEST_F(Alone, AReportFromBeforeAStartFreesNothing) {
+TEST_F(SingleControllerTest, HeartbeatFromBeforeAStartReleasesNothing) {
   start_two();
   reachable_ = false;
   const std::uint64_t first = cancel("req-000001");
-  report_from_before(session_, 49);
+  deliver_old_heartbeat(session_, 49);
   run(2500);
   ASSERT_EQ(status(first), 503);
-  EXPECT_EQ(core_->replica().job("req-000001")->placed_tasks(), 2U);
+  EXPECT_EQ(controller_->replica().job("req-000001")->placed_tasks(), 2U);
 }
 
 // A start on its way in the answer to a report is outrun by a higher token than the one it carries
 // before its task counts as gone.
-TEST_F(Alone, AStartOnItsWayCarriesALowerTokenThanTheProofThatItIsGone) {
-  EXPECT_EQ(report(50).status, 200);
+TEST_F(SingleControllerTest, StartInFlightCarriesALowerTokenThanItsRelease) {
+  EXPECT_EQ(heartbeat(50).status, 200);
   // The first start reaches the machine, which does not obey, and its answer is late.
-  holds_answer_ = [](const Call& call) { return call.target == Target::worker; };
+  holds_reply_ = [](const Call& call) { return call.target == Target::worker; };
   submit("req-000001");
   run(200);
-  ASSERT_FALSE(held_answers_.empty());
+  ASSERT_FALSE(held_replies_.empty());
   submit("req-000002");
   run(200);
   cancel("req-000001");
   run(100);
   // The second start goes out with this answer, which is on its way for long.
-  hears_ = false;
-  const HttpReply late = report(sequence_ + 1);
+  receives_replies_ = false;
+  const HttpReply late = heartbeat(sequence_ + 1);
   ASSERT_NE(late.body.find(R"("start","load":"req-000002)"), std::string::npos) << late.body;
   rapidjson::Document doc;
   ASSERT_TRUE(wire::parse_object(late.body, doc));
   const std::uint64_t carried = doc["baton"].GetUint64();
   const std::uint64_t cancelled = cancel("req-000002");
-  holds_answer_ = nullptr;
-  release_answers([](const Call&) { return true; });
+  holds_reply_ = nullptr;
+  release_replies([](const Call&) { return true; });
   run(900);
   ASSERT_EQ(status(cancelled), 200);
   EXPECT_GT(token_, carried);
@@ -177,18 +177,18 @@
 
 // Nor does one that was held back until another owner had acted, and is the first that this one
 // hears: the machine has not shown its token.
-TEST_F(Alone, AReportHeldBackUntilANewOwnerActedFreesNothing) {
+TEST_F(SingleControllerTest, HeartbeatDelayedUntilANewOwnerActedReleasesNothing) {
   start_two();
   reachable_ = false;
   cancel("req-000001");
   run(200);
   restart();
-  report_from_before(session_, 49);
+  deliver_old_heartbeat(session_, 49);
   run(500);
   const std::uint64_t first = cancel("req-000001");
   run(2500);
   ASSERT_EQ(status(first), 503);
-  EXPECT_EQ(core_->replica().job("req-000001")->placed_tasks(), 2U);
+  EXPECT_EQ(controller_->replica().job("req-000001")->placed_tasks(), 2U);
   // It answers, still running them, and is told to stop.
   reachable_ = true;
   run(4000);
@@ -199,22 +199,22 @@
 }
 
 // Answers, reports and hints that cannot be read end nothing: afterwards it serves as before.
-TEST_F(Alone, GarbageFromEverybodyEndsNothing) {
-  EXPECT_EQ(report(50).status, 200);
+TEST_F(SingleControllerTest, MalformedRepliesEndNothing) {
+  EXPECT_EQ(heartbeat(50).status, 200);
   submit("req-000001");
   run(500);
-  garbage_ = true;
+  replies_garbage_ = true;
   for (const char* text :
        {"", "{", "[]", R"({"rig":"n-1"})", R"({"rig":"n-1","loads":7})", "\xff"}) {
-    core_->on_peer(now_, text);
+    controller_->on_peer(now_, text);
     const std::uint64_t request = next_++;
-    core_->on_request(now_, request, {"POST", "/hello", text});
+    controller_->on_request(now_, request, {"POST", "/hello", text});
     run(400);
     EXPECT_EQ(status(request), 400) << text;
   }
-  garbage_ = false;
+  replies_garbage_ = false;
   run(8000);
-  EXPECT_EQ(report(sequence_ + 1).status, 200);
+  EXPECT_EQ(heartbeat(sequence_ + 1).status, 200);
   const std::uint64_t request = next_;
   submit("req-000002");
   run(1000);
@@ -222,30 +222,30 @@
 }
 
 // A machine whose reports do not come loses its tasks with its lease, however well it answers.
-TEST_F(Alone, AMuteMachineGetsNothingNew) {
+TEST_F(SingleControllerTest, MachineWithoutHeartbeatsGetsNothingNew) {
   start_two();
   run(4500);  // it answers direct messages all the while, and its lease lasts
   EXPECT_EQ(starts_, 2);
-  EXPECT_EQ(core_->replica().machine("n-1")->state, wire::MachineState::ready);
+  EXPECT_EQ(controller_->replica().machine("n-1")->state, wire::MachineState::ready);
   submit("req-000002");
   run(1500);
   EXPECT_EQ(starts_, 2);
-  report(sequence_ + 1);
+  heartbeat(sequence_ + 1);
   run(1000);
   EXPECT_EQ(starts_, 4);
 }
 
 // Transactions whose answers are lost do not pass for a state service that is down: what was asked
 // later is answered, and users are served meanwhile.
-TEST_F(Alone, SingleLostAnswersAreNoOutage) {
-  EXPECT_EQ(report(50).status, 200);
-  lose_ = "/multi";
+TEST_F(SingleControllerTest, SingleLostRepliesAreNoOutage) {
+  EXPECT_EQ(heartbeat(50).status, 200);
+  lost_request_path_ = "/multi";
   submit("req-000001");
   int refused = 0;
   for (int i = 0; i < 100; ++i) {
     run(40);
     const std::uint64_t request = next_++;
-    core_->on_request(now_, request, {"GET", "/v1/jobs/req-777777", ""});
+    controller_->on_request(now_, request, {"GET", "/v1/jobs/req-777777", ""});
     run(100);
     refused += status(request) != 404;
   }
@@ -253,13 +253,13 @@
 }
 
 // A process that has forgotten a machine and its fence finds both again: its answers count.
-TEST_F(Alone, TheFenceIsTakenFromTheMachine) {
-  EXPECT_EQ(report(50).status, 200);
+TEST_F(SingleControllerTest, FenceIsRecoveredFromTheMachine) {
+  EXPECT_EQ(heartbeat(50).status, 200);
   const std::uint64_t raised = token_ + 5;
   token_ = raised;
-  EXPECT_EQ(report(51).status, 200);
+  EXPECT_EQ(heartbeat(51).status, 200);
   rapidjson::Document doc;
-  const HttpReply a = report(52);
+  const HttpReply a = heartbeat(52);
   ASSERT_TRUE(wire::parse_object(a.body, doc));
   EXPECT_GE(doc["baton"].GetUint64(), raised);
 }
@@ -267,16 +267,16 @@
 // A placement's transaction is executed, and once more by a repeat of it; the answer that comes is
 // the second one, a conflict with itself. Until the watch shows that it was executed its tasks
 // count against the team's limit.
-TEST_F(Alone, AConflictWithARepeatOfAPlacementLeavesNoRoomUnderTheLimit) {
+TEST_F(SingleControllerTest, ConflictWithARepeatedPlacementStaysUnderTheQuota) {
   settings_.teams = {{"t", 0, 2, 0, 0}};
   restart();
-  obeys_ = true;
-  ASSERT_EQ(report(50).status, 200);
+  executes_commands_ = true;
+  ASSERT_EQ(heartbeat(50).status, 200);
   const auto is_watch = [](const Call& call) { return call.path.starts_with("/changes"); };
   const auto places = [](const Call& call) {
     return call.path == "/multi" && call.body.find(R"("write":"range/)") != std::string::npos;
   };
-  holds_answer_ = [&](const Call& call) { return is_watch(call) || places(call); };
+  holds_reply_ = [&](const Call& call) { return is_watch(call) || places(call); };
   const auto placed = [this] {
     std::size_t tasks = 0;
     for (const auto& [key, item] : state_.items) {
@@ -289,22 +289,22 @@
   // Time passes, in which no watch is answered.
   const auto wait = [&](Ms lasts) {
     for (const Ms end = now_ + lasts; now_ < end; now_ += 20) {
-      core_->tick(now_, now_);
+      controller_->tick(now_, now_);
       pump();
     }
   };
   submit("req-000001");
   wait(600);
   ASSERT_EQ(placed(), 2U);
-  for (auto& [call, http_result] : held_answers_)
+  for (auto& [call, http_result] : held_replies_)
     if (places(call)) http_result = {409, R"({"failed":["range/req-000001/1"],"ledger":99})"};
-  release_answers(places);
+  release_replies(places);
   submit("req-000002");
   wait(600);
   EXPECT_EQ(placed(), 2U);
   EXPECT_EQ(starts_, 0);
-  holds_answer_ = nullptr;
-  release_answers(is_watch);
+  holds_reply_ = nullptr;
+  release_replies(is_watch);
   run(2000);
   EXPECT_EQ(placed(), 2U);
   EXPECT_EQ(starts_, 2);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -54,7 +54,7 @@
   EXPECT_DOUBLE_EQ(remaining_s(kNow, kNow - 140'000), constants::kOverrunAllowanceS);
 }
 
-TEST(Placement, ScanFindsTheOnlyRoomAndNoneWaits) {
+TEST(Placement, ScanFindsTheOnlyFreeMachine) {
   pcg32 random(1);
   std::vector<Candidate> machines;
   std::vector<Candidate*> pool;
@@ -126,7 +126,7 @@
 
 // Found by the simulation: gangs in three parts, each with a grant too small for its own, waited
 // for ever.
-TEST(Quota, RemaindersAreCollectedByOneAfterTheOther) {
+TEST(Quota, RemaindersAreCollectedInRotation) {
   const Team team{"t", 0, 40, 0, 0};
   const std::vector<std::string> live{"a", "b", "c"};
   wire::QuotaRecord record;
@@ -159,7 +159,7 @@
 
 // Three controllers lack room for replicas, and what is left of the limit is too little for those
 // of two. Whoever gives it up knows first that it is free, and must leave it to whose turn it is.
-TEST(Quota, ARemainderReachesTheServiceThatItIsEnoughFor) {
+TEST(Quota, RemainderReachesAServiceItSuffices) {
   struct Part {
     std::string name;
     double replica, lacking, used;  // CPUs
@@ -209,7 +209,7 @@
   EXPECT_LT(started_at, 12'000);
 }
 
-TEST(Quota, GrantsNeverExceedTheLimit) {
+TEST(Quota, LeasesNeverExceedTheLimit) {
   // Three controllers take, give back and die in random order; the sum of what any of them may
   // use never exceeds the limit.
   pcg32 random(3);
@@ -246,14 +246,14 @@
   EXPECT_TRUE(got_after_wait);
 }
 
-TEST(FailureTracker, SeveralJobsMakeAMachineSickOneJobDoesNot) {
+TEST(FailureTracker, FailuresOfSeveralJobsQuarantineAMachine) {
   FailureTracker h;
   EXPECT_FALSE(h.failed(1000, "m1", "req-000001"));
   EXPECT_FALSE(h.failed(1100, "m1", "req-000001"));
   EXPECT_TRUE(h.failed(1200, "m1", "req-000002"));
 }
 
-TEST(FailureTracker, AJobFailingEverywhereCondemnsNoMachineAndBacksOff) {
+TEST(FailureTracker, FaultyJobBacksOffWithoutQuarantine) {
   FailureTracker h;
   for (int i = 0; i < 6; ++i)
     EXPECT_FALSE(h.failed(1000 + i, "m" + std::to_string(i), "req-000009"));
@@ -274,7 +274,7 @@
 // CPUs with which the forecast counts on one CPU second a second.
 constexpr double kOneCpu = 1.0 / constants::kForecastShare;
 
-TEST(Order, PutsOffTheLargestWhenNotAllCanBeInTime) {
+TEST(DeadlineOrder, DefersTheLargestWhenDeadlinesConflict) {
   // Due after 10, 11 and 12 s; 4 + 9 + 4 s of work: without the one of 9 the others are in time.
   EXPECT_EQ(order_by_deadline({waits(4, {10}), waits(9, {11}), waits(4, {12})}, kOneCpu),
             (std::vector<std::size_t>{0, 2, 1}));
@@ -285,7 +285,7 @@
   EXPECT_LT(p[1], p[2]);
 }
 
-TEST(Order, ServesTheSmallestFirstWhileAllStayInTime) {
+TEST(DeadlineOrder, ServesTheSmallestFirstWhileAllMeetDeadlines) {
   EXPECT_EQ(order_by_deadline({waits(5, {100}), waits(2, {200}), waits(9, {300})}, kOneCpu),
             (std::vector<std::size_t>{1, 0, 2}));
   // Unless the larger one would then be late.
@@ -293,20 +293,20 @@
             (std::vector<std::size_t>{0, 1}));
 }
 
-TEST(Order, MeetsALaterAimWhenTheFirstIsMissed) {
+TEST(DeadlineOrder, MeetsALaterAimWhenTheFirstIsMissed) {
   // 8 s cannot be done by 5, but by 20.
   const auto p =
       order_by_deadline({waits(8, {5, 20}), waits(4, {}, 1, 50), waits(3, {4})}, kOneCpu);
   EXPECT_EQ(p, (std::vector<std::size_t>{1, 2, 0}));
 }
 
-TEST(Order, HighPriorityFirstAndTheHopelessByAge) {
+TEST(DeadlineOrder, HighPriorityFirstAndMissedObjectivesByAge) {
   const auto p = order_by_deadline(
       {waits(1, {50}), waits(90, {1}, 2), waits(1, {}, 1, 10), waits(1, {}, 1, 20)}, kOneCpu);
   EXPECT_EQ(p, (std::vector<std::size_t>{1, 0, 3, 2}));
 }
 
-TEST(ClusterView, ZonesWithoutAControllerGoToWhoHasTime) {
+TEST(ClusterView, ZonesWithoutAControllerGoToTheLeastLoaded) {
   // One controller alone in its zone carries a third of the machines by that; the third zone is for
   // the two that share one.
   Settings s;
@@ -330,7 +330,7 @@
   EXPECT_EQ(m.machine_owner("n-1", "z"), "p1");
 }
 
-TEST(FleetSizer, RentsForTheDemandAndAvoidsRefusedKinds) {
+TEST(FleetSizer, ScalesOutForDemandAndAvoidsRefusedKinds) {
   Settings s;
   s.objectives = {{ObjectiveKind::finished, "c", 0.9, 0, 120}};
   FleetSizer f(s);
@@ -360,7 +360,7 @@
   EXPECT_FALSE(f.next_scale_out(constants::kRefusedPauseMs + 1, demand, {t}, {}).empty());
 }
 
-TEST(FleetSizer, SpotMachinesDoNotServeWorkThatMayNotUseThem) {
+TEST(FleetSizer, SpotMachinesDoNotServeOnDemandWork) {
   // Found by the simulation: spot machines in a zone counted for work that may not use them, and
   // it waited for ever.
   Settings s;
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -201,7 +201,7 @@
     bool done = false;
   };
   asio::io_context io_;
-  sim::StateStandIn state_;
+  sim::FakeStateService state_;
   std::unique_ptr<net::HttpClient> client_;
   std::unique_ptr<net::HttpServer> state_server_, cloud_server_;
   std::string bind_, worker_, folder_;
@@ -212,7 +212,7 @@
   int starts_ = 0;
 };
 
-TEST_F(EndToEnd, AJobRunsAndItsEndOutlivesTheProcess) {
+TEST_F(EndToEnd, FinalStateOutlivesTheProcess) {
   start();
   ASSERT_TRUE(eventually([&] { return ask("GET", "/healthz").first == 200; }));
   EXPECT_EQ(ask("POST", "/v1/jobs", "{").first, 400);
--- a/tests/fingerprint_test.cpp
+++ b/tests/fingerprint_test.cpp
@@ -20,7 +20,7 @@
 Options base(std::uint64_t seed) {
   Options o;
   o.seed = seed;
-  o.until_over = true;
+  o.until_finished = true;
   return o;
 }
 
@@ -50,14 +50,16 @@
 
 RecordedRun planned_troubles() {
   Options o = base(904);
-  o.troubles = false;
+  o.faults = false;
   o.longest_task_s = 30;
   o.services = 0.2;
-  o.planned = {
-      {10'000, Trouble::isolated, 0, 20'000},        {15'000, Trouble::late_writes, 0, 30'000},
-      {20'000, Trouble::machine_mute, 0, 30'000},    {30'000, Trouble::hand_back, 1, 20'000},
-      {40'000, Trouble::stands_still, 2, 6000},      {45'000, Trouble::cancel_now, 0, 15'000},
-      {55'000, Trouble::refused_then_out, 1, 25'000}};
+  o.planned_faults = {{10'000, Fault::controller_isolated, 0, 20'000},
+                      {15'000, Fault::late_writes, 0, 30'000},
+                      {20'000, Fault::machine_heartbeats_lost, 0, 30'000},
+                      {30'000, Fault::failback, 1, 20'000},
+                      {40'000, Fault::process_pause, 2, 6000},
+                      {45'000, Fault::cancel_now, 0, 15'000},
+                      {55'000, Fault::refused_then_outage, 1, 25'000}};
   return {"PlannedTroubles", o, 0x51e16ae7f728db07};
 }
 
@@ -77,9 +79,9 @@
 
 class RecordedRuns : public testing::TestWithParam<RecordedRun> {};
 
-TEST_P(RecordedRuns, BehaveAsBefore) {
-  const Result r = World(GetParam().options).run();
-  EXPECT_TRUE(r.broken.empty()) << r.broken.front();
+TEST_P(RecordedRuns, ReproduceRecordedBehaviour) {
+  const Result r = SimulatedCluster(GetParam().options).run();
+  EXPECT_TRUE(r.violations.empty()) << r.violations.front();
   EXPECT_GT(r.accepted, 20);
   EXPECT_EQ(r.fingerprint, GetParam().fingerprint) << std::hex << "0x" << r.fingerprint;
 }
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -19,7 +19,7 @@
 namespace k = constants;
 using wire::MachineState;
 
-class FleetCoordinatorTest : public Component {
+class FleetCoordinatorTest : public ComponentTest {
  protected:
   static constexpr const char* kCatalog =
       R"({"fleets":[{"label":"g","cpus":4,"gpus":0,"memGb":16,"localGb":50,"fetchGbPerS":1,)"
@@ -123,7 +123,7 @@
 
 // Guards against machines that are paid for all night: five with nothing to do were kept for five
 // minutes, and two of them for ever (docs/results.md, round 25).
-TEST_F(FleetCoordinatorTest, MachinesWithNothingToDoAreReturnedWithinAMinute) {
+TEST_F(FleetCoordinatorTest, IdleMachinesAreReturnedWithinAMinute) {
   have_machines(5);
   advance(k::kScaleInIdleAfterMs - 5000);
   EXPECT_TRUE(returned_.empty());
@@ -133,7 +133,7 @@
   EXPECT_TRUE(rentals_.empty());  // and none is rented again
 }
 
-TEST_F(FleetCoordinatorTest, AnIdleFleetOfHundredsIsReturnedWithinMinutes) {
+TEST_F(FleetCoordinatorTest, IdleFleetOfHundredsScalesInWithinMinutes) {
   have_machines(300);
   advance(k::kScaleInIdleAfterMs + 60'000);
   EXPECT_GT(returned_.size(), 200U);
@@ -167,7 +167,7 @@
 }
 
 // Guards against paying for machines that nobody knows of: the same name rents nothing twice.
-TEST_F(FleetCoordinatorTest, ARentalIsRepeatedUnderItsNameUntilItIsAnswered) {
+TEST_F(FleetCoordinatorTest, ScaleOutIsRetriedUnderItsName) {
   rental_answer_ = {0, ""};
   have_job(2);
   advance(3000);
@@ -194,7 +194,7 @@
 }
 
 // A list that was asked for before a pause is as old as that: what it lacks may have come since.
-TEST_F(FleetCoordinatorTest, AListFromBeforeAPauseIsNotUsed) {
+TEST_F(FleetCoordinatorTest, ListFromBeforeAPauseIsDiscarded) {
   CloudInventory list(context_, [](Ms) {});
   run(1000, [&](Ms now) { list.tick(now); });
   ASSERT_EQ(calls_.size(), 1U);
@@ -208,7 +208,7 @@
 }
 
 // One transaction carries few groups; what does not fit follows.
-TEST_F(FleetCoordinatorTest, MachinesOfManyRentalsAreAllRecorded) {
+TEST_F(FleetCoordinatorTest, MachinesOfManyScaleOutsAreAllRecorded) {
   settings_.value_kb = 1;
   FleetRecordWriter writer(context_, [](const std::vector<std::string>&) {});
   std::set<std::string> machines;
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -18,7 +18,7 @@
 constexpr Ms kReportMs = 1000;
 constexpr Ms kWallOffset = 1'700'000'000'000;
 
-TEST(PhiDetector, OneLostMessageIsNoSuspicionAndSilenceIs) {
+TEST(PhiDetector, SuspectsSilenceButNotOneLostMessage) {
   PhiDetector detector(kHintMs);
   EXPECT_EQ(detector.status(1000), Status::unknown);
   Ms now = 1000;
@@ -35,7 +35,7 @@
 }
 
 // Guards against suspecting a peer whose processor is busy: the detector learns its usual spread.
-TEST(PhiDetector, LearnsHowUnevenMessagesCome) {
+TEST(PhiDetector, LearnsMessageJitter) {
   PhiDetector even(kHintMs), uneven(kHintMs);
   Ms now = 1000;
   for (int i = 0; i < 100; ++i) {
@@ -47,7 +47,7 @@
   EXPECT_EQ(uneven.status(uneven.last_heard() + 2200), Status::up);
 }
 
-TEST(PhiDetector, AnOutageTeachesItNothingAndAPauseIsNoSilence) {
+TEST(PhiDetector, IgnoresOutagesAndProcessPauses) {
   PhiDetector detector(kHintMs);
   for (Ms now = 1000; now < 20'000; now += kHintMs) detector.heard(now);
   detector.heard(90'000);
@@ -56,7 +56,7 @@
   EXPECT_EQ(detector.status(120'000 + kHintMs), Status::up);
 }
 
-TEST(RequestLink, ARefusalIsNoAnswerButAWord) {
+TEST(RequestLink, RefusalIsContactButNoReply) {
   RequestLink link;
   EXPECT_EQ(link.status(1000), Status::unknown);
   link.answered(1000);
@@ -69,7 +69,7 @@
   EXPECT_FALSE(link.answering(6000 + k::kSilentMs));  // without a failure, but long ago
 }
 
-TEST(FlapDamper, EachFailureAsksForALongerTimeAndIsForgotten) {
+TEST(FlapDamper, PenaltyGrowsWithFailuresAndDecays) {
   FlapDamper damper{1};
   EXPECT_EQ(damper.steady_ms(1000), 0);
   damper.failed(1000);
@@ -87,7 +87,7 @@
   EXPECT_EQ(damper.steady_ms(200'000 + 600'000), 0);
 }
 
-TEST(ZoneLinks, SilenceOfManyIsJudgedSoonerThanThatOfOne) {
+TEST(ZoneLinks, SilenceOfManyIsDetectedSooner) {
   ZoneLinks many(kReportMs), one(kReportMs);
   many.expect(1000, 50);
   one.expect(1000, 1);
@@ -101,7 +101,7 @@
 }
 
 // That workers answer probes leaves their reports the longer time: they may only be slow.
-TEST(ZoneLinks, WithoutAnUnansweredProbeSilenceCountsLater) {
+TEST(ZoneLinks, SilenceWithoutFailedProbeIsDetectedLater) {
   ZoneLinks links(kReportMs);
   links.expect(1000, 50);
   links.heartbeat_received(10'000);
@@ -113,7 +113,7 @@
   EXPECT_EQ(links.commands(13'300), Status::up);
 }
 
-TEST(ZoneLinks, CommandsAreDownAfterTwoSamplesWithoutAnAnswer) {
+TEST(ZoneLinks, CommandsAreDownAfterTwoUnansweredSamples) {
   ZoneLinks links(kReportMs);
   links.expect(1000, 10);
   links.heartbeat_received(1000);
@@ -130,7 +130,7 @@
 }
 
 // Workers that have not reported here yet, and a pause of our own, are no silence.
-TEST(ZoneLinks, OnlyWhoIsExpectedCanBeSilent) {
+TEST(ZoneLinks, OnlyExpectedWorkersCanBeSilent) {
   ZoneLinks links(kReportMs);
   links.heartbeat_received(1000);
   links.expect(50'000, 0);
@@ -150,7 +150,7 @@
   return row;
 }
 
-TEST(Matrix, TheNewerRowCountsWhicheverWayItCame) {
+TEST(Matrix, NewestRowWinsRegardlessOfPath) {
   Matrix matrix("a");
   matrix.merge(100, 10'000, row_of("b", 9'900, Status::up));
   matrix.merge(200, 10'100, row_of("b", 9'500, Status::down));
@@ -162,7 +162,7 @@
 }
 
 // A matrix that is minutes old says nothing, and rows that old are not taken in.
-TEST(Matrix, OldRowsSayNothing) {
+TEST(Matrix, StaleRowsAreIgnored) {
   Matrix matrix("a");
   matrix.merge(100, 10'000, row_of("b", 9'900, Status::up));
   EXPECT_EQ(matrix.fresh(10'000, k::kRowFreshMs).size(), 1U);
@@ -216,7 +216,7 @@
   Monitor monitor_{settings(), state_, cloud_};
 };
 
-TEST_F(MonitorTest, UsersStayInAnOutageThatAllShare) {
+TEST_F(MonitorTest, UsersStayDuringASharedOutage) {
   EXPECT_TRUE(monitor_.may_serve_users(at(now_)).allowed);
   state_.refused(now_ + 100);
   monitor_.merge(at(now_ + 200), row("b", Status::down, now_ + 150));
@@ -226,7 +226,7 @@
 }
 
 // The row of c comes through b; there is no link between a and c.
-TEST_F(MonitorTest, UsersGoToWhoHasTheStateServiceThoughOnlyAThirdOneHearsIt) {
+TEST_F(MonitorTest, UsersMoveOnIndirectEvidenceOfTheStateService) {
   state_.refused(now_ + 100);
   Decision verdict;
   for (Ms t = now_ + 200; t < now_ + 3000; t += kHintMs) {
@@ -240,14 +240,14 @@
   EXPECT_EQ(verdict.through, "c");
 }
 
-TEST_F(MonitorTest, UsersLeaveWhoIsIsolated) {
+TEST_F(MonitorTest, UsersLeaveIsolatedControllers) {
   EXPECT_TRUE(monitor_.may_serve_users(at(now_ + k::kSilentMs - 100)).allowed);
   const Decision verdict = monitor_.may_serve_users(at(now_ + k::kSilentMs + 100));
   EXPECT_FALSE(verdict.allowed);
   EXPECT_EQ(verdict.reason, Reason::isolated);
 }
 
-TEST_F(MonitorTest, MachinesGoToWhoReachesThemAndStayIfNobodyDoes) {
+TEST_F(MonitorTest, MachinesGoToReachableControllersOrStay) {
   lose_workers(now_);
   const Ms later = now_ + 5000;
   EXPECT_TRUE(monitor_.may_keep_machines(at(now_ + 500), {"b", "c"}).allowed);
@@ -281,7 +281,7 @@
   EXPECT_EQ(given.through, "c");
 }
 
-TEST_F(MonitorTest, OneZoneThatWorksKeepsTheMachines) {
+TEST_F(MonitorTest, OneReachableZoneKeepsTheShard) {
   lose_workers(now_);
   const Ms later = now_ + 5000;
   monitor_.zone("y").answered(later);
@@ -289,7 +289,7 @@
   EXPECT_TRUE(monitor_.may_keep_machines(at(later), {"b"}).allowed);
 }
 
-TEST_F(MonitorTest, MachinesComeBackOnceTheLinkIsSteady) {
+TEST_F(MonitorTest, ShardIsReclaimedOnceTheLinkIsStable) {
   monitor_.on_machines_given_up(now_);
   EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 500).allowed);
   monitor_.probed_while_given_up(now_ + 500, true);
@@ -306,7 +306,7 @@
   EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 62'000).allowed);
 }
 
-TEST_F(MonitorTest, TheViewIsJoinedAtOnceUnlessItWasLeftForALinkThatComesAndGoes) {
+TEST_F(MonitorTest, ViewIsRejoinedAtOnceUnlessTheLinkFlaps) {
   EXPECT_TRUE(monitor_.may_join(now_, true).allowed);  // after a restart
   monitor_.removed_from_view(now_);
   EXPECT_TRUE(monitor_.may_join(now_, true).allowed);  // after a single cut
@@ -325,7 +325,7 @@
   EXPECT_TRUE(monitor_.may_join(t + 8000, true).allowed);
 }
 
-TEST_F(MonitorTest, SilentWorkersOfAZoneThatAnotherHearsAreNotDead) {
+TEST_F(MonitorTest, SilentZoneHeardByAPeerIsNotDead) {
   Census census;
   for (int i = 0; i < 10; ++i) census.all.add(true);
   for (int i = 0; i < 5; ++i) census.zones["x"].add(i > 0);
@@ -341,7 +341,7 @@
 }
 
 // As a cut heals the first workers are heard; the others are on their way.
-TEST_F(MonitorTest, NobodyOfAZoneThatIsJustBackFromACutIsDead) {
+TEST_F(MonitorTest, NoMachineIsDeclaredDeadRightAfterAPartition) {
   Census cut, back;
   for (int i = 0; i < 20; ++i) {
     cut.all.add(i < 12);
@@ -360,7 +360,7 @@
   EXPECT_TRUE(monitor_.may_declare_dead(at(later), "x", back, 60'000).allowed);
 }
 
-TEST_F(MonitorTest, MessagesArePassedOnByWhoHearsBothEnds) {
+TEST_F(MonitorTest, RelayIsChosenByReachabilityOfBothEnds) {
   EXPECT_FALSE(monitor_.relay_to(at(now_), "x").has_value());
   wire::LinkRow b = row("b", Status::up, now_ - 100), c = row("c", Status::up, now_ - 100);
   b.workers["x"] = {Status::down, Status::down, 0};
@@ -375,7 +375,7 @@
   EXPECT_FALSE(monitor_.relay_to(at(now_), "x").has_value());
 }
 
-TEST_F(MonitorTest, ReportsArePassedOnToAnOwnerThatDoesNotHearTheZone) {
+TEST_F(MonitorTest, HeartbeatsAreRelayedToAnOwnerThatMissesThem) {
   wire::LinkRow b = row("b", Status::up, now_ - 100);
   b.workers["x"] = {Status::up, Status::up, 0};
   monitor_.merge(at(now_), b);
@@ -412,7 +412,7 @@
         wire::decode_peer_message(std::string_view(bytes).substr(0, n))));
 }
 
-TEST(PeerMessages, PassedOnMessagesRoundTripAndAreNoHints) {
+TEST(PeerMessages, RelayedMessagesRoundTripAndAreNotGossip) {
   const wire::RelayRequest request{"a", 7, 99, wire::RelayKind::heartbeat, "w:1", R"({"rig":"n"})"};
   const auto message = wire::decode_peer_message(encode(request));
   const auto* read = std::get_if<wire::RelayRequest>(&message);
--- a/tests/load/fleet_load.cpp
+++ b/tests/load/fleet_load.cpp
@@ -82,7 +82,7 @@
         io, endpoint_of(ip_, kMachinePort), 8,
         [this](std::uint64_t request, const net::HttpServer::Request& r) {
           rapidjson::Document doc;
-          if (wire::parse_object(r.body, doc)) obey(doc);
+          if (wire::parse_object(r.body, doc)) execute_commands_of(doc);
           server_->reply(request, 200, body(), 0);
         });
     reports_.after(std::rand() % kReportMs);  // NOLINT(concurrency-mt-unsafe)
@@ -105,11 +105,11 @@
                    rapidjson::Document doc;
                    if (status != 200 || !wire::parse_object(answer, doc)) return;
                    ++answered_;
-                   obey(doc);
+                   execute_commands_of(doc);
                  });
   }
 
-  void obey(const rapidjson::Document& doc) {
+  void execute_commands_of(const rapidjson::Document& doc) {
     if (!doc.HasMember("baton") || doc["baton"].GetUint64() < token_) return;
     token_ = doc["baton"].GetUint64();
     if (!doc.HasMember("orders")) return;
@@ -367,7 +367,7 @@
 
   asio::io_context io_;
   std::string ram_mb_, fd_limit_;
-  sim::StateStandIn state_;
+  sim::FakeStateService state_;
   net::HttpClient users_;
   std::unique_ptr<net::HttpServer> state_server_, cloud_server_;
   std::vector<std::unique_ptr<Machine>> machines_;
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -37,10 +37,10 @@
 Options with_cuts(std::uint64_t seed, std::vector<LinkCut> cuts) {
   Options o;
   o.seed = seed;
-  o.troubles = false;
+  o.faults = false;
   o.longest_task_s = 30;
-  o.calm_ms = 700'000;
-  o.until_over = true;
+  o.recovery_ms = 700'000;
+  o.until_finished = true;
   o.machines = 24;
   o.capacity = 9;
   o.job_every_ms = 2000;
@@ -59,8 +59,8 @@
 
 // No rule is broken and all comes to an end.
 Result run(const Options& o) {
-  Result r = World(o).run();
-  EXPECT_TRUE(r.broken.empty()) << "seed " << o.seed << "\n" << list(r.broken);
+  Result r = SimulatedCluster(o).run();
+  EXPECT_TRUE(r.violations.empty()) << "seed " << o.seed << "\n" << list(r.violations);
   EXPECT_TRUE(r.unfinished.empty()) << "seed " << o.seed << "\n" << list(r.unfinished);
   EXPECT_GT(r.done, 5) << "seed " << o.seed;
   return r;
@@ -79,7 +79,7 @@
 
 // The part of a controller that can't reach its workers is served by others within two report
 // intervals (1 s each) and a second.
-TEST(PartialCuts, WorkersOfAControllerThatCannotReachThemAreServedSoon) {
+TEST(PartialCuts, WorkersOfAnUnreachableControllerFailOverSoon) {
   Unserved unserved;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const auto& name = seed % 2 == 0 ? kFirst : kSecond;
@@ -93,7 +93,7 @@
 }
 
 // The same while only reports get lost: commands are answered, but no lease is renewed.
-TEST(PartialCuts, ReportsThatAreLostOneWay) {
+TEST(PartialCuts, HeartbeatsLostOneWay) {
   Unserved unserved;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kWorkers, kSecond}}));
@@ -104,7 +104,7 @@
 }
 
 // And while reports arrive, but neither answers nor commands do.
-TEST(PartialCuts, AnswersAndCommandsThatAreLostOneWay) {
+TEST(PartialCuts, RepliesAndCommandsLostOneWay) {
   Unserved unserved;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kSecond, kWorkers}}));
@@ -116,7 +116,7 @@
 
 // A controller reaches some of its workers and not those of one zone: peers that do pass commands
 // and reports on, so that neither the machines nor what runs on them is lost.
-TEST(PartialCuts, AZoneOfAPartIsServedThroughPeers) {
+TEST(PartialCuts, ZoneOfAShardIsServedThroughPeers) {
   const std::vector<std::vector<LinkCut>> cuts{
       both({kCutAt, kCutLasts, kFirst, "workers/c"}),
       {{kCutAt, kCutLasts, "workers/c", kFirst}},
@@ -141,10 +141,10 @@
 }
 
 // The link to the workers comes and goes every few seconds: one takeover a minute at most.
-TEST(PartialCuts, ALinkToWorkersThatFlaps) {
+TEST(PartialCuts, FlappingLinkToWorkers) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Options o = with_cuts(seed, both({kCutAt, kFiveMinutes, kSecond, kWorkers, 2000, 5000}));
-    o.busy_ms = kCutAt + kFiveMinutes;
+    o.fault_ms = kCutAt + kFiveMinutes;
     const Result r = run(o);
     EXPECT_LE(r.views, 3 + 2 * 5) << "seed " << seed;
     EXPECT_EQ(r.lost_by_lease, 0) << "seed " << seed;
@@ -152,10 +152,10 @@
 }
 
 // The same of the link to the state service.
-TEST(PartialCuts, ALinkToTheStateServiceThatFlaps) {
+TEST(PartialCuts, FlappingLinkToTheStateService) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Options o = with_cuts(seed, both({kCutAt, kFiveMinutes, kSecond, kState, 2000, 5000}));
-    o.busy_ms = kCutAt + kFiveMinutes;
+    o.fault_ms = kCutAt + kFiveMinutes;
     const Result r = run(o);
     EXPECT_LE(r.views, 3 + 2 * 5) << "seed " << seed;
     EXPECT_EQ(r.lost_by_lease, 0) << "seed " << seed;
@@ -164,7 +164,7 @@
 
 // The state service carries out what a controller asks, and its answers are lost: it can neither
 // read nor write, and must not keep its place by renewals that it never hears of.
-TEST(PartialCuts, AControllerWithoutAnswersLeavesTheView) {
+TEST(PartialCuts, ControllerWithoutRepliesLeavesTheView) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kState, kSecond}}));
     EXPECT_EQ(r.views, 3 + 2) << "seed " << seed;
@@ -174,7 +174,7 @@
 
 // Two controllers lose the state service. One of them doesn't hear the third, which has it, and
 // learns of that through the other: its users go to the third, and to no other place.
-TEST(PartialCuts, UsersGoWhereTheStateServiceIsThoughTheLinkThereIsDown) {
+TEST(PartialCuts, UsersMoveToControllersWithTheStateService) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     auto cuts = together(both({kCutAt, kCutLasts, kFirst, kState}),
                          both({kCutAt, kCutLasts, kSecond, kState}));
@@ -199,7 +199,7 @@
 
 // All controllers lose their workers: giving machines to one another would help nobody. As the
 // links come back some hear workers a second or two before others do.
-TEST(PartialCuts, NobodyTakesOverWhatNobodyReaches) {
+TEST(PartialCuts, NoFailoverOfUnreachableShards) {
   std::vector<LinkCut> cuts;
   for (const auto& name : {kFirst, kSecond, kThird})
     cuts = together(cuts, both({kCutAt, 20'000, name, kWorkers}));
@@ -240,13 +240,13 @@
   return cuts;
 }
 
-TEST_P(AnyLinks, RulesHoldAndEverythingEnds) {
+TEST_P(AnyLinks, InvariantsHoldAndAllJobsEnd) {
   const std::uint64_t seed = GetParam();
   Options o = with_cuts(seed, {});
-  o.busy_ms = 80'000;
-  o.link_cuts = any_cuts(seed, o.busy_ms);
+  o.fault_ms = 80'000;
+  o.link_cuts = any_cuts(seed, o.fault_ms);
   o.relays = seed % 3 != 0;
-  o.troubles = seed % 2 == 0;
+  o.faults = seed % 2 == 0;
   o.services = 0.1;
   if (seed % 5 == 0) o.limit_cpus = 24;
   if (seed % 7 == 0) o.upgrade_from = 20'000;
@@ -266,13 +266,13 @@
 namespace scheduler {
 namespace {
 
-class LoneWithPeer : public Alone {
+class SingleControllerWithPeer : public SingleControllerTest {
  protected:
-  LoneWithPeer() {
+  SingleControllerWithPeer() {
     settings_.peers = {{"puffin-1", "b", ""}};
     restart();
-    obeys_ = true;
-    EXPECT_EQ(report(50).status, 200);
+    executes_commands_ = true;
+    EXPECT_EQ(heartbeat(50).status, 200);
     submit("req-000001");
     run(1000);
     EXPECT_EQ(tasks_.size(), 2U);
@@ -280,7 +280,7 @@
 
   // The state service answers neither this controller nor its watch.
   void cut_from_state() {
-    lose_ = "/";
+    lost_request_path_ = "/";
     run(3500);
   }
 
@@ -292,7 +292,7 @@
     hint.state_answers = true;
     hint.sent_ms = static_cast<std::uint64_t>(now_);
     hint.cancelled = {job};
-    core_->on_peer(now_, encode(hint));
+    controller_->on_peer(now_, encode(hint));
     pump();
   }
 
@@ -303,7 +303,7 @@
 };
 
 // A cancellation that this controller can't read is told by a peer: the tasks are stopped.
-TEST_F(LoneWithPeer, ACancellationThatAPeerHasReadStopsTasks) {
+TEST_F(SingleControllerWithPeer, GossipedCancellationStopsTasks) {
   cut_from_state();
   ASSERT_EQ(running(), 2U);
   hear_cancelled("req-000001");
@@ -312,7 +312,7 @@
 }
 
 // The word of a peer is worth nothing where the records can be read, and of jobs nobody knows.
-TEST_F(LoneWithPeer, APeersWordCountsOnlyWithoutTheStateService) {
+TEST_F(SingleControllerWithPeer, GossipCountsOnlyWithoutTheStateService) {
   hear_cancelled("req-000001");
   run(1500);
   EXPECT_EQ(running(), 2U);
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -18,17 +18,17 @@
   return call.path == "/multi" && call.body.find(R"("write":"range/)") != std::string::npos;
 }
 
-class LoneAnswers : public Alone {
+class SingleControllerReads : public SingleControllerTest {
  protected:
   // Another job ends the watch that is open, so that the test holds the next one.
   void hold_watches() {
-    obeys_ = true;
-    ASSERT_EQ(report(50).status, 200);
-    holds_answer_ = is_watch;
+    executes_commands_ = true;
+    ASSERT_EQ(heartbeat(50).status, 200);
+    holds_reply_ = is_watch;
     submit("req-000009");
     for (int i = 0; i < 30; ++i) {
       run(100);
-      release_answers(is_watch);
+      release_replies(is_watch);
     }
     ASSERT_EQ(tasks_.size(), 2U);
   }
@@ -41,11 +41,11 @@
   // Lets time pass, in which no watch is answered.
   bool placement_is_sent() {
     const auto sent = [this] {
-      return std::any_of(held_answers_.begin(), held_answers_.end(),
+      return std::any_of(held_replies_.begin(), held_replies_.end(),
                          [](const auto& held) { return writes_range(held.first); });
     };
     for (const Ms end = now_ + 400; now_ < end && !sent(); now_ += 20) {
-      core_->tick(now_, now_);
+      controller_->tick(now_, now_);
       pump();
     }
     return sent();
@@ -53,7 +53,7 @@
 
   std::uint64_t poll(const std::string& id) {
     const std::uint64_t request = next_++;
-    core_->on_request(now_, request, {"GET", "/v1/jobs/" + id, ""});
+    controller_->on_request(now_, request, {"GET", "/v1/jobs/" + id, ""});
     pump();
     return request;
   }
@@ -66,9 +66,9 @@
 
 // The placement's answer is late, the cancellation's is not, and a watch answer from before both
 // comes between them: the controller knows its later write without the earlier one.
-TEST_F(LoneAnswers, APollRestsOnNoStateThatNeverExisted) {
+TEST_F(SingleControllerReads, PollNeverShowsAStateThatNeverExisted) {
   hold_watches();
-  holds_answer_ = [](const Call& call) { return is_watch(call) || writes_range(call); };
+  holds_reply_ = [](const Call& call) { return is_watch(call) || writes_range(call); };
   submit("req-000001");
   pump();
   const std::uint64_t first = poll("req-000001");
@@ -76,12 +76,12 @@
   answer_watch();
   ASSERT_TRUE(placement_is_sent());
   const std::uint64_t cancelled = cancel("req-000001");
-  release_answers(is_watch);
+  release_replies(is_watch);
   EXPECT_FALSE(says(first, "withdrawn"));  // two tasks are placed
-  release_answers(writes_range);
+  release_replies(writes_range);
   const std::uint64_t second = poll("req-000001");
-  holds_answer_ = nullptr;
-  release_answers([](const Call&) { return true; });
+  holds_reply_ = nullptr;
+  release_replies([](const Call&) { return true; });
   run(1000);
   ASSERT_EQ(status(first), 200);
   ASSERT_EQ(status(second), 200);
@@ -91,23 +91,23 @@
 }
 
 // The answer to the write of a job is late; by then its user has cancelled it and been told so.
-TEST_F(LoneAnswers, ASubmissionAnsweredLateSaysWhatHasBecomeOfTheJob) {
-  obeys_ = true;
-  ASSERT_EQ(report(50).status, 200);
-  holds_answer_ = [](const Call& call) {
+TEST_F(SingleControllerReads, LateSubmissionReplyTellsTheCurrentState) {
+  executes_commands_ = true;
+  ASSERT_EQ(heartbeat(50).status, 200);
+  holds_reply_ = [](const Call& call) {
     return call.body.find(R"("write":"job/)") != std::string::npos;
   };
   const std::uint64_t submitted = next_;
   submit("req-000001");
   run(400);  // the watch brings the job, and it is placed
   ASSERT_EQ(status(submitted), 0);
-  const std::vector<std::pair<Call, HttpResult>> late = std::exchange(held_answers_, {});
-  holds_answer_ = nullptr;
+  const std::vector<std::pair<Call, HttpResult>> late = std::exchange(held_replies_, {});
+  holds_reply_ = nullptr;
   const std::uint64_t cancelled = cancel("req-000001");
   run(1000);
   ASSERT_TRUE(says(cancelled, "withdrawn"));
-  held_answers_ = late;
-  release_answers([](const Call&) { return true; });
+  held_replies_ = late;
+  release_replies([](const Call&) { return true; });
   run(100);
   EXPECT_EQ(status(submitted), 201);
   EXPECT_TRUE(says(submitted, "withdrawn")) << answers_[submitted].body;
@@ -128,21 +128,22 @@
 // Small jobs that find room at once, each asked about at all nodes within milliseconds and most of
 // them cancelled at once. The state service's rates are low, so that watches are reopened about ten
 // times a second.
-Options close_looks(std::uint64_t seed, const std::vector<Trouble>& troubles) {
+Options concurrent_reads(std::uint64_t seed, const std::vector<Fault>& faults) {
   Options o;
   o.seed = seed;
-  o.troubles = false;
-  o.busy_ms = 40'000;
-  o.calm_ms = 200'000;
-  o.until_over = true;
+  o.faults = false;
+  o.fault_ms = 40'000;
+  o.recovery_ms = 200'000;
+  o.until_finished = true;
   o.machines = 12;
   o.capacity = 6;
   o.job_every_ms = 250;
   o.largest_array = 12;
   o.gang_tenths = 1;
   o.state_rps = 120;
-  o.planned = {{3000, Trouble::close_looks, 0, 37'000}};
-  for (const Trouble trouble : troubles) o.planned.push_back({3000, trouble, 0, 37'000});
+  o.planned_faults = {{3000, Fault::concurrent_reads, 0, 37'000}};
+  for (const Fault inject_fault : faults)
+    o.planned_faults.push_back({3000, inject_fault, 0, 37'000});
   if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
   return o;
 }
@@ -162,46 +163,46 @@
 }
 
 // How many seeds break a rule.
-int broken_seeds(const std::vector<std::uint64_t>& in_ci, const std::vector<Trouble>& troubles,
-                 bool random_troubles = false) {
-  int broken = 0;
+int seeds_with_violations(const std::vector<std::uint64_t>& in_ci, const std::vector<Fault>& faults,
+                          bool random_troubles = false) {
+  int violations = 0;
   for (const std::uint64_t seed : seeds_or(in_ci)) {
-    Options options = close_looks(seed, troubles);
-    options.troubles = random_troubles;
-    const Result r = World(options).run();
-    EXPECT_TRUE(r.broken.empty()) << "seed " << seed << "\n" << list(r.broken);
+    Options options = concurrent_reads(seed, faults);
+    options.faults = random_troubles;
+    const Result r = SimulatedCluster(options).run();
+    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
     EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
-    EXPECT_GT(r.close_looks, random_troubles ? 10 : 100) << "seed " << seed;
+    EXPECT_GT(r.concurrent_reads, random_troubles ? 10 : 100) << "seed " << seed;
     EXPECT_GT(r.cancelled, 20) << "seed " << seed;
-    broken += r.broken.empty() ? 0 : 1;
+    violations += r.violations.empty() ? 0 : 1;
   }
-  return broken;
+  return violations;
 }
 
 // Besides the first ones, seeds that told users of a cancellation and then that the job runs.
-TEST(Answers, NeverGoBackWhileTheStateServiceIsLate) {
-  EXPECT_EQ(broken_seeds({1, 2, 10, 21, 39, 51}, {Trouble::watch_lags}), 0);
-  EXPECT_EQ(broken_seeds({1, 2, 17, 23, 33, 39}, {Trouble::state_reorders}), 0);
+TEST(Answers, StayMonotonicWithDelayedWatches) {
+  EXPECT_EQ(seeds_with_violations({1, 2, 10, 21, 39, 51}, {Fault::watch_lags}), 0);
+  EXPECT_EQ(seeds_with_violations({1, 2, 17, 23, 33, 39}, {Fault::state_reorders}), 0);
 }
 
-TEST(Answers, NeverGoBackWhenAskedWithinMilliseconds) {
-  EXPECT_EQ(broken_seeds({1, 2, 3, 4}, {}), 0);
+TEST(Answers, StayMonotonicForConcurrentReaders) {
+  EXPECT_EQ(seeds_with_violations({1, 2, 3, 4}, {}), 0);
 }
 
-TEST(Answers, NeverGoBackWhileAnswersAreLost) {
-  EXPECT_EQ(broken_seeds({1, 2, 3, 4}, {Trouble::answers_lost}), 0);
-  EXPECT_EQ(broken_seeds({1, 2, 3, 4}, {Trouble::state_reorders, Trouble::answers_lost}), 0);
+TEST(Answers, StayMonotonicWhileRepliesAreLost) {
+  EXPECT_EQ(seeds_with_violations({1, 2, 3, 4}, {Fault::answers_lost}), 0);
+  EXPECT_EQ(seeds_with_violations({1, 2, 3, 4}, {Fault::state_reorders, Fault::answers_lost}), 0);
 }
 
 // The state service forgets changes that a late watch still needs: everything is read again, page
 // after page, while it changes.
-TEST(Answers, NeverGoBackWhileEverythingIsReadAgain) {
+TEST(Answers, StayMonotonicDuringAFullReload) {
   int read_again = 0;
   for (const std::uint64_t seed : seeds_or({1, 8, 12, 27, 48, 131})) {
-    Options options = close_looks(seed, {Trouble::state_reorders});
+    Options options = concurrent_reads(seed, {Fault::state_reorders});
     options.changes_kept = 5;
-    const Result r = World(options).run();
-    EXPECT_TRUE(r.broken.empty()) << "seed " << seed << "\n" << list(r.broken);
+    const Result r = SimulatedCluster(options).run();
+    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
     EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
     read_again += r.watches_too_old;
   }
@@ -209,8 +210,8 @@
 }
 
 // The same while machines, controllers and links fail.
-TEST(Answers, NeverGoBackAmongOtherTroubles) {
-  EXPECT_EQ(broken_seeds({1, 2, 3, 4, 5, 6}, {Trouble::state_reorders}, true), 0);
+TEST(Answers, StayMonotonicUnderRandomFaults) {
+  EXPECT_EQ(seeds_with_violations({1, 2, 3, 4, 5, 6}, {Fault::state_reorders}, true), 0);
 }
 
 }  // namespace
--- a/tests/scale_sim_test.cpp
+++ b/tests/scale_sim_test.cpp
@@ -23,11 +23,11 @@
   return out;
 }
 
-Options large_fleet(int machines, int controllers, std::vector<Planned> troubles = {}) {
+Options large_fleet(int machines, int controllers, std::vector<PlannedFault> faults = {}) {
   Options o;
   o.seed = 11;
-  o.troubles = false;
-  o.planned = std::move(troubles);
+  o.faults = false;
+  o.planned_faults = std::move(faults);
   o.machines = machines;
   o.controllers = controllers;
   o.capacity = machines / 3 + 100;  // of each zone and kind
@@ -38,7 +38,7 @@
   o.txn_ops = 16;
   o.cloud_rps = 8;
   o.enforces_rates = true;
-  o.report_s = 5;
+  o.heartbeat_interval_s = 5;
   o.lease_s = 29;
   o.gang_wait_s = 50;
   o.gang_peer_s = 8;
@@ -50,9 +50,9 @@
   o.largest_array = 300;
   o.longest_task_s = 40;
   o.limit_cpus = 8000;
-  o.busy_ms = 60'000;
-  o.calm_ms = 300'000;
-  o.until_over = true;
+  o.fault_ms = 60'000;
+  o.recovery_ms = 300'000;
+  o.until_finished = true;
   return o;
 }
 
@@ -70,9 +70,9 @@
 }
 
 Result run_large(const Options& options) {
-  const Result r = World(options).run();
+  const Result r = SimulatedCluster(options).run();
   report(r);
-  EXPECT_TRUE(r.broken.empty()) << lines(r.broken);
+  EXPECT_TRUE(r.violations.empty()) << lines(r.violations);
   EXPECT_TRUE(r.unfinished.empty()) << lines(r.unfinished);
   EXPECT_EQ(r.over_limits, 0);
   EXPECT_LE(r.peak_requests, 150);
@@ -81,43 +81,45 @@
 }
 
 // Longer than a lease, so that every machine begins a new session.
-TEST(LargeFleet, AllMachinesReportAtOnceAfterAllControllersWereAway) {
-  const Result r = run_large(large_fleet(4000, 3, {{20'000, Trouble::all_away, 0, 35'000}}));
+TEST(LargeFleet, AllMachinesReconnectAfterAllControllersWereDown) {
+  const Result r =
+      run_large(large_fleet(4000, 3, {{20'000, Fault::all_controllers_down, 0, 35'000}}));
   EXPECT_GE(r.machines_heard, r.machines * 99 / 100);
 }
 
 TEST(LargeFleet, SixThousandMachinesOnFiveControllers) {
-  const Result r = run_large(large_fleet(6000, 5, {{20'000, Trouble::crash_all, 0, 0}}));
+  const Result r = run_large(large_fleet(6000, 5, {{20'000, Fault::all_controllers_crash, 0, 0}}));
   EXPECT_GE(r.machines_heard, r.machines * 99 / 100);
 }
 
-TEST(LargeFleet, OneOfFiveControllersIsLeft) {
-  std::vector<Planned> away;
+TEST(LargeFleet, OneOfFiveControllersSurvives) {
+  std::vector<PlannedFault> controller_down;
   for (std::size_t node = 1; node < 5; ++node)
-    away.push_back({20'000 + static_cast<Ms>(node) * 300, Trouble::away, node, 40'000});
-  const Result r = run_large(large_fleet(4000, 5, std::move(away)));
+    controller_down.push_back(
+        {20'000 + static_cast<Ms>(node) * 300, Fault::controller_down, node, 40'000});
+  const Result r = run_large(large_fleet(4000, 5, std::move(controller_down)));
   EXPECT_GE(r.machines_heard, r.machines * 99 / 100);
 }
 
 // It comes back while its machines are handed over, and ends again within a second.
-TEST(LargeFleet, AControllerReturnsDuringTheHandOverAndEndsAgain) {
-  run_large(large_fleet(6000, 3, {{20'000, Trouble::hand_back, 1, 6000}}));
+TEST(LargeFleet, ControllerReturnsDuringFailoverAndCrashesAgain) {
+  run_large(large_fleet(6000, 3, {{20'000, Fault::failback, 1, 6000}}));
 }
 
 // A controller is cut from the state service while much changes, and the service forgets changes
 // soon: the whole state is read again while it goes on changing.
-TEST(LargeFleet, TheStateIsReadAnewWhileItChanges) {
+TEST(LargeFleet, StateIsReloadedWhileItChanges) {
   Options o = large_fleet(
       4000, 3,
-      {{20'000, Trouble::cut_from_state, 0, 15'000}, {40'000, Trouble::cut_from_state, 1, 12'000}});
+      {{20'000, Fault::cut_from_state, 0, 15'000}, {40'000, Fault::cut_from_state, 1, 12'000}});
   o.changes_kept = 60;
   const Result r = run_large(o);
   EXPECT_GT(r.watches_too_old, 0);
 }
 
 // The same with a service that keeps them all, so that the answer is larger than what is taken in.
-TEST(LargeFleet, AnAnswerThatIsTooLargeIsReadInPages) {
-  Options o = large_fleet(4000, 3, {{20'000, Trouble::cut_from_state, 0, 40'000}});
+TEST(LargeFleet, OversizedWatchReplyIsReadInPages) {
+  Options o = large_fleet(4000, 3, {{20'000, Fault::cut_from_state, 0, 40'000}});
   o.memory_mb = 4;  // a mebibyte of one answer
   o.state_writes_per_s = 200;
   o.job_every_ms = 150;
@@ -135,10 +137,10 @@
   o.one_large_array = true;
   o.longest_task_s = 8;
   o.job_every_ms = 3'000;
-  o.busy_ms = 40'000;
+  o.fault_ms = 40'000;
   // Some four minutes of the array, then a fleet that shrinks by a thirtieth a second.
-  o.calm_ms = 620'000;
-  o.until_over = false;
+  o.recovery_ms = 620'000;
+  o.until_finished = false;
   // At 20 changes a second the array takes seven minutes; here it is the fleet that is looked at.
   o.state_writes_per_s = 60;
   o.worker_step_ms = 500;
@@ -148,25 +150,25 @@
   EXPECT_LT(r.machines, 400);
 }
 
-TEST(LargeFleet, ASpotWaveTakesAThird) {
-  Options o = large_fleet(4000, 5, {{25'000, Trouble::spot_wave, 0, 0}});
+TEST(LargeFleet, SpotPreemptionWaveTakesAThird) {
+  Options o = large_fleet(4000, 5, {{25'000, Fault::spot_wave, 0, 0}});
   o.spot_every = 1;  // all of them: the wave takes a third of the spot machines
   run_large(o);
 }
 
-TEST(LargeFleet, AZoneOfAThousandIsCutForLongerThanALease) {
-  run_large(large_fleet(4000, 5, {{20'000, Trouble::zone_cut, 0, 45'000}}));
+TEST(LargeFleet, ZoneOfAThousandPartitionedBeyondALease) {
+  run_large(large_fleet(4000, 5, {{20'000, Fault::zone_cut, 0, 45'000}}));
 }
 
 // Of the controllers, the one that coordinates most.
-TEST(LargeFleet, TheStateServiceRefusesOneWhileAThousandJobsAreCancelled) {
-  Options o = large_fleet(4000, 5, {{74'000, Trouble::state_refuses_one, 0, 20'000}});
+TEST(LargeFleet, StateServiceRefusesOneDuringAThousandCancellations) {
+  Options o = large_fleet(4000, 5, {{74'000, Fault::state_refuses_one, 0, 20'000}});
   o.job_every_ms = 60;
   o.largest_array = 6;
   o.longest_task_s = 120;
   o.state_writes_per_s = 60;
-  o.busy_ms = 100'000;
-  o.calm_ms = 500'000;
+  o.fault_ms = 100'000;
+  o.recovery_ms = 500'000;
   o.jobs_until_ms = 73'500;
   o.cancels = {{75'000, 1.0}};
   const Result r = run_large(o);
@@ -179,10 +181,10 @@
   o.upgrade_from = 30'000;
   o.limits_drop_at = 60'000;
   o.limits_after = {8, 2 * 1024, 20};
-  o.busy_ms = 90'000;
-  const Result r = World(o).run();
+  o.fault_ms = 90'000;
+  const Result r = SimulatedCluster(o).run();
   report(r);
-  EXPECT_TRUE(r.broken.empty()) << lines(r.broken);
+  EXPECT_TRUE(r.violations.empty()) << lines(r.violations);
   EXPECT_TRUE(r.unfinished.empty()) << lines(r.unfinished);
   EXPECT_GT(r.oversized_at_upgrade, 20);
 }
--- a/tests/services_sim_test.cpp
+++ b/tests/services_sim_test.cpp
@@ -27,16 +27,16 @@
   o.replicas_end = 0.05;
   o.machines = 12;
   o.capacity = 6;
-  o.calm_ms = 600'000;
-  o.until_over = true;
+  o.recovery_ms = 600'000;
+  o.until_finished = true;
   if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
   return o;
 }
 
 // Of one kind, every so often.
-void often(Options& o, Trouble kind, Ms from, Ms every, Ms lasts, std::size_t node = 0) {
-  for (Ms at = from; at < o.busy_ms - 5000; at += every)
-    o.planned.push_back({at, kind, node, lasts});
+void often(Options& o, Fault kind, Ms from, Ms every, Ms lasts, std::size_t node = 0) {
+  for (Ms at = from; at < o.fault_ms - 5000; at += every)
+    o.planned_faults.push_back({at, kind, node, lasts});
 }
 
 bool only_other_seed(std::uint64_t seed) {
@@ -45,7 +45,7 @@
 }
 
 void expect_rules_hold(const Result& r, std::uint64_t seed) {
-  EXPECT_TRUE(r.broken.empty()) << "seed " << seed << "\n" << list(r.broken);
+  EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
   EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
   EXPECT_GT(r.services, 0) << "seed " << seed;
 }
@@ -57,8 +57,8 @@
 
 TEST(Services, RunUntilCancelledOnAQuietDay) {
   Options o = with_services(7);
-  o.troubles = false;
-  const Result r = World(o).run();
+  o.faults = false;
+  const Result r = SimulatedCluster(o).run();
   expect_rules_hold(r, o.seed);
   EXPECT_GT(r.services, 8);
   EXPECT_GT(r.replica_s_due, 500);
@@ -66,14 +66,14 @@
 }
 
 // A third of the replicas end by themselves, done or in error.
-TEST(Services, ReplicasThatEndRunAgain) {
+TEST(Services, EndedReplicasRunAgain) {
   int ended = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     if (only_other_seed(seed)) continue;
     Options o = with_services(seed);
-    o.troubles = false;
+    o.faults = false;
     o.replicas_end = 0.33;
-    const Result r = World(o).run();
+    const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
     EXPECT_GE(r.replica_restarts, r.replicas_ended / 2) << "seed " << seed;
     ended += r.replicas_ended;
@@ -83,10 +83,10 @@
 
 class ServicesUnderTroubles : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(ServicesUnderTroubles, RulesHoldAndEverythingEnds) {
+TEST_P(ServicesUnderTroubles, InvariantsHoldAndAllJobsEnd) {
   Options o = with_services(GetParam());
   if (o.seed % 3 == 0) o.longest_task_s = 30;
-  const Result r = World(o).run();
+  const Result r = SimulatedCluster(o).run();
   expect_rules_hold(r, o.seed);
   EXPECT_EQ(r.over_limits, 0);
 }
@@ -104,13 +104,13 @@
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     if (only_other_seed(seed)) continue;
     Options o = with_services(seed);
-    o.troubles = false;
+    o.faults = false;
     o.services = 0.4;
     o.replicas_end = 0;
-    often(o, Trouble::machine_dies, 10'000, 4'000, 0);
-    if (seed % 2 == 0) often(o, Trouble::spot_wave, 20'000, 20'000, 0);
-    if (seed % 3 == 0) often(o, Trouble::machine_noticed, 12'000, 5'000, 0);
-    const Result r = World(o).run();
+    often(o, Fault::machine_dies, 10'000, 4'000, 0);
+    if (seed % 2 == 0) often(o, Fault::spot_wave, 20'000, 20'000, 0);
+    if (seed % 3 == 0) often(o, Fault::preemption_notice, 12'000, 5'000, 0);
+    const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
     restarts += r.replica_restarts;
   }
@@ -120,22 +120,22 @@
 // Where workers report every 5 s a dead machine was asked after 7 s and returned after 11 s, and
 // its replicas were begun on others that had died with it. Machines with replicas are asked sooner,
 // and replicas go to machines that were heard lately.
-TEST(Services, AreBackSoonThoughReportsAreRare) {
+TEST(Services, RestartSoonDespiteRareHeartbeats) {
   int back = 0;
   Ms away_ms = 0;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
     if (only_other_seed(seed)) continue;
     Options o = with_services(seed);
-    o.troubles = false;
+    o.faults = false;
     o.services = 0.4;
     o.replicas_end = 0;
-    o.report_s = 5;
+    o.heartbeat_interval_s = 5;
     o.lease_s = 22;
     o.dead_listed_ms = 30'000;
     o.capacity = 12;
-    o.busy_ms = 120'000;
-    for (const Ms after : {0, 300, 600}) often(o, Trouble::machine_dies, 20'000 + after, 25'000, 0);
-    const Result r = World(o).run();
+    o.fault_ms = 120'000;
+    for (const Ms after : {0, 300, 600}) often(o, Fault::machine_dies, 20'000 + after, 25'000, 0);
+    const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
     back += r.replicas_back;
     away_ms += r.replicas_away_ms;
@@ -148,20 +148,20 @@
 // have left two messages unanswered, most others have not been asked yet. Some move all the same,
 // as a controller in the zone leaves the view: 37 and 40 of two versions in thirty runs; without
 // presumed_dead's look at the others 71 do.
-TEST(Services, AShortCutMovesFewReplicas) {
+TEST(Services, ShortPartitionMovesFewReplicas) {
   int services = 0, restarts = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     if (only_other_seed(seed)) continue;
     Options o = with_services(seed);
-    o.troubles = false;
+    o.faults = false;
     o.services = 0.2;
     o.replicas_end = 0;
-    o.report_s = 5;
+    o.heartbeat_interval_s = 5;
     o.lease_s = 22;
     o.machines = 24;
     o.capacity = 12;
-    o.planned = {{45'000, Trouble::zone_cut, seed % 3, 15'000}};
-    const Result r = World(o).run();
+    o.planned_faults = {{45'000, Fault::zone_cut, seed % 3, 15'000}};
+    const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
     services += r.services;
     restarts += r.replica_restarts;
@@ -170,16 +170,16 @@
   EXPECT_LE(restarts, 42);
 }
 
-TEST(Services, ZonesCutOff) {
+TEST(Services, ZonesPartitioned) {
   int restarts = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     if (only_other_seed(seed)) continue;
     Options o = with_services(seed);
-    o.troubles = false;
+    o.faults = false;
     o.services = 0.4;
-    o.planned = {{25'000, Trouble::zone_cut, seed % 3, 40'000}};
-    if (seed > 3) o.planned.push_back({32'000, Trouble::crash_one, seed % 2, 0});
-    const Result r = World(o).run();
+    o.planned_faults = {{25'000, Fault::zone_cut, seed % 3, 40'000}};
+    if (seed > 3) o.planned_faults.push_back({32'000, Fault::controller_crash, seed % 2, 0});
+    const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
     restarts += r.replica_restarts;
   }
@@ -191,12 +191,12 @@
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     if (only_other_seed(seed)) continue;
     Options o = with_services(seed);
-    o.troubles = false;
+    o.faults = false;
     o.services = 0.5;
     o.cancel_s = 12;
     o.limit_cpus = 80;
-    often(o, Trouble::cancel_now, 15'000, 13'000, 2'000 + 900 * static_cast<Ms>(seed));
-    const Result r = World(o).run();
+    often(o, Fault::cancel_now, 15'000, 13'000, 2'000 + 900 * static_cast<Ms>(seed));
+    const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
     hanging += r.cancelled_hanging;
   }
@@ -223,16 +223,16 @@
 
 // In half of the runs what the production version has stored is larger than what may be written
 // from then on.
-TEST_P(StateLimitsDrop, NothingIsTooLargeAndEverythingEnds) {
+TEST_P(StateLimitsDrop, RecordsFitTheLimitsAndAllJobsEnd) {
   Options o = full_backlog(GetParam());
-  o.troubles = false;
+  o.faults = false;
   const bool after_an_upgrade = o.seed % 2 == 0;
   if (after_an_upgrade) {
     o.upgrade_from = 22'000;
     o.upgrade_every = 5'000;
   }
-  if (o.seed > 2) o.planned = {{70'000, Trouble::crash_all, 0, 0}};
-  const Result r = World(o).run();
+  if (o.seed > 2) o.planned_faults = {{70'000, Fault::all_controllers_crash, 0, 0}};
+  const Result r = SimulatedCluster(o).run();
   expect_rules_hold(r, o.seed);
   EXPECT_EQ(r.over_limits, 0);
   if (after_an_upgrade) {
@@ -249,14 +249,14 @@
 
 class Upgrade : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Upgrade, RulesHoldWhileControllersAreReplaced) {
+TEST_P(Upgrade, InvariantsHoldDuringARollingUpgrade) {
   Options o = with_services(GetParam());
   o.services = 0.5;
   o.upgrade_from = 15'000;
   // One after the other, or the second while the first comes back.
   o.upgrade_every = o.seed % 3 == 0 ? 1'000 : 9'000;
   if (o.seed % 2 == 0) o.limits_drop_at = 80'000;
-  const Result r = World(o).run();
+  const Result r = SimulatedCluster(o).run();
   expect_rules_hold(r, o.seed);
   EXPECT_EQ(r.over_limits, 0);
 }
@@ -268,27 +268,27 @@
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     if (only_other_seed(seed)) continue;
     Options o = with_services(seed);
-    o.troubles = false;
+    o.faults = false;
     o.services = 0.5;
     o.upgrade_from = 15'000;
     o.upgrade_every = 10'000;
     for (Ms k = 0; k < 4; ++k)
-      o.planned.push_back({11'000 + 8'000 * k, Trouble::crash_one, (seed + k) % 3, 0});
-    if (seed % 2 == 0) o.planned.push_back({29'000, Trouble::crash_all, 0, 0});
-    if (seed % 3 == 0) o.planned.push_back({23'000, Trouble::stands_still, seed % 2, 9'000});
-    const Result r = World(o).run();
+      o.planned_faults.push_back({11'000 + 8'000 * k, Fault::controller_crash, (seed + k) % 3, 0});
+    if (seed % 2 == 0) o.planned_faults.push_back({29'000, Fault::all_controllers_crash, 0, 0});
+    if (seed % 3 == 0) o.planned_faults.push_back({23'000, Fault::process_pause, seed % 2, 9'000});
+    const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
   }
 }
 
 // ---- the referee ----
 
-int broken_runs(Options o, const std::string& rule, std::uint64_t seeds) {
+int runs_with_violations(Options o, const std::string& rule, std::uint64_t seeds) {
   int n = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     o.seed = seed;
-    const Result r = World(o).run();
-    n += std::any_of(r.broken.begin(), r.broken.end(),
+    const Result r = SimulatedCluster(o).run();
+    n += std::any_of(r.violations.begin(), r.violations.end(),
                      [&](const auto& b) { return b.starts_with(rule); });
   }
   return n;
@@ -296,13 +296,13 @@
 
 Options quiet_services() {
   Options o = with_services(1);
-  o.troubles = false;
-  o.busy_ms = 50'000;
-  o.calm_ms = 150'000;
+  o.faults = false;
+  o.fault_ms = 50'000;
+  o.recovery_ms = 150'000;
   return o;
 }
 
-TEST(RefereeOfServices, SeesServicesCalledDone) {
+TEST(ServiceInvariantChecker, DetectsServicesReportedDone) {
   Options o = quiet_services();
   o.services = 1;
   o.forge = [](const Request& r, Ms now, int& status, std::string& body) {
@@ -310,19 +310,19 @@
     const auto at = body.find("running");
     if (at != std::string::npos) body.replace(at, 7, "done");
   };
-  EXPECT_EQ(broken_runs(o, "not_done", 2), 2);
+  EXPECT_EQ(runs_with_violations(o, "not_done", 2), 2);
 }
 
-TEST(RefereeOfServices, SeesReplicasThatAreNotStartedAgain) {
+TEST(ServiceInvariantChecker, DetectsReplicasNotRestarted) {
   Options o = quiet_services();
   o.replicas_end = 0.1;
-  EXPECT_EQ(broken_runs(o, "service_down", 3), 0);
+  EXPECT_EQ(runs_with_violations(o, "service_down", 3), 0);
   o.replicas_end = 1;
   o.starts_ignored_from = 50'000;
-  EXPECT_EQ(broken_runs(o, "service_down", 3), 3);
+  EXPECT_EQ(runs_with_violations(o, "service_down", 3), 3);
 }
 
-TEST(RefereeOfServices, SeesServicesOverTheLimitOfTheirTeam) {
+TEST(ServiceInvariantChecker, DetectsServicesOverTheirQuota) {
   Options o = quiet_services();
   o.services = 1;
   o.forge = [](const Request& r, Ms, int& status, std::string& body) {
@@ -330,17 +330,17 @@
     status = 201;
     body = R"({"id":"req-000001","status":"pending"})";
   };
-  EXPECT_GT(broken_runs(o, "accepted_wrong", 3), 0);
+  EXPECT_GT(runs_with_violations(o, "accepted_wrong", 3), 0);
 }
 
-TEST(RefereeOfServices, SeesServicesRefusedThatCanRun) {
+TEST(ServiceInvariantChecker, DetectsRefusedServicesThatCanRun) {
   for (const int refusal : {400, 422}) {
     Options o = quiet_services();
     o.forge = [refusal](const Request& r, Ms, int& status, std::string&) {
       if (r.path == "/v1/jobs" && r.body.find("\"daemon\"") != std::string::npos && status == 201)
         status = refusal;
     };
-    EXPECT_EQ(broken_runs(o, "refused_wrong", 2), 2) << refusal;
+    EXPECT_EQ(runs_with_violations(o, "refused_wrong", 2), 2) << refusal;
   }
 }
 
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -33,34 +33,34 @@
 
 // ---- submissions ----
 
-class LoneController : public Alone {
+class SingleControllerJobs : public SingleControllerTest {
  protected:
   std::uint64_t post(const std::string& body) {
     const std::uint64_t request = next_++;
-    core_->on_request(now_, request, {"POST", "/v1/jobs", body});
+    controller_->on_request(now_, request, {"POST", "/v1/jobs", body});
     pump();
     return request;
   }
   std::string poll(const std::string& id) {
     const std::uint64_t request = next_++;
-    core_->on_request(now_, request, {"GET", "/v1/jobs/" + id, ""});
+    controller_->on_request(now_, request, {"GET", "/v1/jobs/" + id, ""});
     run(200);
     return answers_[request].body;
   }
   void start_anew(const Settings& settings) {
     settings_ = settings;
-    late_.clear();
-    state_ = sim::StateStandIn();
-    core_ = std::make_unique<Controller>(settings_, 9);
-    core_->start(now_, now_);
+    timeouts_.clear();
+    state_ = sim::FakeStateService();
+    controller_ = std::make_unique<Controller>(settings_, 9);
+    controller_->start(now_, now_);
     run(3000);
-    obeys_ = true;
-    report(50);
+    executes_commands_ = true;
+    heartbeat(50);
     run(1000);
   }
 };
 
-TEST_F(LoneController, AServiceIsReadAndBadOnesAreRefused) {
+TEST_F(SingleControllerJobs, AServiceIsReadAndBadOnesAreRefused) {
   const std::string good = service_body("req-000001");
   wire::JobSpec spec;
   EXPECT_EQ(wire::parse_job(good, spec), "");
@@ -76,22 +76,23 @@
   EXPECT_EQ(status(no_replicas), 400);
 }
 
-TEST_F(LoneController, AllReplicasTogetherMustFitTheLimitOfTheirTeam) {
+TEST_F(SingleControllerJobs, AllReplicasMustFitTheirQuota) {
   Settings limited = settings_;
   limited.teams = {{"t", 0, 3, 0, 0}};
   start_anew(limited);
   const std::uint64_t more = post(service_body("req-000001", 4));
   const std::uint64_t just = post(service_body("req-000002", 3));
-  const std::uint64_t apart = post(replaced(service_body("req-000003", 2), R"("scatter":false)",
-                                            R"("scatter":true)"));  // there is one zone
+  const std::uint64_t partitioned =
+      post(replaced(service_body("req-000003", 2), R"("scatter":false)",
+                    R"("scatter":true)"));  // there is one zone
   run(500);
   EXPECT_EQ(status(more), 422);
   EXPECT_EQ(status(just), 201);
-  EXPECT_EQ(status(apart), 422);
+  EXPECT_EQ(status(partitioned), 422);
 }
 
 // Before every configured controller announces the format, at once and with a time to come back.
-TEST_F(LoneController, UntilAllControllersReadServicesTheyAreAnsweredLater) {
+TEST_F(SingleControllerJobs, ServicesAreUnavailableUntilAllControllersReadThem) {
   Settings with_peer = settings_;
   with_peer.peers = {{"puffin-1", "a", "puffin-1:1"}};
   start_anew(with_peer);
@@ -133,7 +134,7 @@
   EXPECT_EQ(status(later), 201);
 }
 
-TEST_F(LoneController, AControllerOfTheFirstFormatKnowsNoServices) {
+TEST_F(SingleControllerJobs, AControllerOfTheFirstFormatKnowsNoServices) {
   Settings former = settings_;
   former.record_format = wire::kFirstFormat;
   start_anew(former);
@@ -144,18 +145,18 @@
 
 // ---- restarts ----
 
-TEST_F(LoneController, AReplicaThatSaysDoneRunsAgainAndTheServiceIsNeverDone) {
+TEST_F(SingleControllerJobs, CompletedReplicaRunsAgainAndServiceIsNeverDone) {
   start_anew(settings_);
   const std::uint64_t accepted = post(service_body("req-000001"));
   run(1000);
   EXPECT_EQ(status(accepted), 201);
   EXPECT_EQ(tasks_.size(), 2U);
   run(k::kServiceSettledMs);
-  report(100);
-  cause_ = "done";
+  heartbeat(100);
+  exit_cause_ = "done";
   const int before = starts_;
   tasks_.begin()->second = true;
-  report(200);
+  heartbeat(200);
   run(1000);
   EXPECT_GT(starts_, before);
   const std::string answer = poll("req-000001");
@@ -164,21 +165,21 @@
 }
 
 // The worker of the only machine keeps the result and ends every further attempt at once.
-TEST_F(LoneController, InstantEndsAreBackedOff) {
+TEST_F(SingleControllerJobs, InstantExitsAreBackedOff) {
   start_anew(settings_);
   post(service_body("req-000001", 1));
   run(1000);
   ASSERT_EQ(tasks_.size(), 1U);
-  cause_ = "done";
+  exit_cause_ = "done";
   for (int second = 0; second < 60; ++second) {
     for (auto& [task, exited] : tasks_) exited = true;
-    report(1000 + static_cast<std::uint64_t>(second) * 10);
+    heartbeat(1000 + static_cast<std::uint64_t>(second) * 10);
     run(1000);
   }
   EXPECT_LE(starts_, 12);
 }
 
-TEST_F(LoneController, ACalledOffServiceIsToldOnceItsReplicasAreGone) {
+TEST_F(SingleControllerJobs, CancelledServiceIsConfirmedOnceReplicasAreGone) {
   start_anew(settings_);
   post(service_body("req-000001"));
   run(1000);
@@ -194,7 +195,7 @@
   EXPECT_EQ(starts_, before);
 }
 
-TEST(FailureTracker, AKeptResultIsAvoidedForLongAndCondemnsNoMachine) {
+TEST(FailureTracker, KeptResultIsAvoidedWithoutQuarantine) {
   FailureTracker health;
   const wire::TaskId replica{"req-000001", 3};
   health.on_result_kept(1000, "m", replica);
@@ -255,7 +256,7 @@
   }
 }
 
-TEST(RangeSplit, WhatFitsIsLeftAsItIs) {
+TEST(RangeSplit, FittingRangeIsUnchanged) {
   const wire::RangeRecord range = large_range(200, 20);
   const auto pieces = split_to_fit(range, 2048);
   ASSERT_EQ(pieces.size(), 1U);
@@ -311,7 +312,7 @@
 
 // While a group is cut, what was heard of its machines stands in records of the former group, and
 // the two changes may be read in either order.
-TEST(MachineGroups, WhatWasHeardFollowsInEitherOrder) {
+TEST(MachineGroups, ContactsFollowTheirMachinesInEitherOrder) {
   const wire::ShardRecord::Contact heard{"n-1:1", 5, wire::MachineState::quarantined, 9};
   wire::FleetRecord fleet;
   fleet.machines["n-1"] = {"n-1:1", "g", "a", false};
@@ -346,7 +347,7 @@
 
 // Large records that the former version has stored are cut once all controllers read the format,
 // and the limits may fall at any moment after that.
-TEST_F(LoneController, StoredRecordsAreCutBeforeTheLimitsFall) {
+TEST_F(SingleControllerJobs, OversizedRecordsAreSplitBeforeLimitsDrop) {
   Settings lower = settings_;
   lower.stored_value_kb = 8;
   lower.value_kb = 2;
@@ -381,14 +382,14 @@
     }
   }
   EXPECT_EQ(machines.size(), 71U);
-  const auto* machine = core_->replica().machine("n-100033");
+  const auto* machine = controller_->replica().machine("n-100033");
   ASSERT_TRUE(machine);
   EXPECT_EQ(machine->state, wire::MachineState::quarantined);
   EXPECT_EQ(machine->incarnation, 4U);
 }
 
 // More ranges than one transaction has conditions for: their job still ends, and all are removed.
-TEST_F(LoneController, AJobOfManyRangesEndsUnderLowLimits) {
+TEST_F(SingleControllerJobs, AJobOfManyRangesEndsUnderLowLimits) {
   Settings low = settings_;
   low.value_kb = 2;
   low.txn_ops = 8;
--- a/tests/sim/cluster_members.h
+++ b/tests/sim/cluster_members.h
@@ -28,7 +28,7 @@
   return std::string(s.size() < 6 ? 6 - s.size() : 0, '0') + s;
 }
 
-struct World::Node {
+struct SimulatedCluster::SimulatedController {
   std::string name, zone;
   std::unique_ptr<Controller> controller;
   std::uint64_t generation = 0;
@@ -36,19 +36,19 @@
   bool refused_by_state = false, cut_from_workers = false, cut_from_state = false;
   bool cut_from_peers = false;
   Ms isolated_since = 0, away_until = 0;
-  bool still = false;
-  std::vector<std::function<void(Controller&)>> held;              // what came while it stood still
+  bool paused = false;
+  std::vector<std::function<void(Controller&)>> delayed_inputs;    // what came while it stood still
   std::map<std::uint64_t, std::pair<std::string, Respond>> asked;  // request -> path, answer
 };
 
-struct World::Cloud {
+struct SimulatedCluster::SimulatedCloud {
   struct Machine {
     std::string zone;
     bool spot = false, failed = false;
     Ms rented = 0, up = 0, listed = 0;
   };
   std::map<std::string, Machine> machines;
-  std::map<std::string, std::vector<std::string>> hires;
+  std::map<std::string, std::vector<std::string>> scale_outs;
   bool outage = false;
   double requests_left = 0;  // of the rate, with a burst of two seconds' worth (PROTOCOL)
   Ms counted_at = 0;
@@ -63,7 +63,7 @@
   }
 };
 
-struct World::Worker {
+struct SimulatedCluster::SimulatedWorker {
   struct Task {
     std::uint64_t attempt = 0;
     TaskState state = TaskState::fetching;
@@ -79,20 +79,20 @@
   };
   std::string id, zone, address;
   bool spot = false, up = false, dead = false, hanging = false, sick = false;
-  Ms deaf_since = 0, mute_since = 0;
+  Ms unreachable_since = 0, heartbeats_lost_since = 0;
   Ms unserved_since = 0;  // a cut began, and no controller's word has reached it since
   std::uint64_t life = 1;
   std::uint64_t incarnation = 1, sequence = 0, token = 0;
-  Ms lease_from = 0, report_at = 0, waits_until = 0;
+  Ms lease_from = 0, next_heartbeat_at = 0, waits_until = 0;
   bool reporting = false, changed = false;
-  std::uint64_t report_number = 0;
+  std::uint64_t heartbeat_number = 0;
   std::size_t node = 0;
   Ms notice_ends = 0;
   std::map<wire::TaskId, Task> tasks;
   std::set<wire::TaskId> results_kept;  // replicas that were done here end at once from then on
 };
 
-struct World::UserJob {
+struct SimulatedCluster::SubmittedJob {
   wire::JobSpec spec;
   double work_ms = 0;
   bool uneven = false;  // each task has four times as much more to do as the first
--- a/tests/sim/fake_state_service.h
+++ b/tests/sim/fake_state_service.h
@@ -50,7 +50,7 @@
   double writes_per_s = 0;  // 0: no limit
 };
 
-struct StateStandIn {
+struct FakeStateService {
   StateLimits limits;
   int over_limits = 0;  // transactions refused with 400 for their size
   int throttled = 0;    // transactions refused with 429 for their rate
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -10,19 +10,19 @@
 
 namespace scheduler::sim {
 
-void World::check_start(Worker& w, const wire::TaskId& task) {
+void SimulatedCluster::check_start(SimulatedWorker& w, const wire::TaskId& task) {
   auto& job = jobs_.at(task.job);
   const std::string name = wire::task_name(task.job, task.index);
-  if (!job.accepted && !job.asked_cancel && job.spec.id.empty()) broke("invented", name);
+  if (!job.accepted && !job.asked_cancel && job.spec.id.empty()) report_violation("invented", name);
   check_cancelled_start(job, task, w);
-  if (w.spot && !job.spec.spot) broke("wrong_place", name + " on a spot machine");
+  if (w.spot && !job.spec.spot) report_violation("wrong_place", name + " on a spot machine");
   if (!job.spec.zone.empty() && w.zone != job.spec.zone)
-    broke("wrong_place", name + " in " + w.zone);
+    report_violation("wrong_place", name + " in " + w.zone);
   for (const auto& id : started_on_[task]) {
-    const Worker& other = *workers_.at(id);
+    const SimulatedWorker& other = *workers_.at(id);
     const auto there = other.tasks.find(task);
     if (&other != &w && !other.dead && there != other.tasks.end() && there->second.present)
-      broke("ran_twice", name + " starts on " + w.id + " while on " + id);
+      report_violation("ran_twice", name + " starts on " + w.id + " while on " + id);
   }
   if (!job.spec.one_zone && !job.spec.spread) return;
   std::size_t here = 1;
@@ -31,22 +31,24 @@
     for (auto& [t, s] : other->tasks) {
       if (t.job != task.job || !s.present || t.index == task.index) continue;
       if (job.spec.one_zone && other->zone != w.zone)
-        broke("wrong_place", name + " starts in " + w.zone + ", others are in " + other->zone);
+        report_violation("wrong_place",
+                         name + " starts in " + w.zone + ", others are in " + other->zone);
       if (other->zone == w.zone) ++here;
     }
   }
   if (job.spec.spread && here > (job.spec.tasks + 1) / 2)
-    broke("wrong_place", name + ": too many in " + w.zone);
+    report_violation("wrong_place", name + ": too many in " + w.zone);
 }
 
 // Once its user was told that the job is cancelled, nothing of it may start, not even for a moment.
-void World::check_cancelled_start(const UserJob& job, const wire::TaskId& task, const Worker& w) {
+void SimulatedCluster::check_cancelled_start(const SubmittedJob& job, const wire::TaskId& task,
+                                             const SimulatedWorker& w) {
   if (job.told_cancelled)
-    broke("started_cancelled", wire::task_name(task.job, task.index) + " on " + w.id);
+    report_violation("started_cancelled", wire::task_name(task.job, task.index) + " on " + w.id);
 }
 
 // Why the job can never run, or "". Machines of the one type have 8 CPUs and 32 GB.
-std::string World::reason_never_to_run(const wire::JobSpec& s) const {
+std::string SimulatedCluster::reason_never_to_run(const wire::JobSpec& s) const {
   const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
                                  [&](const auto& t) { return t.name == s.team; });
   const bool zone =
@@ -62,12 +64,12 @@
 }
 
 // What can never run must not be accepted.
-void World::check_accepted(const UserJob& job) {
+void SimulatedCluster::check_accepted(const SubmittedJob& job) {
   const std::string reason = reason_never_to_run(job.spec);
-  if (!reason.empty()) broke("accepted_wrong", job.spec.id + " " + reason);
+  if (!reason.empty()) report_violation("accepted_wrong", job.spec.id + " " + reason);
 }
 
-double World::free_cpus(const Worker& w) const {
+double SimulatedCluster::free_cpus(const SimulatedWorker& w) const {
   if (!w.up || w.dead || w.hanging || w.notice_ends) return 0;
   double free = 8;
   for (const auto& [task, t] : w.tasks)
@@ -76,7 +78,8 @@
 }
 
 // Whether anything of the job could start now: one task of an array, all of a gang.
-bool World::has_room(const UserJob& job, const std::map<std::string, double>& used) const {
+bool SimulatedCluster::has_room(const SubmittedJob& job,
+                                const std::map<std::string, double>& used) const {
   const auto& s = job.spec;
   const std::size_t needed = s.is_gang() ? s.tasks : 1;
   for (const auto& t : settings_.teams) {
@@ -98,7 +101,7 @@
 }
 
 // By team, counting what is still fetching its image.
-std::map<std::string, double> World::used_cpus() const {
+std::map<std::string, double> SimulatedCluster::used_cpus() const {
   std::map<std::string, double> used;
   for (const auto& [id, w] : workers_)
     for (const auto& [task, t] : w->tasks)
@@ -107,7 +110,7 @@
   return used;
 }
 
-void World::check_waiting() {
+void SimulatedCluster::check_waiting() {
   constexpr Ms kPatience = 90'000;
   const std::map<std::string, double> used = used_cpus();
   std::set<std::string> placed;
@@ -121,34 +124,34 @@
     if (!waits) j.waits_since = 0;
     if (waits && j.waits_since == 0) j.waits_since = now_;
     if (waits && now_ - j.waits_since > kPatience) {
-      broke("waited", id + ": 90 s without a start, with room for it");
+      report_violation("waited", id + ": 90 s without a start, with room for it");
       j.waits_since = now_;
     }
   }
   const bool over = std::all_of(jobs_.begin(), jobs_.end(), [](const auto& entry) {
-    const UserJob& j = entry.second;
+    const SubmittedJob& j = entry.second;
     return !j.accepted || j.told_done || j.told_cancelled;
   });
-  if (options_.until_over && over && over_since_ == 0) over_since_ = now_;
+  if (options_.until_finished && over && over_since_ == 0) over_since_ = now_;
 }
 
-void World::check_all() {
+void SimulatedCluster::check_all() {
   std::map<std::string, double> used;
   for (auto& [id, w] : workers_) {
     if (w->dead || !w->up) continue;
-    worker_lease(*w);  // a hanging machine's lease runs out as well
+    expire_worker_lease(*w);  // a hanging machine's lease runs out as well
     for (auto& [task, t] : w->tasks) {
       if (!t.present) continue;
       auto& job = jobs_.at(task.job);
       used[job.spec.team] += job.spec.cpus;
       if (job.cancelled_at && now_ - job.cancelled_at > settings_.cancel_s * 1000)
-        broke("ran_cancelled", wire::task_name(task.job, task.index) + " on " + id);
+        report_violation("ran_cancelled", wire::task_name(task.job, task.index) + " on " + id);
     }
   }
-  if (calm_) {
+  if (recovering_) {
     for (auto& [id, j] : jobs_)
       if (j.accepted && now_ - j.answered_at > 75'000) {
-        broke("forgotten", id + ": no question answered for 75 s");
+        report_violation("forgotten", id + ": no question answered for 75 s");
         j.answered_at = now_;
       }
   }
@@ -156,10 +159,11 @@
     result_.most_used[team] = std::max(result_.most_used[team], cpus);
   for (const auto& t : settings_.teams)
     if (t.cpus_max > 0 && used[t.name] > t.cpus_max + 1e-6)
-      broke("quota", t.name + " uses " + std::to_string(used[t.name]));
+      report_violation("quota", t.name + " uses " + std::to_string(used[t.name]));
 }
 
-void World::note_result(const std::string& key, const std::optional<std::string>& value) {
+void SimulatedCluster::note_result(const std::string& key,
+                                   const std::optional<std::string>& value) {
   if (!key.starts_with(wire::kFinalStatePrefix)) return;
   const std::string id = key.substr(wire::kFinalStatePrefix.size());
   if (!value) {
@@ -172,7 +176,7 @@
 
 // Every job that users know to be over must have its result; of a run that ends in the middle only
 // what was seen is judged.
-void World::report_history() {
+void SimulatedCluster::report_history() {
   // A cancellation is recorded with the job; its final state follows when there are writes to
   // spare.
   for (const auto& [key, item] : state_->items) {
@@ -182,10 +186,10 @@
   }
   if (result_.unfinished.empty()) history_.finish(now_);
   for (const auto& finding : history_.findings())
-    broke("history", std::string(history::name(finding.fault)) + " " + finding.what);
+    report_violation("history", std::string(history::name(finding.fault)) + " " + finding.what);
 }
 
-void World::told(const std::string& id, const std::string& status, Ms asked) {
+void SimulatedCluster::told(const std::string& id, const std::string& status, Ms asked) {
   auto& job = jobs_.at(id);
   history_.add(now_, history::Answered{id,
                                        status == "done"        ? wire::JobState::done
@@ -193,24 +197,24 @@
                                                                : wire::JobState::running,
                                        asked});
   if (status == "done") {
-    if (job.spec.is_service()) broke("not_done", id + " is a service");
-    if (job.completed.size() < job.spec.tasks) broke("not_done", id);
-    if (job.told_cancelled) broke("went_back", id + " cancelled, then done");
+    if (job.spec.is_service()) report_violation("not_done", id + " is a service");
+    if (job.completed.size() < job.spec.tasks) report_violation("not_done", id);
+    if (job.told_cancelled) report_violation("went_back", id + " cancelled, then done");
     if (!job.told_done) job.told_at = now_;
     job.told_done = true;
   } else if (status == "withdrawn") {
-    if (job.told_done) broke("went_back", id + " done, then cancelled");
-    if (!job.asked_cancel) broke("went_back", id + " cancelled by nobody");
+    if (job.told_done) report_violation("went_back", id + " done, then cancelled");
+    if (!job.asked_cancel) report_violation("went_back", id + " cancelled by nobody");
     if (!job.told_cancelled) {
       job.cancelled_at = job.told_at = now_;
       result_.cancellations.emplace_back(job.cancel_asked_at, now_);
     }
     job.told_cancelled = true;
   } else if (status != "pending" && status != "running") {
-    broke("answer", id + " is " + status);
+    report_violation("answer", id + " is " + status);
   } else if ((job.told_done || job.told_cancelled) && asked > job.told_at) {
     // Asked after the user knew better; answers to earlier questions may come late.
-    broke("went_back", id + " over, then " + status);
+    report_violation("went_back", id + " over, then " + status);
   }
 }
 
--- a/tests/sim/machines.cpp
+++ b/tests/sim/machines.cpp
@@ -10,29 +10,30 @@
 
 namespace scheduler::sim {
 
-void World::add_machine(const std::string& zone, bool spot, Ms up_at, const std::string& hire) {
-  auto w = std::make_unique<Worker>();
+void SimulatedCluster::add_machine(const std::string& zone, bool spot, Ms up_at,
+                                   const std::string& scale_out_name) {
+  auto w = std::make_unique<SimulatedWorker>();
   w->id = "n-" + pad(next_machine_++);
   w->zone = zone;
   w->spot = spot;
   w->address = w->id + ":1";
-  w->node = any_node();
+  w->node = any_controller_index();
   cloud_->machines[w->id] = {zone, spot, false, now_, up_at, now_ + random(2000)};
-  if (!hire.empty()) cloud_->hires[hire].push_back(w->id);
+  if (!scale_out_name.empty()) cloud_->scale_outs[scale_out_name].push_back(w->id);
   const int rented = static_cast<int>(cloud_->machines.size());
   result_.most_machines = std::max(result_.most_machines, rented);
   const std::string id = w->id;
   workers_[id] = std::move(w);
   at(up_at, [this, id] {
-    Worker& x = *workers_.at(id);
+    SimulatedWorker& x = *workers_.at(id);
     if (x.dead) return;
     x.up = true;
     x.lease_from = now_;
-    worker_tick(id, x.life);
+    tick_worker(id, x.life);
   });
 }
 
-void World::worker_lease(Worker& w) {
+void SimulatedCluster::expire_worker_lease(SimulatedWorker& w) {
   // The worker's clock may be as much as 0.05% fast or slow; it keeps its tasks a little longer.
   const auto lease = static_cast<Ms>(options_.lease_s * 1000 * 1.0005);
   if (now_ - w.lease_from <= lease) return;
@@ -45,25 +46,25 @@
   w.changed = true;
 }
 
-void World::clear_tasks(Worker& w) {
+void SimulatedCluster::clear_tasks(SimulatedWorker& w) {
   for (const auto& [task, t] : w.tasks)
     if (t.present) history_.add(now_, history::TaskEnded{task, w.id, false});
   w.tasks.clear();
 }
 
-void World::worker_tick(const std::string& id, std::uint64_t life) {
-  Worker& w = *workers_.at(id);
+void SimulatedCluster::tick_worker(const std::string& id, std::uint64_t life) {
+  SimulatedWorker& w = *workers_.at(id);
   if (w.dead || w.life != life) return;
   if (!w.hanging) {
-    worker_lease(w);
-    worker_step(w);
-    const bool due = now_ >= w.report_at;
-    if (!w.reporting && now_ >= w.waits_until && due) worker_report(w);
+    expire_worker_lease(w);
+    step_worker(w);
+    const bool due = now_ >= w.next_heartbeat_at;
+    if (!w.reporting && now_ >= w.waits_until && due) send_heartbeat(w);
   }
-  at(now_ + options_.worker_step_ms, [this, id, life] { worker_tick(id, life); });
+  at(now_ + options_.worker_step_ms, [this, id, life] { tick_worker(id, life); });
 }
 
-std::string World::worker_body(Worker& w) {
+std::string SimulatedCluster::heartbeat_body(SimulatedWorker& w) {
   Put p;
   p.str("rig", w.id);
   p.str("endpoint", w.address);
@@ -93,44 +94,45 @@
   return p.done();
 }
 
-void World::worker_report(Worker& w) {
+void SimulatedCluster::send_heartbeat(SimulatedWorker& w) {
   w.reporting = true;
-  const std::uint64_t number = ++w.report_number;
+  const std::uint64_t number = ++w.heartbeat_number;
   const Ms sent = now_;
   const std::uint64_t incarnation = w.incarnation;
-  const std::string id = w.id, body = worker_body(w);
-  if (now_ < late_copies_until_ && chance(options_.copied)) {
+  const std::string id = w.id, body = heartbeat_body(w);
+  if (now_ < duplicate_heartbeats_until_ && chance(options_.copied)) {
     at(now_ + 1000 + random(24'000), [this, body] {
-      ++result_.old_reports;
-      const auto i = any_node();
+      ++result_.old_heartbeats;
+      const auto i = any_controller_index();
       input(i, [this, body](Controller& c) {
         c.on_request(now_, next_request_++, {"POST", "/hello", body});
       });
     });
   }
-  const bool held = now_ < reports_held_until_ && chance(0.4);
-  if (held) hold_report(id, w.token, body, now_ + 40'000);
+  const bool held = now_ < heartbeats_delayed_until_ && chance(0.4);
+  if (held) delay_heartbeat(id, w.token, body, now_ + 40'000);
   // Of those held, half do not arrive in time as well.
-  const bool lost = w.mute_since != 0 || (held && chance(0.5));
-  at(now_ + worker_hop(), [this, id, number, sent, incarnation, body, lost] {
-    Worker& x = *workers_.at(id);
+  const bool lost = w.heartbeats_lost_since != 0 || (held && chance(0.5));
+  at(now_ + worker_network_delay(), [this, id, number, sent, incarnation, body, lost] {
+    SimulatedWorker& x = *workers_.at(id);
     if (lost) {
-      if (x.dead || number != x.report_number || !x.reporting) return;
+      if (x.dead || number != x.heartbeat_number || !x.reporting) return;
       x.reporting = false;
-      x.node = (x.node + 1) % nodes_.size();
-      x.report_at = x.waits_until = now_ + 1000;
+      x.node = (x.node + 1) % controllers_.size();
+      x.next_heartbeat_at = x.waits_until = now_ + 1000;
       return;
     }
-    ask_node(
+    send_to_controller(
         x.node, {"POST", "/hello", body}, x.zone,
         [this, id, number, sent, incarnation](int status, const std::string& answer) {
-          Worker& me = *workers_.at(id);
-          if (me.dead || number != me.report_number || !me.reporting) return;
+          SimulatedWorker& me = *workers_.at(id);
+          if (me.dead || number != me.heartbeat_number || !me.reporting) return;
           me.reporting = false;
           if (me.hanging) return;
-          if (me.deaf_since) status = 0;
-          const Ms interval = to_ms(options_.report_s);
-          me.report_at = now_ + (me.changed ? 500 : interval * 3 / 4 + random(interval / 2));
+          if (me.unreachable_since) status = 0;
+          const Ms interval = to_ms(options_.heartbeat_interval_s);
+          me.next_heartbeat_at =
+              now_ + (me.changed ? 500 : interval * 3 / 4 + random(interval / 2));
           me.changed = false;
           rapidjson::Document doc;
           if (status == 200 && wire::parse_object(answer, doc) && doc.HasMember("baton")) {
@@ -140,35 +142,35 @@
             me.token = std::max(me.token, token);
             me.lease_from = std::max(me.lease_from, sent);
             served(me);
-            worker_commands(me, doc["orders"]);
+            execute_commands(me, doc["orders"]);
             return;
           }
           if (status == 421 && wire::parse_object(answer, doc) && doc.HasMember("dispatcher")) {
-            for (std::size_t j = 0; j < nodes_.size(); ++j) {
-              if (nodes_[j]->name == doc["dispatcher"].GetString() && j != me.node) {
+            for (std::size_t j = 0; j < controllers_.size(); ++j) {
+              if (controllers_[j]->name == doc["dispatcher"].GetString() && j != me.node) {
                 me.node = j;
-                me.report_at = me.waits_until = now_ + random(500);
+                me.next_heartbeat_at = me.waits_until = now_ + random(500);
                 return;
               }
             }
           }
-          me.node = (me.node + 1) % nodes_.size();
-          me.report_at = me.waits_until = now_ + 1000;
+          me.node = (me.node + 1) % controllers_.size();
+          me.next_heartbeat_at = me.waits_until = now_ + 1000;
         });
   });
 }
 
 // Arrives once somebody has acted on another view: at all controllers, so at the owner of then.
-void World::hold_report(const std::string& id, std::uint64_t token, const std::string& body,
-                        Ms until) {
+void SimulatedCluster::delay_heartbeat(const std::string& id, std::uint64_t token,
+                                       const std::string& body, Ms until) {
   at(now_ + 20, [this, id, token, body, until] {
     if (newest_epoch_ <= ClusterView::epoch_of(token)) {
-      if (now_ < until) hold_report(id, token, body, until);
+      if (now_ < until) delay_heartbeat(id, token, body, until);
       return;
     }
     at(now_ + random(chance(0.5) ? 100 : 3000), [this, body] {
-      ++result_.held_arrived;
-      for (std::size_t i = 0; i < nodes_.size(); ++i)
+      ++result_.delayed_heartbeats_arrived;
+      for (std::size_t i = 0; i < controllers_.size(); ++i)
         input(i, [this, body](Controller& c) {
           c.on_request(now_, next_request_++, {"POST", "/hello", body});
         });
@@ -176,7 +178,7 @@
   });
 }
 
-void World::worker_commands(Worker& w, const wire::Json& orders) {
+void SimulatedCluster::execute_commands(SimulatedWorker& w, const wire::Json& orders) {
   newest_epoch_ = std::max(newest_epoch_, ClusterView::epoch_of(w.token));
   for (const auto& o : orders.GetArray()) {
     wire::TaskId task;
@@ -188,10 +190,10 @@
       if (it != w.tasks.end() && it->second.attempt == attempt) continue;
       if (options_.starts_ignored_from && now_ > options_.starts_ignored_from) continue;
       ++result_.starts;
-      if (w.mute_since) ++result_.mute_starts;
-      if (w.deaf_since && now_ - w.deaf_since > 8000) ++result_.quarantined_starts;
+      if (w.heartbeats_lost_since) ++result_.starts_without_heartbeats;
+      if (w.unreachable_since && now_ - w.unreachable_since > 8000) ++result_.quarantined_starts;
       auto job = jobs_.find(task.job);
-      Worker::Task t;
+      SimulatedWorker::Task t;
       t.attempt = attempt;
       t.since = now_;
       double cpus = 0;
@@ -237,15 +239,15 @@
 }
 
 // Its work is to begin elsewhere as soon as that is provable.
-void World::job_lost(const wire::TaskId& task) {
-  const UserJob& job = jobs_.at(task.job);
+void SimulatedCluster::job_lost(const wire::TaskId& task) {
+  const SubmittedJob& job = jobs_.at(task.job);
   if (job.spec.is_gang() || job.asked_cancel || job.completed.contains(task.index)) return;
   lost_[task] = now_;
   ++result_.lost_by_lease;
 }
 
-void World::end_task(Worker& w, const wire::TaskId& task, std::uint64_t attempt, ExitCause cause,
-                     bool saved) {
+void SimulatedCluster::end_task(SimulatedWorker& w, const wire::TaskId& task, std::uint64_t attempt,
+                                ExitCause cause, bool saved) {
   auto it = w.tasks.find(task);
   if (it == w.tasks.end() || it->second.attempt != attempt) return;
   history_.add(now_, history::TaskEnded{task, w.id, cause == ExitCause::done});
@@ -254,11 +256,11 @@
   it->second.saved = saved;
   it->second.present = false;
   w.changed = true;
-  w.report_at = std::min(w.report_at, now_ + 250);
+  w.next_heartbeat_at = std::min(w.next_heartbeat_at, now_ + 250);
   if (saved) ++result_.stopped_saved;
 }
 
-void World::worker_step(Worker& w) {
+void SimulatedCluster::step_worker(SimulatedWorker& w) {
   if (w.notice_ends && now_ >= w.notice_ends) {
     w.dead = true;
     clear_tasks(w);
@@ -332,8 +334,8 @@
 }
 
 // Tasks of a gang find one another by attempt, start together, and end together.
-void World::gang_step() {
-  using Members = std::vector<std::pair<Worker*, wire::TaskId>>;
+void SimulatedCluster::gang_step() {
+  using Members = std::vector<std::pair<SimulatedWorker*, wire::TaskId>>;
   std::map<std::string, std::map<std::uint64_t, Members>> gangs;  // by job and attempt
   for (auto& [wid, w] : workers_) {
     if (w->dead || !w->up) continue;
@@ -342,9 +344,11 @@
         gangs[task.job][t.attempt].emplace_back(w.get(), task);
   }
   for (auto& [id, attempts] : gangs) {
-    UserJob& job = jobs_.at(id);
+    SubmittedJob& job = jobs_.at(id);
     for (auto& [attempt, members] : attempts) {
-      auto state = [&](const auto& m) -> Worker::Task& { return m.first->tasks.at(m.second); };
+      auto state = [&](const auto& m) -> SimulatedWorker::Task& {
+        return m.first->tasks.at(m.second);
+      };
       const bool whole = members.size() == job.spec.tasks;
       const auto count = [&](TaskState s) {
         return std::count_if(members.begin(), members.end(),
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -8,18 +8,18 @@
 
 namespace scheduler::sim {
 
-bool World::apart(const std::string& a, const std::string& b) const {
+bool SimulatedCluster::partitioned(const std::string& a, const std::string& b) const {
   if (!cut_zone_.empty() && (a == cut_zone_) != (b == cut_zone_)) return true;
-  return zones_apart_ && a != b && (a == "a" || a == "b") && (b == "a" || b == "b");
+  return zones_partitioned_ && a != b && (a == "a" || a == "b") && (b == "a" || b == "b");
 }
 
-void World::plan_link_cut(const LinkCut& cut) {
+void SimulatedCluster::plan_link_cut(const LinkCut& cut) {
   if (cut.flap_most > 0) {
     at(cut.at, [this, cut] { flap(cut, cut.at + cut.lasts); });
     return;
   }
   at(cut.at, [this, cut] {
-    if (calm_) return;
+    if (recovering_) return;
     link_cuts_.cut(cut.from, cut.to);
     for (auto& [id, w] : workers_)
       if (w->up && !w->dead) w->unserved_since = now_;
@@ -31,14 +31,14 @@
 }
 
 // A controller's word reached the worker: it has its lease again, or has carried out commands.
-void World::served(Worker& w) {
+void SimulatedCluster::served(SimulatedWorker& w) {
   if (w.unserved_since == 0 || w.dead) return;
   result_.unserved_ms.push_back(now_ - w.unserved_since);
   w.unserved_since = 0;
 }
 
-void World::flap(const LinkCut& cut, Ms until) {
-  if (calm_ || now_ >= until) return;
+void SimulatedCluster::flap(const LinkCut& cut, Ms until) {
+  if (recovering_ || now_ >= until) return;
   const auto turn = [this, &cut] {
     return cut.flap_least + random(static_cast<int>(cut.flap_most - cut.flap_least + 1));
   };
@@ -48,19 +48,19 @@
   at(now_ + down + up, [this, cut, until] { flap(cut, until); });
 }
 
-std::string World::end_of(const Call& call) {
+std::string SimulatedCluster::end_of(const Call& call) {
   if (call.target == Target::state) return "state";
   if (call.target == Target::cloud) return "cloud";
-  const Worker* w = worker_at(call.address);
+  const SimulatedWorker* w = worker_at(call.address);
   return w ? "workers/" + w->zone : "workers";
 }
 
-void World::send(std::size_t i, const Call& call) {
-  Node& n = *nodes_[i];
+void SimulatedCluster::send(std::size_t i, const Call& call) {
+  SimulatedController& n = *controllers_[i];
   const std::uint64_t generation = n.generation;
   auto answered = std::make_shared<bool>(false);
   auto finish = [this, i, generation, answered, id = call.id](int status, std::string body) {
-    if (*answered || nodes_[i]->generation != generation) return;
+    if (*answered || controllers_[i]->generation != generation) return;
     if (body.size() > capacity_.response_bytes) {
       ++result_.too_large;
       status = kReplyTooLarge;
@@ -75,13 +75,14 @@
   at(now_ + call.timeout, [finish] { finish(0, ""); });
   const std::string far_end = end_of(call);
   auto blocked = [this, i, call, far_end] {
-    const Node& node = *nodes_[i];
+    const SimulatedController& node = *controllers_[i];
     if (link_cuts_.down(node.name, far_end)) return true;
-    if (call.target == Target::state) return node.cut_from_state || apart(node.zone, "");
-    if (call.target == Target::cloud) return apart(node.zone, "");
+    if (call.target == Target::state) return node.cut_from_state || partitioned(node.zone, "");
+    if (call.target == Target::cloud) return partitioned(node.zone, "");
     if (call.target == Target::worker) {
-      if (const Worker* w = worker_at(call.address))
-        return node.cut_from_workers || w->deaf_since != 0 || apart(node.zone, w->zone);
+      if (const SimulatedWorker* w = worker_at(call.address))
+        return node.cut_from_workers || w->unreachable_since != 0 ||
+               partitioned(node.zone, w->zone);
     }
     return false;
   };
@@ -90,7 +91,7 @@
     if (chance(0.6)) {
       auto later = std::make_shared<std::function<void()>>();
       *later = [this, i, call, blocked, later] {
-        if (blocked() && !calm_) {
+        if (blocked() && !recovering_) {
           at(now_ + 1000, *later);
           return;
         }
@@ -109,16 +110,17 @@
   const bool worker = call.target == Target::worker;
   // Of an answer; a cut of the way there alone doesn't hold it up.
   auto lost = [this, i, blocked, far_end] {
-    const Node& node = *nodes_[i];
+    const SimulatedController& node = *controllers_[i];
     if (link_cuts_.down(far_end, node.name)) return true;
     return !link_cuts_.down(node.name, far_end) && blocked();
   };
-  at(now_ + (worker ? worker_hop() : hop() * slower),
+  at(now_ + (worker ? worker_network_delay() : network_delay() * slower),
      [this, i, call, lost, finish, slower, worker] {
        execute(call, i, [this, call, lost, finish, slower, worker](int status, std::string body) {
          if (lost() || chance(0.003)) return;  // the answer is lost
          if (call.path == "/multi" && now_ < answers_lost_until_ && chance(0.05)) return;
-         const Ms way = worker ? worker_hop() : hop() * slower + state_answer_delay(call);
+         const Ms way =
+             worker ? worker_network_delay() : network_delay() * slower + state_answer_delay(call);
          at(now_ + way, [finish, status, body] { finish(status, body); });
        });
      });
@@ -128,7 +130,7 @@
        [this, i, call] { execute(call, i, [](int, const std::string&) {}); });
 }
 
-Ms World::state_answer_delay(const Call& call) {
+Ms SimulatedCluster::state_answer_delay(const Call& call) {
   if (call.target != Target::state) return 0;
   const bool watch = call.path.starts_with("/changes");
   const bool delays = now_ < state_reorders_until_ || (watch && now_ < watch_lags_until_);
@@ -136,14 +138,14 @@
 }
 
 // The service has the transaction already: neither a cut nor the end of its sender holds it up.
-void World::carry_out_late(std::size_t i, const Call& call) {
+void SimulatedCluster::carry_out_late(std::size_t i, const Call& call) {
   auto later = std::make_shared<std::function<void()>>();
   *later = [this, i, call, later] {
-    if (state_->outage && !calm_) {
+    if (state_->outage && !recovering_) {
       at(now_ + 1000, *later);
       return;
     }
-    trace("late: " + nodes_[i]->name + " " + call.body);
+    trace("late: " + controllers_[i]->name + " " + call.body);
     state_->serve(now_, call, i, [this](int status, const std::string&) {
       ++(status == 200 ? result_.late_applied : result_.late_void);
     });
@@ -152,10 +154,10 @@
   at(now_ + 2000 + random(10'000), *later);
 }
 
-void World::execute(const Call& call, std::size_t from, Respond respond) {
-  trace("executed: " + nodes_[from]->name + " " + call.address + call.path + " " + call.body);
+void SimulatedCluster::execute(const Call& call, std::size_t from, Respond respond) {
+  trace("executed: " + controllers_[from]->name + " " + call.address + call.path + " " + call.body);
   if (call.target == Target::state) {
-    if (state_->outage || nodes_[from]->refused_by_state) {
+    if (state_->outage || controllers_[from]->refused_by_state) {
       if (call.path.starts_with("/changes")) {
         state_->serve(now_, call, from, respond);  // waits
         return;
@@ -167,26 +169,26 @@
     return;
   }
   if (call.target == Target::worker) {
-    Worker* w = worker_at(call.address);
-    if (w && w->up && !w->dead && !w->deaf_since) {
+    SimulatedWorker* w = worker_at(call.address);
+    if (w && w->up && !w->dead && !w->unreachable_since) {
       if (w->hanging) {  // executed when it resumes
-        ++result_.late_orders;
+        ++result_.late_commands;
         at(now_ + 500, [this, call, from, respond] { execute(call, from, respond); });
         return;
       }
-      worker_lease(*w);
-      if (call.path == "/status") return respond(200, worker_body(*w));
+      expire_worker_lease(*w);
+      if (call.path == "/status") return respond(200, heartbeat_body(*w));
       rapidjson::Document doc;
       if (!wire::parse_object(call.body, doc)) return respond(400, "{}");
       const std::uint64_t token = doc["baton"].GetUint64();
       const bool same_incarnation =
           doc["shift"].GetUint64() == w->incarnation || options_.workers_ignore_incarnations;
       if ((token < w->token && !options_.workers_ignore_tokens) || !same_incarnation)
-        return respond(409, worker_body(*w));
+        return respond(409, heartbeat_body(*w));
       w->token = std::max(w->token, token);
       served(*w);
-      worker_commands(*w, doc["orders"]);
-      respond(200, worker_body(*w));
+      execute_commands(*w, doc["orders"]);
+      respond(200, heartbeat_body(*w));
       return;
     }
     return;
@@ -203,21 +205,23 @@
   } else if (call.path == "/hosts") {
     rapidjson::Document doc;
     wire::parse_object(call.body, doc);
-    const std::string hire = doc["hire"].GetString();
-    if (!cloud_->hires.contains(hire)) {
+    const std::string scale_out_name = doc["hire"].GetString();
+    if (!cloud_->scale_outs.contains(scale_out_name)) {
       int running = 0;
       for (const auto& [id, m] : cloud_->machines)
         running += m.zone == doc["yard"].GetString() && m.spot == doc["standby"].GetBool();
       const int want =
           std::min<int>(static_cast<int>(doc["number"].GetUint()), options_.capacity - running);
       if (want <= 0) return respond(503, R"({"error":"no capacity"})");
-      cloud_->hires[hire];
+      cloud_->scale_outs[scale_out_name];
       for (int k = 0; k < want; ++k)
         add_machine(doc["yard"].GetString(), doc["standby"].GetBool(),
-                    chance(0.05) ? now_ + 1'000'000'000 : now_ + 1000 + random(4000), hire);
+                    chance(0.05) ? now_ + 1'000'000'000 : now_ + 1000 + random(4000),
+                    scale_out_name);
     }
     std::string list;
-    for (const auto& id : cloud_->hires[hire]) list += (list.empty() ? "\"" : ",\"") + id + "\"";
+    for (const auto& id : cloud_->scale_outs[scale_out_name])
+      list += (list.empty() ? "\"" : ",\"") + id + "\"";
     respond(200, R"({"rigs":[)" + list + "]}");
   } else if (call.path == "/hosts/return") {
     std::vector<std::string> ids;
@@ -226,10 +230,11 @@
     for (const auto& r : doc["rigs"].GetArray()) {
       cloud_->machines.erase(r.GetString());
       if (auto w = workers_.find(r.GetString()); w != workers_.end()) {
-        const Worker& x = *w->second;
-        if (!calm_ && x.up && !x.dead && !x.hanging && !x.sick && !x.deaf_since && !x.notice_ends)
+        const SimulatedWorker& x = *w->second;
+        if (!recovering_ && x.up && !x.dead && !x.hanging && !x.sick && !x.unreachable_since &&
+            !x.notice_ends)
           ++result_.live_returns;
-        if (!calm_ && x.up && !x.dead && !x.hanging && !x.sick && !x.notice_ends)
+        if (!recovering_ && x.up && !x.dead && !x.hanging && !x.sick && !x.notice_ends)
           result_.running_returned += static_cast<int>(std::count_if(
               x.tasks.begin(), x.tasks.end(), [](const auto& t) { return t.second.present; }));
         w->second->dead = true;
@@ -266,13 +271,13 @@
   }
 }
 
-void World::ask_node(std::size_t i, const Request& request, const std::string& from_zone,
-                     Respond respond) {
-  Node& n = *nodes_[i];
+void SimulatedCluster::send_to_controller(std::size_t i, const Request& request,
+                                          const std::string& from_zone, Respond respond) {
+  SimulatedController& n = *controllers_[i];
   const bool worker = !from_zone.empty();
-  if (worker && links_slow_)
+  if (worker && slow_links_)
     respond = [this, respond](int status, const std::string& body) {
-      at(now_ + worker_hop(), [respond, status, body] { respond(status, body); });
+      at(now_ + worker_network_delay(), [respond, status, body] { respond(status, body); });
     };
   const std::string worker_end = "workers/" + from_zone;
   if (worker && link_cuts_.down(worker_end, n.name)) {
@@ -281,7 +286,7 @@
   }
   if (worker)
     respond = [this, i, worker_end, respond, asked = now_](int status, const std::string& body) {
-      if (!link_cuts_.down(nodes_[i]->name, worker_end)) return respond(status, body);
+      if (!link_cuts_.down(controllers_[i]->name, worker_end)) return respond(status, body);
       at(asked + kHeartbeatReplyMs, [respond] { respond(0, ""); });  // the answer is lost
     };
   if (!worker && options_.forge)
@@ -289,7 +294,7 @@
       options_.forge(request, now_, status, body);
       respond(status, std::move(body));
     };
-  if (!n.controller || (worker && n.cut_from_workers) || apart(from_zone, n.zone)) {
+  if (!n.controller || (worker && n.cut_from_workers) || partitioned(from_zone, n.zone)) {
     // A report may still arrive long after it was given up.
     if (worker && n.controller && chance(0.3)) {
       at(now_ + 2000 + random(15'000), [this, i, request] {
@@ -301,11 +306,12 @@
   }
   const std::uint64_t id = next_request_++;
   auto once = std::make_shared<bool>(false);
-  const bool isolated = !worker && n.isolated_since != 0 && request.path.starts_with("/v1/");
-  auto finish = [this, isolated, once, respond](int status, std::string body) {
+  const bool controller_isolated =
+      !worker && n.isolated_since != 0 && request.path.starts_with("/v1/");
+  auto finish = [this, controller_isolated, once, respond](int status, std::string body) {
     if (*once) return;
     *once = true;
-    if (isolated && status != 0) ++result_.users_at_isolated;
+    if (controller_isolated && status != 0) ++result_.users_at_isolated;
     respond(status, std::move(body));
   };
   n.asked[id] = {request.path, finish};
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -15,12 +15,12 @@
 constexpr double kShareCancelledEarly = 0.5;  // of services; the others run on in calm
 }  // namespace
 
-bool World::service_is_next() {
+bool SimulatedCluster::service_is_next() {
   return options_.services > 0 && now_ > services_from_ && chance(options_.services);
 }
 
-void World::new_service() {
-  UserJob job;
+void SimulatedCluster::new_service() {
+  SubmittedJob job;
   auto& s = job.spec;
   s.id = "req-" + pad(next_job_++);
   s.job_class = "standing";
@@ -59,7 +59,7 @@
   job.submitted_at = now_;
   const bool early = chance(kShareCancelledEarly);
   job.cancel_planned_at =
-      early ? now_ + 20'000 + random(40'000) : options_.busy_ms + options_.services_calm_ms;
+      early ? now_ + 20'000 + random(40'000) : options_.fault_ms + options_.services_calm_ms;
   const std::string id = s.id;
   jobs_[id] = job;
   submit(id, 0);
@@ -67,13 +67,13 @@
 
 // Whether a service may be refused so. A controller of the production version would answer 400,
 // but services are submitted after the upgrade alone.
-void World::check_refused(const UserJob& job, int status) {
+void SimulatedCluster::check_refused(const SubmittedJob& job, int status) {
   if (!job.spec.is_service()) return;
   if (status != 422 || reason_never_to_run(job.spec).empty())
-    broke("refused_wrong", job.spec.id + " got " + std::to_string(status));
+    report_violation("refused_wrong", job.spec.id + " got " + std::to_string(status));
 }
 
-void World::replica_begins(Worker& w, const wire::TaskId& task) {
+void SimulatedCluster::replica_begins(SimulatedWorker& w, const wire::TaskId& task) {
   const bool first = replicas_begun_.insert(task).second;
   if (!first) ++result_.replica_restarts;
   if (const auto lost = replica_lost_at_.find(task); lost != replica_lost_at_.end()) {
@@ -82,21 +82,21 @@
     replica_lost_at_.erase(lost);
   }
   if (options_.replicas_end <= 0 || !chance(options_.replicas_end)) return;
-  Worker::Task& t = w.tasks.at(task);
+  SimulatedWorker::Task& t = w.tasks.at(task);
   t.ends_at = now_ + 1000 + random(30'000);
   t.ends_with = chance(0.5) ? ExitCause::done : ExitCause::error;
 }
 
-void World::replica_ends(Worker& w, const wire::TaskId& task) {
-  const Worker::Task t = w.tasks.at(task);
+void SimulatedCluster::replica_ends(SimulatedWorker& w, const wire::TaskId& task) {
+  const SimulatedWorker::Task t = w.tasks.at(task);
   if (t.ends_with == ExitCause::done) w.results_kept.insert(task);
   ++result_.replicas_ended;
   end_task(w, task, t.attempt, t.ends_with, false);
 }
 
 // A machine on which the replica, which is on none, could be started now, or "".
-std::string World::room_for_replica(const UserJob& job, const wire::TaskId& replica,
-                                    const std::map<std::string, double>& used) const {
+std::string SimulatedCluster::room_for_replica(const SubmittedJob& job, const wire::TaskId& replica,
+                                               const std::map<std::string, double>& used) const {
   const auto& s = job.spec;
   const auto of_team = used.find(s.team);
   const double team_uses = of_team == used.end() ? 0 : of_team->second;
@@ -109,7 +109,7 @@
       if (task.job == replica.job && t.state != TaskState::exited) ++others[w->zone];
   }
   const auto fitting = std::find_if(workers_.begin(), workers_.end(), [&](const auto& entry) {
-    const Worker& w = *entry.second;
+    const SimulatedWorker& w = *entry.second;
     const std::uint32_t here = others.contains(w.zone) ? others.at(w.zone) : 0;
     if (w.spot && !s.spot) return false;
     if (!s.zone.empty() && w.zone != s.zone) return false;
@@ -121,7 +121,7 @@
 }
 
 // In calm: which replicas are down although there is room.
-void World::check_services() {
+void SimulatedCluster::check_services() {
   const std::map<std::string, double> used = used_cpus();
   std::set<wire::TaskId> placed, present;
   for (const auto& [id, w] : workers_) {
@@ -148,9 +148,9 @@
       if (now_ - since <= kReplicaMayBeDownMs) continue;
       const auto of_team = used.find(job.spec.team);
       const double team_uses = of_team == used.end() ? 0 : of_team->second;
-      broke("service_down", wire::task_name(id, i) + ": on no machine since " +
-                                std::to_string(since) + ", room on " + room + ", team " +
-                                job.spec.team + " uses " + std::to_string(team_uses));
+      report_violation("service_down", wire::task_name(id, i) + ": on no machine since " +
+                                           std::to_string(since) + ", room on " + room + ", team " +
+                                           job.spec.team + " uses " + std::to_string(team_uses));
       since = now_;
     }
   }
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -10,9 +10,9 @@
 
 namespace scheduler::sim {
 
-void World::new_job() {
+void SimulatedCluster::new_job() {
   if (service_is_next()) return new_service();
-  UserJob job;
+  SubmittedJob job;
   auto& s = job.spec;
   s.id = "req-" + pad(next_job_++);
   s.job_class = chance(0.3) ? "fast" : chance(0.5) ? "small" : "due";
@@ -71,14 +71,14 @@
   const bool kept = options_.one_large_array && next_job_ == 4;
   if (chance(0.12) && !kept) at(now_ + random(12'000), [this, id] { cancel(id, 0); });
   // Somebody asks about a job that nobody has submitted.
-  ask_node(any_node(), {"GET", "/v1/jobs/req-9" + pad(random(100000)), ""}, "",
-           [this](int status, const std::string&) {
-             if (status == 200) broke("invented", "a job nobody submitted");
-           });
+  send_to_controller(any_controller_index(), {"GET", "/v1/jobs/req-9" + pad(random(100000)), ""},
+                     "", [this](int status, const std::string&) {
+                       if (status == 200) report_violation("invented", "a job nobody submitted");
+                     });
 }
 
 // The third job is an array of the largest size, all others are small.
-void World::make_large_or_small(UserJob& job) {
+void SimulatedCluster::make_large_or_small(SubmittedJob& job) {
   auto& s = job.spec;
   constexpr std::uint32_t kSmallTasks = 20;
   const bool large = next_job_ == 4;
@@ -95,104 +95,108 @@
   s.deadline_s.reset();
 }
 
-void World::submit(const std::string& id, int tries) {
+void SimulatedCluster::submit(const std::string& id, int tries) {
   rapidjson::StringBuffer buffer;
   wire::Writer writer(buffer);
   writer.StartObject();
   wire::write_job_fields(writer, jobs_.at(id).spec);
   writer.EndObject();
-  ask_node(any_node(), {"POST", "/v1/jobs", buffer.GetString()}, "",
-           [this, id, tries, asked = now_](int status, const std::string& body) {
-             auto& job = jobs_.at(id);
-             if (status == 200 || status == 201) {
-               const bool first = !job.accepted;
-               if (first) job.accepted_at = now_;
-               history_.add(now_, history::Accepted{id, job.spec.tasks, job.spec.is_service()});
-               if (status == 201 && !first && asked > job.accepted_at)
-                 broke("went_back", id + " accepted once more");
-               job.accepted = true;
-               check_accepted(job);
-               job.answered_at = now_;
-               rapidjson::Document doc;
-               if (!wire::parse_object(body, doc)) return broke("answer", body);
-               told(id, doc["status"].GetString(), asked);
-               if (first) at(now_ + 1000, [this, id] { poll(id); });
-               if (first && now_ < close_looks_until_) {
-                 look_closely(id);
-                 if (chance(0.8)) at(now_ + random(150), [this, id] { cancel(id, 0); });
-               }
-               if (first && job.cancel_planned_at)
-                 at(job.cancel_planned_at, [this, id] { cancel(id, 0); });
-               // Repeated at any later time.
-               if (chance(0.3)) at(now_ + random(60'000), [this, id] { submit(id, 0); });
-               return;
-             }
-             if (status == 400 || status == 422) {
-               if (job.accepted) broke("forgotten", id + " is now " + std::to_string(status));
-               check_refused(job, status);
-               // Gangs over the team's limit and the like: right to refuse.
-               return;
-             }
-             if (tries < 60) at(now_ + 1000, [this, id, tries] { submit(id, tries + 1); });
-           });
+  send_to_controller(
+      any_controller_index(), {"POST", "/v1/jobs", buffer.GetString()}, "",
+      [this, id, tries, asked = now_](int status, const std::string& body) {
+        auto& job = jobs_.at(id);
+        if (status == 200 || status == 201) {
+          const bool first = !job.accepted;
+          if (first) job.accepted_at = now_;
+          history_.add(now_, history::Accepted{id, job.spec.tasks, job.spec.is_service()});
+          if (status == 201 && !first && asked > job.accepted_at)
+            report_violation("went_back", id + " accepted once more");
+          job.accepted = true;
+          check_accepted(job);
+          job.answered_at = now_;
+          rapidjson::Document doc;
+          if (!wire::parse_object(body, doc)) return report_violation("answer", body);
+          told(id, doc["status"].GetString(), asked);
+          if (first) at(now_ + 1000, [this, id] { poll(id); });
+          if (first && now_ < concurrent_reads_until_) {
+            read_everywhere(id);
+            if (chance(0.8)) at(now_ + random(150), [this, id] { cancel(id, 0); });
+          }
+          if (first && job.cancel_planned_at)
+            at(job.cancel_planned_at, [this, id] { cancel(id, 0); });
+          // Repeated at any later time.
+          if (chance(0.3)) at(now_ + random(60'000), [this, id] { submit(id, 0); });
+          return;
+        }
+        if (status == 400 || status == 422) {
+          if (job.accepted) report_violation("forgotten", id + " is now " + std::to_string(status));
+          check_refused(job, status);
+          // Gangs over the team's limit and the like: right to refuse.
+          return;
+        }
+        if (tries < 60) at(now_ + 1000, [this, id, tries] { submit(id, tries + 1); });
+      });
 }
 
-void World::look_closely(const std::string& id) {
-  ++result_.close_looks;
-  for (std::size_t node = 0; node < nodes_.size(); ++node) {
+void SimulatedCluster::read_everywhere(const std::string& id) {
+  ++result_.concurrent_reads;
+  for (std::size_t node = 0; node < controllers_.size(); ++node) {
     for (int k = 1 + random(4); k > 0; --k)
       at(now_ + random(250), [this, id, node] { ask_state(id, node, false); });
   }
   for (int k = random(3); k > 0; --k) at(now_ + random(250), [this, id] { submit(id, 60); });
 }
 
-void World::poll(const std::string& id, bool again) { ask_state(id, any_node(), again); }
+void SimulatedCluster::poll(const std::string& id, bool again) {
+  ask_state(id, any_controller_index(), again);
+}
 
-void World::ask_state(const std::string& id, std::size_t node, bool again) {
-  ask_node(node, {"GET", "/v1/jobs/" + id, ""}, "",
-           [this, id, again, asked = now_](int status, const std::string& body) {
-             auto& job = jobs_.at(id);
-             rapidjson::Document doc;
-             if (status == 404) broke("forgotten", id);
-             if (status == 404) history_.add(now_, history::AnsweredUnknown{id, asked});
-             if (status == 200) job.answered_at = now_;
-             if (status == 200 && wire::parse_object(body, doc))
-               told(id, doc["status"].GetString(), asked);
-             if (!again) return;
-             const bool over = job.told_done || job.told_cancelled;
-             at(now_ + (over ? 10'000 + random(10'000) : 1500 + random(1000)),
-                [this, id] { poll(id); });
-           });
+void SimulatedCluster::ask_state(const std::string& id, std::size_t node, bool again) {
+  send_to_controller(node, {"GET", "/v1/jobs/" + id, ""}, "",
+                     [this, id, again, asked = now_](int status, const std::string& body) {
+                       auto& job = jobs_.at(id);
+                       rapidjson::Document doc;
+                       if (status == 404) report_violation("forgotten", id);
+                       if (status == 404) history_.add(now_, history::AnsweredUnknown{id, asked});
+                       if (status == 200) job.answered_at = now_;
+                       if (status == 200 && wire::parse_object(body, doc))
+                         told(id, doc["status"].GetString(), asked);
+                       if (!again) return;
+                       const bool over = job.told_done || job.told_cancelled;
+                       at(now_ + (over ? 10'000 + random(10'000) : 1500 + random(1000)),
+                          [this, id] { poll(id); });
+                     });
 }
 
-void World::cancel(const std::string& id, int tries) {
+void SimulatedCluster::cancel(const std::string& id, int tries) {
   auto& job = jobs_.at(id);
   if (!job.asked_cancel) job.cancel_asked_at = now_;
   if (!job.asked_cancel) history_.add(now_, history::CancelAsked{id});
   job.asked_cancel = true;
-  ask_node(any_node(), {"POST", "/v1/jobs/" + id + "/withdraw", ""}, "",
-           [this, id, tries, asked = now_](int status, const std::string& body) {
-             rapidjson::Document doc;
-             if (status == 404 && jobs_.at(id).accepted && asked > jobs_.at(id).accepted_at)
-               broke("forgotten", id + " cannot be cancelled");
-             if (status == 200 && wire::parse_object(body, doc)) {
-               const std::string state = doc["status"].GetString();
-               if (state != "done" && state != "withdrawn")
-                 broke("answer", "asked to cancel " + id + ": " + state);
-               told(id, state, asked);
-               if (now_ < close_looks_until_) look_closely(id);
-             } else if (tries < 600) {  // repeated until it is answered (PROTOCOL)
-               at(now_ + 1000, [this, id, tries] { cancel(id, tries + 1); });
-             }
-           });
+  send_to_controller(
+      any_controller_index(), {"POST", "/v1/jobs/" + id + "/withdraw", ""}, "",
+      [this, id, tries, asked = now_](int status, const std::string& body) {
+        rapidjson::Document doc;
+        if (status == 404 && jobs_.at(id).accepted && asked > jobs_.at(id).accepted_at)
+          report_violation("forgotten", id + " cannot be cancelled");
+        if (status == 200 && wire::parse_object(body, doc)) {
+          const std::string state = doc["status"].GetString();
+          if (state != "done" && state != "withdrawn")
+            report_violation("answer", "asked to cancel " + id + ": " + state);
+          told(id, state, asked);
+          if (now_ < concurrent_reads_until_) read_everywhere(id);
+        } else if (tries < 600) {  // repeated until it is answered (PROTOCOL)
+          at(now_ + 1000, [this, id, tries] { cancel(id, tries + 1); });
+        }
+      });
 }
 
 // The last task of a job has just ended, and nobody has been told.
-void World::ends(const std::string& id) {
+void SimulatedCluster::ends(const std::string& id) {
   auto& job = jobs_.at(id);
-  if (now_ < close_looks_until_ && job.accepted) look_closely(id);
+  if (now_ < concurrent_reads_until_ && job.accepted) read_everywhere(id);
   if (now_ >= cancel_at_end_until_ || !job.accepted || !chance(0.6)) return;
-  ++result_.met_at_end;
+  ++result_.requests_at_end;
   // At once, or while the end is on its way to the records.
   auto moment = [this] { return now_ + (chance(0.4) ? 0 : random(1500)); };
   if (chance(0.6)) at(moment(), [this, id] { cancel(id, 0); });
@@ -200,7 +204,7 @@
   for (int k = random(3); k > 0; --k) at(moment(), [this, id] { submit(id, 60); });
 }
 
-void World::odd_request() {
+void SimulatedCluster::send_invalid_request() {
   std::vector<std::string> accepted, done;
   for (const auto& [id, j] : jobs_) {
     if (j.accepted) accepted.push_back(id);
@@ -209,10 +213,10 @@
   auto any = [this](const std::vector<std::string>& of) {
     return of[static_cast<std::size_t>(random(static_cast<int>(of.size())))];
   };
-  const auto n = any_node();
+  const auto n = any_controller_index();
   auto unknown = [this](int status, const std::string& body) {
-    result_.odd_answered += status != 0;
-    if (status == 200) broke("invented", "a job nobody submitted: " + body);
+    result_.invalid_requests_answered += status != 0;
+    if (status == 200) report_violation("invented", "a job nobody submitted: " + body);
   };
   const std::string nobody = "/v1/jobs/req-7" + pad(random(100'000));
   switch (random(6)) {
@@ -223,23 +227,23 @@
       if (!done.empty()) cancel(any(done), 60);
       break;
     case 2:
-      ask_node(n, {"GET", nobody, ""}, "", unknown);
+      send_to_controller(n, {"GET", nobody, ""}, "", unknown);
       break;
     case 3:
-      ask_node(n, {"POST", nobody + "/withdraw", ""}, "", unknown);
+      send_to_controller(n, {"POST", nobody + "/withdraw", ""}, "", unknown);
       break;
     case 4:
-      odd_submission(true);
+      submit_invalid_job(true);
       break;
     default:
-      odd_submission(false);
+      submit_invalid_job(false);
   }
 }
 
 // A job with a field that is missing or invalid, or one that is in order but can never run.
-void World::odd_submission(bool malformed) {
+void SimulatedCluster::submit_invalid_job(bool malformed) {
   wire::JobSpec s;
-  s.id = "req-8" + pad(next_odd_++);
+  s.id = "req-8" + pad(next_invalid_++);
   s.job_class = "small";
   s.team = "free";
   s.tasks = 2;
@@ -314,21 +318,22 @@
       body = body.substr(0, body.size() - 1) + ",\"" + field + "\":" + value + "}";
     if (chance(0.1)) body = one({"", "{", "[]", "7", "null", body + "}"});
   }
-  const auto n = any_node();
-  ask_node(n, {"POST", "/v1/jobs", body}, "",
-           [this, malformed, body, id = s.id](int status, const std::string&) {
-             result_.odd_answered += status != 0;
-             if (status == 200 || status == 201) broke("accepted_wrong", body);
-             // 400: malformed; 422: it cannot run. All else is repeated in vain.
-             if (status == 400 || status == 422) {
-               if (status != (malformed ? 400 : 422))
-                 broke("answer", std::to_string(status) + " to " + body);
-               ask_node(any_node(), {"GET", "/v1/jobs/" + id, ""}, "",
-                        [this, id](int then, const std::string&) {
-                          if (then == 200) broke("invented", id + " was refused");
-                        });
-             }
-           });
+  const auto n = any_controller_index();
+  send_to_controller(n, {"POST", "/v1/jobs", body}, "",
+                     [this, malformed, body, id = s.id](int status, const std::string&) {
+                       result_.invalid_requests_answered += status != 0;
+                       if (status == 200 || status == 201) report_violation("accepted_wrong", body);
+                       // 400: malformed; 422: it cannot run. All else is repeated in vain.
+                       if (status == 400 || status == 422) {
+                         if (status != (malformed ? 400 : 422))
+                           report_violation("answer", std::to_string(status) + " to " + body);
+                         send_to_controller(any_controller_index(), {"GET", "/v1/jobs/" + id, ""},
+                                            "", [this, id](int then, const std::string&) {
+                                              if (then == 200)
+                                                report_violation("invented", id + " was refused");
+                                            });
+                       }
+                     });
 }
 
 }  // namespace scheduler::sim
--- a/tests/support/component_test.h
+++ b/tests/support/component_test.h
@@ -17,7 +17,7 @@
 
 namespace scheduler {
 
-class Component : public testing::Test {
+class ComponentTest : public testing::Test {
  protected:
   // A call of the component that the test is to answer.
   struct PendingCall {
@@ -46,7 +46,7 @@
     return settings;
   }
 
-  Component()
+  ComponentTest()
       : settings_(component_settings()),
         state_client_(
             settings_,
@@ -104,7 +104,7 @@
   bool writable_ = true;
   Settings settings_;
   std::string incarnation_ = "0000000000000007";
-  sim::StateStandIn state_;
+  sim::FakeStateService state_;
   Replica replica_;
   StateClient state_client_;
   ClusterView cluster_view_;
--- a/tests/support/single_controller_test.h
+++ b/tests/support/single_controller_test.h
@@ -17,9 +17,9 @@
 
 namespace scheduler {
 
-class Alone : public testing::Test {
+class SingleControllerTest : public testing::Test {
  protected:
-  Alone() {
+  SingleControllerTest() {
     Settings s;
     s.name = "puffin-0";
     s.zone = "a";
@@ -36,41 +36,41 @@
     s.cloud_rps = 5;
     s.list_lag_s = 1;
     settings_ = s;
-    core_ = std::make_unique<Controller>(s, 7);
-    core_->start(now_, now_);
+    controller_ = std::make_unique<Controller>(s, 7);
+    controller_->start(now_, now_);
     run(3000);
-    report(1);
+    heartbeat(1);
     run(3000);
   }
 
   // The process has ended and another has taken its place: a new epoch.
   void restart() {
-    late_.clear();
-    core_ = std::make_unique<Controller>(settings_, 8);
-    core_->start(now_, now_);
+    timeouts_.clear();
+    controller_ = std::make_unique<Controller>(settings_, 8);
+    controller_->start(now_, now_);
     run(1000);
-    ASSERT_TRUE(core_->ready());
+    ASSERT_TRUE(controller_->ready());
   }
 
   // What the core asks for is carried out, and time passes.
   void run(Ms lasts) {
     for (const Ms end = now_ + lasts; now_ < end; now_ += 20) {
-      core_->tick(now_, now_);
+      controller_->tick(now_, now_);
       state_.end_holds(now_);
       state_.serve_watchers(now_, [](std::size_t) { return true; });
       pump();
-      std::erase_if(late_, [this](const auto& l) {
+      std::erase_if(timeouts_, [this](const auto& l) {
         if (l.first > now_) return false;
-        core_->on_result(now_, l.second, {0, ""});
+        controller_->on_result(now_, l.second, {0, ""});
         return true;
       });
     }
   }
 
   void pump() {
-    for (auto out = core_->take_output();
+    for (auto out = controller_->take_output();
          !out.calls.empty() || !out.replies.empty() || !out.logs.empty() || !out.peers.empty();
-         out = core_->take_output()) {
+         out = controller_->take_output()) {
       for (const auto& a : out.replies) answers_[a.request] = a;
       for (const auto& c : out.calls) carry_out(c);
     }
@@ -78,9 +78,9 @@
 
   void carry_out(const Call& c) {
     auto done = [this, id = c.id](int status, const std::string& body) {
-      core_->on_result(now_, id, {status, body});
+      controller_->on_result(now_, id, {status, body});
     };
-    if (garbage_) {
+    if (replies_garbage_) {
       static const std::vector<std::string> bodies{"",
                                                    "{",
                                                    "[]",
@@ -91,31 +91,32 @@
                                                    R"({"rigs":[{"id":5}],"hasNext":1})",
                                                    R"({"pairs":[{}],"hasNext":false,"ledger":3})"};
       done(200, bodies[c.id % bodies.size()]);
-    } else if (c.target == Target::state && !lose_.empty() && c.path.starts_with(lose_)) {
+    } else if (c.target == Target::state && !lost_request_path_.empty() &&
+               c.path.starts_with(lost_request_path_)) {
       state_.serve(now_, c, 0, [](int, const std::string&) {});
-      late_.emplace_back(now_ + c.timeout, c.id);
-    } else if (c.target == Target::state && holds_answer_ && holds_answer_(c)) {
+      timeouts_.emplace_back(now_ + c.timeout, c.id);
+    } else if (c.target == Target::state && holds_reply_ && holds_reply_(c)) {
       state_.serve(now_, c, 0, [this, c](int status, const std::string& body) {
-        held_answers_.emplace_back(c, HttpResult{status, body});
+        held_replies_.emplace_back(c, HttpResult{status, body});
       });
     } else if (c.target == Target::state) {
       state_.serve(now_, c, 0, done);
     } else if (c.target == Target::worker) {
-      ++direct_;
+      ++direct_commands_;
       if (reachable_) {
         rapidjson::Document doc;
         if (wire::parse_object(c.body, doc)) {
           token_ = std::max(token_, doc["baton"].GetUint64());
-          obey(doc["orders"]);
+          execute_commands_of(doc["orders"]);
         }
         const HttpResult http_result{200, body(session_, ++sequence_)};
-        if (holds_answer_ && holds_answer_(c)) {
-          held_answers_.emplace_back(c, http_result);
+        if (holds_reply_ && holds_reply_(c)) {
+          held_replies_.emplace_back(c, http_result);
         } else {
           done(http_result.status, http_result.body);
         }
       } else {
-        late_.emplace_back(now_ + c.timeout, c.id);
+        timeouts_.emplace_back(now_ + c.timeout, c.id);
       }
     } else if (c.path == "/catalog") {
       done(200,
@@ -130,17 +131,18 @@
   }
 
   // Answers that were given and that the test held back arrive now.
-  void release_answers(const std::function<bool(const Call&)>& which) {
+  void release_replies(const std::function<bool(const Call&)>& which) {
     std::vector<std::pair<Call, HttpResult>> arriving;
-    for (auto it = held_answers_.begin(); it != held_answers_.end();) {
+    for (auto it = held_replies_.begin(); it != held_replies_.end();) {
       if (!which(it->first)) {
         ++it;
         continue;
       }
       arriving.push_back(std::move(*it));
-      it = held_answers_.erase(it);
+      it = held_replies_.erase(it);
     }
-    for (const auto& [call, http_result] : arriving) core_->on_result(now_, call.id, http_result);
+    for (const auto& [call, http_result] : arriving)
+      controller_->on_result(now_, call.id, http_result);
     pump();
   }
 
@@ -161,7 +163,7 @@
       l.str("load", task.first);
       l.num("try", task.second);
       l.str("status", exited ? "exited" : "running");
-      if (exited) l.str("cause", cause_);
+      if (exited) l.str("cause", exit_cause_);
       loads += (loads.empty() ? "" : ",") + l.done();
     }
     p.raw("loads", "[" + loads + "]");
@@ -169,36 +171,36 @@
   }
 
   // The machine carries out what it is told, if this test lets it.
-  void obey(const wire::Json& orders) {
+  void execute_commands_of(const wire::Json& orders) {
     for (const auto& o : orders.GetArray()) {
       const std::string verb = o["verb"].GetString();
       const std::pair<std::string, std::uint64_t> task{o["load"].GetString(), o["try"].GetUint64()};
       if (verb == "start") ++starts_;
-      if (!obeys_) continue;
+      if (!executes_commands_) continue;
       if (verb == "start") tasks_.try_emplace(task, false);
       if (verb == "halt" && tasks_.contains(task)) tasks_[task] = true;
       if (verb == "clear") tasks_.erase(task);
     }
   }
 
-  HttpReply report(std::uint64_t sequence, const char* id = "n-1") {
+  HttpReply heartbeat(std::uint64_t sequence, const char* id = "n-1") {
     const std::uint64_t request = next_++;
     if (id == std::string("n-1")) sequence_ = std::max(sequence_, sequence);
-    core_->on_request(now_, request, {"POST", "/hello", body(session_, sequence, id)});
+    controller_->on_request(now_, request, {"POST", "/hello", body(session_, sequence, id)});
     pump();
     const HttpReply a = answers_[request];
     rapidjson::Document doc;
-    if (hears_ && a.status == 200 && wire::parse_object(a.body, doc)) {
+    if (receives_replies_ && a.status == 200 && wire::parse_object(a.body, doc)) {
       token_ = std::max(token_, doc["baton"].GetUint64());
-      obey(doc["orders"]);
+      execute_commands_of(doc["orders"]);
     }
     return a;
   }
 
   // A report that was sent before the machine had any task arrives only now.
-  void report_from_before(std::uint64_t incarnation, std::uint64_t sequence) {
+  void deliver_old_heartbeat(std::uint64_t incarnation, std::uint64_t sequence) {
     const auto tasks = std::exchange(tasks_, {});
-    core_->on_request(now_, next_++, {"POST", "/hello", body(incarnation, sequence)});
+    controller_->on_request(now_, next_++, {"POST", "/hello", body(incarnation, sequence)});
     tasks_ = tasks;
     pump();
   }
@@ -211,8 +213,8 @@
 
   // A job of two tasks that run.
   void start_two() {
-    obeys_ = true;
-    EXPECT_EQ(report(50).status, 200);
+    executes_commands_ = true;
+    EXPECT_EQ(heartbeat(50).status, 200);
     submit("req-000001");
     run(1000);
     ASSERT_EQ(tasks_.size(), 2U);
@@ -220,7 +222,7 @@
 
   std::uint64_t cancel(const std::string& id) {
     const std::uint64_t request = next_++;
-    core_->on_request(now_, request, {"POST", "/v1/jobs/" + id + "/withdraw", ""});
+    controller_->on_request(now_, request, {"POST", "/v1/jobs/" + id + "/withdraw", ""});
     pump();
     return request;
   }
@@ -233,27 +235,28 @@
   }
 
   void submit(const std::string& id) {
-    core_->on_request(now_, next_++, {"POST", "/v1/jobs", job_body(id)});
+    controller_->on_request(now_, next_++, {"POST", "/v1/jobs", job_body(id)});
   }
 
   Ms now_ = 1000;
   Settings settings_;
-  std::unique_ptr<Controller> core_;
-  sim::StateStandIn state_;
+  std::unique_ptr<Controller> controller_;
+  sim::FakeStateService state_;
   std::map<std::uint64_t, HttpReply> answers_;
-  std::vector<std::pair<Ms, std::uint64_t>> late_;  // calls that get no answer
+  std::vector<std::pair<Ms, std::uint64_t>> timeouts_;  // calls that get no answer
   std::uint64_t next_ = 1, session_ = 1, sequence_ = 0, token_ = 0;
-  bool reachable_ = true, hears_ = true, obeys_ = false;
-  std::string cause_ = "stopped";  // of what has exited
+  bool reachable_ = true, receives_replies_ = true, executes_commands_ = false;
+  std::string exit_cause_ = "stopped";  // of what has exited
   // What the machine has: task and attempt, and whether it has exited.
   std::map<std::pair<std::string, std::uint64_t>, bool> tasks_;
-  int direct_ = 0, starts_ = 0;
+  int direct_commands_ = 0, starts_ = 0;
   // State service and machines: these requests are carried out, and their answers wait for
   // release_answers().
-  std::function<bool(const Call&)> holds_answer_;
-  std::vector<std::pair<Call, HttpResult>> held_answers_;
-  bool garbage_ = false;  // all that is asked for is answered with it
-  std::string lose_;  // state service: requests whose path begins so are carried out, unanswered
+  std::function<bool(const Call&)> holds_reply_;
+  std::vector<std::pair<Call, HttpResult>> held_replies_;
+  bool replies_garbage_ = false;   // all that is asked for is answered with it
+  std::string lost_request_path_;  // state service: requests whose path begins so are carried out,
+                                   // unanswered
 };
 
 }  // namespace scheduler
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -348,12 +348,12 @@
 TEST(UpgradeFormat, ShardGuard) { EXPECT_EQ(shard_guard_body("puffin-2"), fixture("claim.json")); }
 
 TEST(UpgradeFormat, Hire) {
-  const auto hire = read_fixture<ScaleOutRequest>("hire.json");
-  EXPECT_EQ(hire.name, "");  // it is in the key
-  EXPECT_EQ(hire.type, "c16");
-  EXPECT_EQ(hire.zone, "c");
-  EXPECT_TRUE(hire.spot);
-  EXPECT_EQ(hire.count, 50U);
+  const auto scale_out_name = read_fixture<ScaleOutRequest>("hire.json");
+  EXPECT_EQ(scale_out_name.name, "");  // it is in the key
+  EXPECT_EQ(scale_out_name.type, "c16");
+  EXPECT_EQ(scale_out_name.zone, "c");
+  EXPECT_TRUE(scale_out_name.spot);
+  EXPECT_EQ(scale_out_name.count, 50U);
 }
 
 TEST(UpgradeFormat, Quota) {
@@ -573,8 +573,8 @@
     out += "\nmachine " + id + " session " + std::to_string(machine.incarnation) + " tasks " +
            std::to_string(replica.placed_on(id).size());
   for (const auto& id : replica.unrecorded_machines()) out += "\nunrecorded " + id;
-  for (const auto& [name, hire] : replica.scale_out_requests())
-    out += "\nhire " + name + encode(hire);
+  for (const auto& [name, scale_out_name] : replica.scale_out_requests())
+    out += "\nhire " + name + encode(scale_out_name);
   for (const auto& [team, quota] : replica.quotas()) out += "\nquota " + team + encode(quota);
   for (const std::string team : {"vision", "speech", "ops", ""}) {
     const Usage usage = replica.usage(team);
