--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -5,12 +5,20 @@
 #include <algorithm>
 #include <chrono>
 
-#include "base/constants.h"
 #include "net/address.h"
 #include "net/limits.h"
 
 namespace scheduler::app {
 
+namespace {
+
+// Milliseconds between lines about the state of things.
+constexpr std::int64_t kStatusEveryMs = 10'000;
+// Milliseconds by which a look at the time may be late; setting a timer costs a system call.
+constexpr std::int64_t kTimerSlackMs = 5;
+
+}  // namespace
+
 Service::Service(asio::io_context& io, const NodeSettings& settings, const Options& options,
                  std::uint64_t seed)
     : io_(io),
@@ -77,7 +85,7 @@
   look_at_ = 0;
   carry_out();
   if (now >= status_at_) {
-    status_at_ = now + constants::kStatusEveryMs;
+    status_at_ = now + kStatusEveryMs;
     spdlog::info("{}, connections {}, closed early {}, refused {}", controller_.status_line(now),
                  server_->connections(), server_->closed_early(), server_->refused());
   }
@@ -87,7 +95,7 @@
 void Service::arm() {
   const Ms now = steady_ms();
   const Ms at = std::clamp(controller_.next_tick(now), now + 1, now + options_.tick_ms);
-  if (look_at_ != 0 && look_at_ <= at + constants::kTimerSlackMs) return;
+  if (look_at_ != 0 && look_at_ <= at + kTimerSlackMs) return;
   look_at_ = at;
   timer_.expires_after(std::chrono::milliseconds(at - now));
   timer_.async_wait([this](std::error_code error) {
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -10,6 +10,12 @@
 
 namespace scheduler {
 
+// Seconds in which a job without any aim should be through.
+constexpr double kDefaultHorizonS = 600.0;
+// Seconds named in Retry-After.
+constexpr int kRetryAfterS = 1;
+constexpr int kRetryAfterOutageS = 2;
+
 using Ms = std::int64_t;  // milliseconds of the steady clock, unless named otherwise
 constexpr Ms to_ms(double seconds) { return static_cast<Ms>(seconds * 1000.0); }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -6,12 +6,17 @@
 #include <cmath>
 #include <cstdio>
 
-#include "base/constants.h"
 #include "base/log_event.h"
+#include "controller/gossip.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Milliseconds between scheduling passes at most, for what becomes possible by time alone.
+constexpr std::int64_t kIdlePassMs = 200;
+
+}  // namespace
 
 namespace {
 
@@ -26,7 +31,7 @@
   out.name = settings.name;
   for (const auto& peer : settings.peers) out.peers.push_back(peer.name);
   out.heartbeat_interval = to_ms(settings.heartbeat_interval_s);
-  out.gossip_interval = k::kGossipIntervalMs;
+  out.gossip_interval = kGossipIntervalMs;
   out.relays = settings.relays;
   return out;
 }
@@ -93,7 +98,7 @@
   probe_zones(now);
   write_shard_records(now);
   update_quota_leases(now);
-  if (now >= schedule_after_ + (dirty_ ? 0 : k::kIdlePassMs)) schedule(now);
+  if (now >= schedule_after_ + (dirty_ ? 0 : kIdlePassMs)) schedule(now);
   finish_jobs(now);
   reply_to_cancellations(now);
   fleet_.tick(now);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -14,7 +14,6 @@
 #include <vector>
 
 #include "base/capacity.h"
-#include "base/constants.h"
 #include "base/types.h"
 #include "fleet/fleet_coordinator.h"
 #include "links/monitor.h"
@@ -208,11 +207,11 @@
   struct ReplicaChoice {
     const wire::JobSpec* spec = nullptr;
     wire::TaskId replica;
-    std::set<std::string> taken;                                     // machines that have a replica
-    std::optional<std::set<std::string>> zones;                      // none: any
-    std::optional<Ms> avoid_failures = constants::kFailureMemoryMs;  // of the job, for so long
-    bool without_replica = false;     // not where the job has a replica
-    bool contacted_recently = false;  // only where a word came lately
+    std::set<std::string> taken;                          // machines that have a replica
+    std::optional<std::set<std::string>> zones;           // none: any
+    std::optional<Ms> avoid_failures = kFailureMemoryMs;  // of the job, for so long
+    bool without_replica = false;                         // not where the job has a replica
+    bool contacted_recently = false;                      // only where a word came lately
   };
   int pick_for_replica(SchedulingPass& pass, const Job& job, std::uint32_t task);
   bool other_machine_left(const SchedulingPass& pass, const ReplicaChoice& choice) const;
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -1,14 +1,24 @@
 // Messages between controllers. Nothing here may decide anything that the rules depend on.
+#include "controller/gossip.h"
+
 #include <algorithm>
 #include <variant>
 
-#include "base/constants.h"
 #include "base/log_event.h"
 #include "controller/controller.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Milliseconds for which jobs whose cancellation is recorded are named to controllers that can't
+// read the records: about as long as such a cut lasts before their workers have gone elsewhere.
+constexpr std::int64_t kGossipCancellationMs = 60'000;
+// Such jobs named in one hint, and jobs stopped on such a word.
+constexpr std::size_t kGossipedCancellations = 32;
+constexpr std::size_t kGossipedCancellationsMost = 1000;
+
+}  // namespace
 
 namespace {
 
@@ -37,7 +47,7 @@
 
 void Controller::gossip(Ms now) {
   if (now < next_gossip_) return;
-  next_gossip_ = now + k::kGossipIntervalMs;
+  next_gossip_ = now + kGossipIntervalMs;
   wire::GossipMessage gossip_message;
   gossip_message.from = settings_.name;
   gossip_message.incarnation = incarnation_;
@@ -66,15 +76,15 @@
 // Cancelled jobs are named only while some controller can't read of them.
 std::vector<std::string> Controller::recent_cancellations(Ms now) {
   std::erase_if(cancelled_at_,
-                [now](const auto& c) { return now - c.second > k::kGossipCancellationMs; });
-  const auto rows = links_.matrix().fresh(now + wall_offset_, links::constants::kStateWordFreshMs);
+                [now](const auto& c) { return now - c.second > kGossipCancellationMs; });
+  const auto rows = links_.matrix().fresh(now + wall_offset_, links::kStateWordFreshMs);
   const bool needed = std::any_of(rows.begin(), rows.end(), [](const auto* entry) {
     return entry->row.state == links::Status::down;
   });
   std::vector<std::string> jobs;
   if (!needed || !state_client_.answering(now)) return jobs;
   for (const auto& [job, at] : cancelled_at_) {
-    if (jobs.size() < k::kGossipedCancellations) jobs.push_back(job);
+    if (jobs.size() < kGossipedCancellations) jobs.push_back(job);
   }
   return jobs;
 }
@@ -83,7 +93,7 @@
   const Job* job = replica_.job(id);
   const auto* final_state = replica_.final_state(id);
   if (!(job && job->record.cancelled) && !(final_state && !final_state->done)) return;
-  if (cancelled_at_.size() < k::kGossipedCancellations) cancelled_at_.try_emplace(id, now);
+  if (cancelled_at_.size() < kGossipedCancellations) cancelled_at_.try_emplace(id, now);
 }
 
 void Controller::log_link_changes(const wire::LinkRow& row) {
@@ -129,8 +139,7 @@
   newest_epoch_seen_ = std::max(newest_epoch_seen_, gossip_message.epoch);
   apply_gossiped_cancellations(now, gossip_message.cancelled);
   const links::Moment when = moment(now);
-  if (when.wall - static_cast<Ms>(gossip_message.sent_ms) > links::constants::kStateWordFreshMs)
-    return;
+  if (when.wall - static_cast<Ms>(gossip_message.sent_ms) > links::kStateWordFreshMs) return;
   links_.peer_heard(now, gossip_message.from);
   if (gossip_message.links.empty()) links_.merge(when, row_from(gossip_message));
   for (const auto& row : gossip_message.links) links_.merge(when, row);
@@ -143,7 +152,7 @@
   for (const auto& id : jobs) {
     const Job* job = replica_.job(id);
     if (!job || job->record.cancelled ||
-        gossiped_cancellations_.size() >= k::kGossipedCancellationsMost)
+        gossiped_cancellations_.size() >= kGossipedCancellationsMost)
       continue;
     if (!gossiped_cancellations_.insert(id).second) continue;
     log(LogLevel::info, "stopping " + id + ": a peer has read that it is cancelled");
--- a/src/controller/process_pause.cpp
+++ b/src/controller/process_pause.cpp
@@ -4,23 +4,32 @@
 // over, answers that waited for us are as old as our absence.
 #include <algorithm>
 
-#include "base/constants.h"
 #include "controller/controller.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Milliseconds without any input or look at the time after which a controller takes itself for
+// having stood still: twenty looks of kIdleLookMs; a busy processor delays them by less than a
+// second.
+constexpr std::int64_t kPauseMs = 2000;
+// Milliseconds after that within which the state service is to say what has changed meanwhile; then
+// it counts as out of reach, and the controller renews its workers' leases as in an outage.
+constexpr std::int64_t kResynchroniseMs = 1500;
+
+}  // namespace
 
 void Controller::detect_pause(Ms now) {
   const Ms gap = now - last_input_at_;
   last_input_at_ = std::max(last_input_at_, now);
-  if (gap > k::kPauseMs && state_client_.loaded()) on_pause(now, gap);
+  if (gap > kPauseMs && state_client_.loaded()) on_pause(now, gap);
 }
 
 void Controller::on_pause(Ms now, Ms gap) {
   log(LogLevel::info, "stood still for " + std::to_string(gap) + " ms");
   ++pauses_;
-  resynchronising_until_ = now + k::kResynchroniseMs;
+  resynchronising_until_ = now + kResynchroniseMs;
   state_client_.on_pause(now);
   membership_manager_.on_pause();
   links_.on_pause(now);
--- a/src/fleet/cloud_inventory.cpp
+++ b/src/fleet/cloud_inventory.cpp
@@ -3,11 +3,19 @@
 #include <algorithm>
 #include <utility>
 
-#include "base/constants.h"
-
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Share of the cloud's rate that reading its list may take, page after page: rentals and returns
+// need the rest.
+constexpr double kListRateShare = 0.4;
+// Times that a page of the list is asked for again before the list is begun anew, and milliseconds
+// in between: the cloud refuses what is over its rate for less than that.
+constexpr int kPageTries = 4;
+constexpr std::int64_t kPageRetryMs = 700;
+
+}  // namespace
 
 CloudInventory::CloudInventory(const Context& context, std::function<void(Ms now)> complete)
     : context_(context), complete_(std::move(complete)) {}
@@ -42,8 +50,8 @@
 }
 
 void CloudInventory::read_page(Ms /*now*/, const std::string& after) {
-  context_.call(Target::cloud, "", "GET", wire::machine_list_path(after, k::kListPage), "",
-                k::kCloudTimeoutMs,
+  context_.call(Target::cloud, "", "GET", wire::machine_list_path(after, kListPage), "",
+                kCloudTimeoutMs,
                 [this, generation = generation_](Ms now, const HttpResult& http_result) {
                   on_page(now, generation, http_result);
                 });
@@ -68,8 +76,8 @@
   }
   // Guards against a list of many pages that is never complete, because one of them is refused each
   // time: the cloud is at its rate, or lost one answer.
-  if (!read && generation == generation_ && ++page_tries_ < k::kPageTries) {
-    page_at_ = now + k::kPageRetryMs;
+  if (!read && generation == generation_ && ++page_tries_ < kPageTries) {
+    page_at_ = now + kPageRetryMs;
     return;
   }
   busy_ = false;
@@ -78,9 +86,9 @@
 }
 
 Ms CloudInventory::next_list_at(Ms now) const {
-  const double rate = std::max(context_.settings.cloud_rps * k::kListRateShare, 0.1);
+  const double rate = std::max(context_.settings.cloud_rps * kListRateShare, 0.1);
   const auto paid = static_cast<Ms>(1000.0 * static_cast<double>(pages_read_) / rate);
-  return now + std::max(k::kListEveryMs, paid);
+  return now + std::max(kListEveryMs, paid);
 }
 
 void CloudInventory::finish(Ms now) {
--- a/src/fleet/cloud_inventory.h
+++ b/src/fleet/cloud_inventory.h
@@ -13,6 +13,14 @@
 
 namespace scheduler {
 
+// Milliseconds between machine lists.
+constexpr std::int64_t kListEveryMs = 2000;
+// Milliseconds until a cloud request counts as unanswered.
+constexpr std::int64_t kCloudTimeoutMs = 8000;
+// Names in one request to return machines, and machines in one page of the list (PROTOCOL).
+constexpr std::size_t kMachinesPerScaleIn = 100;
+constexpr std::uint32_t kListPage = 500;
+
 // The list lags behind, and one may be older than the one before (PROTOCOL): what it lacks may
 // exist, and what it names may be gone.
 class CloudInventory {
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -3,12 +3,35 @@
 #include <algorithm>
 #include <utility>
 
-#include "base/constants.h"
+#include "fleet/cloud_inventory.h"
 #include "wire/messages.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Milliseconds between catalog reads.
+constexpr std::int64_t kCatalogEveryMs = 60'000;
+// Milliseconds between decisions about the size of the fleet.
+constexpr std::int64_t kSizeEveryMs = 1000;
+// Part of that surplus that is returned in a second (one machine at least): whatever its size, most
+// of it is gone within ten minutes, and one a second is what small fleets always had.
+constexpr int kSurplusParts = 300;
+// Part of an idle fleet's surplus that is returned at once (one machine at least), so that a large
+// fleet is mostly back within a minute and a submission in between still finds machines.
+constexpr int kIdleSurplusParts = 30;
+// Nominal boot times after which a machine that is not up counts as stuck, and seconds added.
+constexpr double kStuckBoots = 4.0;
+constexpr double kStuckBootS = 30.0;
+// Seconds that a machine of a type that the catalog doesn't name is taken to need to boot.
+constexpr double kUnknownBootS = 60.0;
+// Milliseconds between looks for machines to return.
+constexpr std::int64_t kScaleInCheckMs = 500;
+// Milliseconds that the record of a machine that is gone is kept beyond what old lists may show.
+constexpr std::int64_t kGoneKeptMs = 60'000;
+
+}  // namespace
+
 using wire::MachineState;
 
 namespace {
@@ -93,8 +116,8 @@
 
 void FleetCoordinator::read_catalog(Ms now) {
   reading_catalog_ = true;
-  catalog_at_ = now + k::kCatalogEveryMs;
-  context_.call(Target::cloud, "", "GET", wire::kCatalogPath, "", k::kCloudTimeoutMs,
+  catalog_at_ = now + kCatalogEveryMs;
+  context_.call(Target::cloud, "", "GET", wire::kCatalogPath, "", kCloudTimeoutMs,
                 [this](Ms at, const HttpResult& http_result) { on_catalog(at, http_result); });
 }
 
@@ -102,7 +125,7 @@
   reading_catalog_ = false;
   std::vector<wire::MachineType> types;
   if (http_result.status != 200 || !wire::parse_catalog(http_result.body, types) || types.empty()) {
-    catalog_at_ = now + k::kSizeEveryMs;
+    catalog_at_ = now + kSizeEveryMs;
     return;
   }
   const Replica& replica = context_.replica;
@@ -113,7 +136,7 @@
   transaction.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
   transaction.writes = {{key, body, std::nullopt}};
   transaction.done = [this](Ms at, TxnResult result, const auto&) {
-    if (result != TxnResult::committed) catalog_at_ = at + k::kSizeEveryMs;
+    if (result != TxnResult::committed) catalog_at_ = at + kSizeEveryMs;
   };
   context_.state_client.submit(std::move(transaction));
 }
@@ -158,9 +181,9 @@
     return true;
   }
   const wire::MachineType* type = context_.replica.type(listed.type);
-  const double boot_s = type ? type->boot_s : k::kUnknownBootS;
+  const double boot_s = type ? type->boot_s : kUnknownBootS;
   if (listed.state == wire::CloudState::booting && record->incarnation == 0 &&
-      listed.held_s > k::kStuckBoots * boot_s + k::kStuckBootS) {
+      listed.held_s > kStuckBoots * boot_s + kStuckBootS) {
     context_.log(LogLevel::info, "machine " + id + " does not come up");
     records_.set_state(id, *record, MachineState::lost);
   }
@@ -170,7 +193,7 @@
 // Machines that are recorded and not listed although they have had time to appear.
 void FleetCoordinator::check_unlisted(Ms now) {
   const Replica& replica = context_.replica;
-  const Ms patience = static_cast<Ms>(context_.settings.list_lag_s * 3000.0) + k::kGoneKeptMs;
+  const Ms patience = static_cast<Ms>(context_.settings.list_lag_s * 3000.0) + kGoneKeptMs;
   std::erase_if(gone_since_, [&](const auto& gone) {
     return !replica.machine(gone.first) && now - gone.second > 2 * patience;
   });
@@ -197,7 +220,7 @@
 // ---- size ----
 
 void FleetCoordinator::resize(Ms now) {
-  resize_at_ = now + k::kSizeEveryMs;
+  resize_at_ = now + kSizeEveryMs;
   if (!context_.replica.has_catalog() || !list_.known()) return;
   const auto machines = held();
   const auto work = demand();
@@ -221,10 +244,10 @@
   since(surplus_since_, total > 0, now);
   since(idle_since_, work.empty(), now);
   if (total == 0) return;
-  if (idle_since_ != 0 && now - idle_since_ >= k::kScaleInIdleAfterMs) {
-    drain_empty(surplus, std::max(1, total / k::kIdleSurplusParts));
-  } else if (now - surplus_since_ >= k::kScaleInAfterMs) {
-    drain_empty(surplus, std::max(1, total / k::kSurplusParts));
+  if (idle_since_ != 0 && now - idle_since_ >= kScaleInIdleAfterMs) {
+    drain_empty(surplus, std::max(1, total / kIdleSurplusParts));
+  } else if (now - surplus_since_ >= kScaleInAfterMs) {
+    drain_empty(surplus, std::max(1, total / kSurplusParts));
   }
 }
 
@@ -259,7 +282,7 @@
 // ---- returning machines ----
 
 void FleetCoordinator::return_drained(Ms now) {
-  return_at_ = now + k::kScaleInCheckMs;
+  return_at_ = now + kScaleInCheckMs;
   std::vector<std::string> ids;
   for (const auto& [id, record] : context_.replica.machines()) {
     if (records_.pending(id)) continue;
@@ -274,7 +297,7 @@
         break;
       case MachineState::terminated: {
         const Ms since = gone_since_.emplace(id, now).first->second;
-        const Ms kept = k::kGoneKeptMs + static_cast<Ms>(context_.settings.list_lag_s * 3000.0);
+        const Ms kept = kGoneKeptMs + static_cast<Ms>(context_.settings.list_lag_s * 3000.0);
         if (empty && now - since >= kept && !list_.contains(id)) records_.forget(id);
         break;
       }
@@ -286,10 +309,10 @@
 }
 
 void FleetCoordinator::return_machines(std::vector<std::string> ids) {
-  if (ids.size() > k::kMachinesPerScaleIn) ids.resize(k::kMachinesPerScaleIn);
+  if (ids.size() > kMachinesPerScaleIn) ids.resize(kMachinesPerScaleIn);
   returning_ = true;
   const std::string body = wire::scale_in_body(ids);
-  context_.call(Target::cloud, "", "POST", wire::kScaleInPath, body, k::kCloudTimeoutMs,
+  context_.call(Target::cloud, "", "POST", wire::kScaleInPath, body, kCloudTimeoutMs,
                 [this, ids = std::move(ids)](Ms at, const HttpResult& http_result) {
                   on_returned(at, ids, http_result);
                 });
@@ -298,7 +321,7 @@
 void FleetCoordinator::on_returned(Ms now, const std::vector<std::string>& ids,
                                    const HttpResult& http_result) {
   returning_ = false;
-  return_at_ = now + k::kScaleInCheckMs;
+  return_at_ = now + kScaleInCheckMs;
   if (http_result.status != 200) return;
   // The cloud's word: the machines and all on them are gone.
   for (const auto& id : ids) {
--- a/src/fleet/fleet_coordinator.h
+++ b/src/fleet/fleet_coordinator.h
@@ -16,6 +16,12 @@
 
 namespace scheduler {
 
+// Milliseconds for which the fleet must have been larger than wanted before machines are returned.
+constexpr std::int64_t kScaleInAfterMs = 300'000;
+// The same while no job is unfinished: the pause between two submissions is shorter on any busy
+// day, and a machine is back within a boot.
+constexpr std::int64_t kScaleInIdleAfterMs = 30'000;
+
 // Rents what the unfinished work needs, adopts machines that nobody expected, and returns those
 // that are lost, sick, drained or not needed.
 class FleetCoordinator {
--- a/src/fleet/fleet_record_writer.cpp
+++ b/src/fleet/fleet_record_writer.cpp
@@ -3,12 +3,16 @@
 #include <algorithm>
 #include <utility>
 
-#include "base/constants.h"
 #include "fleet/machine_groups.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Bytes that a machine takes of a shared record, with room for longer names than usual.
+constexpr std::size_t kBytesPerMachine = 112;
+
+}  // namespace
 
 FleetRecordWriter::FleetRecordWriter(const Context& context, Written written)
     : context_(context), written_(std::move(written)) {}
@@ -49,7 +53,7 @@
 
 std::size_t FleetRecordWriter::machines_per_group() const {
   return static_cast<std::size_t>(
-      std::max(1.0, context_.value_bytes() / static_cast<double>(k::kBytesPerMachine)));
+      std::max(1.0, context_.value_bytes() / static_cast<double>(kBytesPerMachine)));
 }
 
 // Cuts the first group over the limit. True when a write is under way.
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -3,18 +3,29 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/constants.h"
+#include "base/types.h"
 #include "scheduling/placement.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Share of the demand held beyond it, so that a burst finds room while others boot.
+constexpr double kHeadroom = 0.5;
+// Whole machines held free beyond the demand, if there is any.
+constexpr double kSpareMachines = 2.0;
+// Machines rented in one request (PROTOCOL: 50 at most).
+constexpr std::uint32_t kMachinesPerScaleOut = 50;
+// Requests for one kind of machine at once; further ones wait until these are answered.
+constexpr std::uint32_t kScaleOutsPerKind = 3;
+
+}  // namespace
 
 double FleetSizer::parallel(const Demand& d) const {
   const wire::JobSpec& job = *d.job;
   const auto tasks = static_cast<double>(d.tasks);
   if (job.is_gang() || job.is_service()) return job.tasks;
-  double horizon = k::kDefaultHorizonS;
+  double horizon = kDefaultHorizonS;
   for (const auto& o : settings_.objectives) {
     if (o.job_class != job.job_class) continue;
     if (o.kind == ObjectiveKind::deadline && job.deadline_s)
@@ -67,8 +78,8 @@
   std::vector<Need> out;
   for (const auto& [key, n] : sums) {
     const auto& [type, any_zone, zone, any_kind] = key;
-    const double has_write_headroom = any_zone && any_kind ? k::kSpareMachines : 0;
-    out.push_back({type, zone, !any_kind, n * (1.0 + k::kHeadroom) + has_write_headroom});
+    const double has_write_headroom = any_zone && any_kind ? kSpareMachines : 0;
+    out.push_back({type, zone, !any_kind, n * (1.0 + kHeadroom) + has_write_headroom});
   }
   return out;
 }
@@ -79,7 +90,7 @@
 }
 
 void FleetSizer::on_refused(Ms now, const MachineKind& kind) {
-  refused_[kind] = now + k::kRefusedPauseMs;
+  refused_[kind] = now + kRefusedPauseMs;
 }
 
 std::vector<wire::ScaleOutRequest> FleetSizer::next_scale_out(
@@ -112,8 +123,7 @@
         for (const auto& z : type->zones) {
           MachineKind kind{type_name, z, spot};
           if ((!zone.empty() && z != zone) || is_refused(now, kind)) continue;
-          if (rent[kind] >= static_cast<int>(k::kMachinesPerScaleOut * k::kScaleOutsPerKind))
-            continue;
+          if (rent[kind] >= static_cast<int>(kMachinesPerScaleOut * kScaleOutsPerKind)) continue;
           if (!best || counts[kind] < counts[found]) {
             found = kind;
             best = &found;
@@ -128,7 +138,7 @@
   std::vector<wire::ScaleOutRequest> out;
   for (const auto& [kind, n] : rent) {
     for (auto left = static_cast<std::uint32_t>(n); left > 0;) {
-      const std::uint32_t one = std::min(left, k::kMachinesPerScaleOut);
+      const std::uint32_t one = std::min(left, kMachinesPerScaleOut);
       out.push_back({"", kind.type, kind.zone, kind.spot, one});
       left -= one;
     }
@@ -143,7 +153,7 @@
   for (const Need& need : needs(demand, catalog))
     if (need.zone.empty() && !need.ordinary_only) want[need.type] = need.machines;
   // Nothing is held for what may come while nothing is to be done.
-  const double least = demand.empty() ? 0.0 : k::kSpareMachines;
+  const double least = demand.empty() ? 0.0 : kSpareMachines;
   std::map<std::string, int> out;
   for (const auto& [kind, n] : held) out[kind.type] += n;
   for (auto& [type, n] : out) n -= static_cast<int>(std::ceil(std::max(want[type], least)));
--- a/src/fleet/fleet_sizer.h
+++ b/src/fleet/fleet_sizer.h
@@ -12,6 +12,9 @@
 
 namespace scheduler {
 
+// Milliseconds for which a refused kind of machine is not asked for again.
+constexpr std::int64_t kRefusedPauseMs = 15'000;
+
 // The duty of the fleet's coordinator. Its name decides which controller that is, so that the
 // production version and this one must hash the same one.
 constexpr std::string_view kFleetDuty = "cloud";
--- a/src/fleet/scale_out_requests.cpp
+++ b/src/fleet/scale_out_requests.cpp
@@ -3,12 +3,18 @@
 #include <algorithm>
 #include <utility>
 
-#include "base/constants.h"
+#include "fleet/cloud_inventory.h"
 #include "wire/messages.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Milliseconds between looks for rental requests to send, and before an unanswered one is repeated.
+constexpr std::int64_t kScaleOutCheckMs = 250;
+constexpr std::int64_t kScaleOutRetryMs = 2000;
+
+}  // namespace
 
 ScaleOutRequests::ScaleOutRequests(const Context& context, FleetSizer& fleet, Answered answered)
     : context_(context), fleet_(fleet), answered_(std::move(answered)) {}
@@ -35,7 +41,7 @@
 
 void ScaleOutRequests::tick(Ms now) {
   if (now < send_at_) return;
-  send_at_ = now + k::kScaleOutCheckMs;
+  send_at_ = now + kScaleOutCheckMs;
   for (const auto& [name, recorded] : context_.replica.scale_out_requests()) {
     // Guards against a fleet that grows by thousands spending the cloud's whole rate on refusals.
     if (sent_ >= context_.capacity.scale_out_requests) break;
@@ -49,7 +55,7 @@
 void ScaleOutRequests::send(const wire::ScaleOutRequest& request) {
   ++sent_;
   context_.call(Target::cloud, "", "POST", wire::kScaleOutPath, wire::scale_out_body(request),
-                k::kCloudTimeoutMs, [this, request](Ms now, const HttpResult& http_result) {
+                kCloudTimeoutMs, [this, request](Ms now, const HttpResult& http_result) {
                   --sent_;
                   on_result(now, request, http_result);
                 });
@@ -66,7 +72,7 @@
     fleet_.on_refused(now, {request.type, request.zone, request.spot});
   if (!rented && !no_capacity && http_result.status != 400) {
     // Unanswered or not now: the same name again, which rents nothing twice.
-    send_at_ = now + k::kScaleOutRetryMs;
+    send_at_ = now + kScaleOutRetryMs;
     under_way_.erase(request.name);
     return;
   }
--- a/src/jobs/job_reads.cpp
+++ b/src/jobs/job_reads.cpp
@@ -15,14 +15,13 @@
 //   go, each by its owner's write. If the replica holds none, there is none.
 #include <algorithm>
 
-#include "base/constants.h"
 #include "base/log_event.h"
+#include "base/types.h"
 #include "controller/controller.h"
+#include "jobs/timeouts.h"
 
 namespace scheduler {
 
-namespace k = constants;
-
 namespace {
 
 std::string_view name_of(wire::JobState state) {
@@ -73,7 +72,7 @@
       now, newest, deadline, [this, request, id, deadline, then](Ms at, bool reached) {
         --waiting_requests_;
         if (!reached) {
-          reply_unavailable(request, k::kRetryAfterS);
+          reply_unavailable(request, kRetryAfterS);
           return;
         }
         wait_until_job_settled(at, request, id, deadline,
@@ -94,7 +93,7 @@
     return;
   }
   if (!ready() || !state_client_.answering(now) || resynchronising_until_ != 0) {
-    reply_unavailable(request, k::kRetryAfterOutageS);
+    reply_unavailable(request, kRetryAfterOutageS);
     return;
   }
   if (shed_load(request)) return;
@@ -103,7 +102,7 @@
       now, deadline, [this, request, id, deadline, on_job_read](Ms at, bool ok) {
         --waiting_requests_;
         if (!ok) {
-          reply_unavailable(request, k::kRetryAfterS);
+          reply_unavailable(request, kRetryAfterS);
           return;
         }
         wait_until_job_settled(at, request, id, deadline,
@@ -146,7 +145,7 @@
   }
   // Accepted between the two reads: then the replica may have it by now.
   if (http_result.status != 404 || replica_.job(id) || replica_.final_state(id)) {
-    reply_unavailable(request, k::kRetryAfterS);
+    reply_unavailable(request, kRetryAfterS);
     return;
   }
   on_job_read(now, {});
@@ -163,7 +162,7 @@
 
 void Controller::on_poll(Ms now, std::uint64_t request, const std::string& id) {
   read_job(
-      now, request, id, now + k::kPollTimeoutMs, [this, request, id](Ms, const JobStatus& status) {
+      now, request, id, now + kPollTimeoutMs, [this, request, id](Ms, const JobStatus& status) {
         if (!status.known) {
           reply(request, 404, wire::error_body("no such job"));
           return;
@@ -177,22 +176,22 @@
 // once when a machine of ours is known not to answer, or the state service does not.
 void Controller::wait_until_cancelled(Ms now, std::uint64_t request, const std::string& id) {
   if (waiting_requests_ >= capacity_.waiting_requests) {
-    reply_unavailable(request, k::kRetryAfterS);
+    reply_unavailable(request, kRetryAfterS);
     return;
   }
   ++waiting_requests_;
   // Guards against telling users while a start is on its way: our own write is known at once, what
   // another controller had placed before it only when the watch has passed it.
   state_client_.wait_until_current(
-      now, now + k::kCancelTimeoutMs, [this, request, id](Ms at, bool ok) {
+      now, now + kCancelTimeoutMs, [this, request, id](Ms at, bool ok) {
         --waiting_requests_;
         if (ok && reply_if_cancelled(request, id)) return;
         if (!ok || !can_be_proven_soon(at, id)) {
-          reply_unavailable(request, k::kRetryAfterS);
+          reply_unavailable(request, kRetryAfterS);
           return;
         }
         ++waiting_requests_;
-        pending_cancellations_[id].push_back({request, at + k::kCancelTimeoutMs});
+        pending_cancellations_[id].push_back({request, at + kCancelTimeoutMs});
       });
 }
 
@@ -234,7 +233,7 @@
     std::erase_if(waits, [&](const PendingCancellation& w) {
       const bool told = reply_if_cancelled(w.request, it->first);
       if (!told && !misses_every_objective && now < w.deadline) return false;
-      if (!told) reply_unavailable(w.request, k::kRetryAfterS);
+      if (!told) reply_unavailable(w.request, kRetryAfterS);
       --waiting_requests_;
       return true;
     });
--- a/src/jobs/job_requests.cpp
+++ b/src/jobs/job_requests.cpp
@@ -2,13 +2,19 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/constants.h"
+#include "base/types.h"
 #include "controller/controller.h"
+#include "jobs/timeouts.h"
 #include "scheduling/placement.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Times that a cancellation is tried again when its job's record or the view changes under it.
+constexpr int kCancelTries = 3;
+
+}  // namespace
 
 void Controller::reply_unavailable(std::uint64_t request, int retry_after_s) {
   reply(request, 503, wire::error_body("not now"), retry_after_s);
@@ -16,7 +22,7 @@
 
 bool Controller::shed_load(std::uint64_t request) {
   if (waiting_requests_ < capacity_.waiting_requests) return false;
-  reply(request, 429, wire::error_body("too many requests"), k::kRetryAfterS);
+  reply(request, 429, wire::error_body("too many requests"), kRetryAfterS);
   return true;
 }
 
@@ -31,7 +37,7 @@
   if (healthy) {
     reply(request, 200, "{}");
   } else {
-    reply(request, 503, wire::error_body("no state"), k::kRetryAfterS);
+    reply(request, 503, wire::error_body("no state"), kRetryAfterS);
   }
 }
 
@@ -73,7 +79,7 @@
     if (settings_.record_format < wire::kServiceFormat) {
       reply(request, 400, wire::error_body("shape is missing or invalid"));
     } else {
-      reply_unavailable(request, k::kRetryAfterOutageS);
+      reply_unavailable(request, kRetryAfterOutageS);
     }
     return;
   }
@@ -86,26 +92,26 @@
     return;
   }
   if (!can_write(now) || !replica_.has_catalog()) {
-    reply_unavailable(request, k::kRetryAfterOutageS);
+    reply_unavailable(request, kRetryAfterOutageS);
     return;
   }
   const std::string reason = verdict(spec);
   if (replica_.job(id) || !reason.empty()) {
     // What was accepted once is never refused later, whatever has changed since.
-    read_job(now, request, id, now + k::kSubmitTimeoutMs,
+    read_job(now, request, id, now + kSubmitTimeoutMs,
              [this, request, reason, known](Ms, const JobStatus& status) {
                if (status.known) {
                  known(status.state);
                } else if (!reason.empty()) {
                  reply(request, 422, wire::error_body(reason));
                } else {
-                 reply_unavailable(request, k::kRetryAfterS);
+                 reply_unavailable(request, kRetryAfterS);
                }
              });
     return;
   }
   if (replica_.jobs().size() >= capacity_.live_jobs) {
-    reply(request, 429, wire::error_body("too many jobs"), k::kRetryAfterOutageS);
+    reply(request, 429, wire::error_body("too many jobs"), kRetryAfterOutageS);
     return;
   }
   if (shed_load(request)) return;
@@ -127,29 +133,27 @@
   t.conditions = {view_unchanged(), {wire::job_key(id), 0}, {wire::final_state_key(id), 0}};
   t.writes.push_back({wire::job_key(id), value, std::nullopt});
   t.urgent = true;
-  t.deadline = now + k::kSubmitTimeoutMs;
+  t.deadline = now + kSubmitTimeoutMs;
   ++waiting_requests_;
   t.done = [this, request, id, known, body](Ms at, TxnResult result, const auto& failed) {
     --waiting_requests_;
     if (result == TxnResult::conflict && failed.size() == 1 && failed[0] == wire::kViewKey) {
       // Only the view has changed meanwhile; nothing speaks against the job itself.
-      state_client_.barrier_read(
-          at, at + k::kPollTimeoutMs, [this, request, body](Ms then, bool ok) {
-            ok ? on_submit(then, request, body) : reply_unavailable(request, k::kRetryAfterS);
-          });
+      state_client_.barrier_read(at, at + kPollTimeoutMs, [this, request, body](Ms then, bool ok) {
+        ok ? on_submit(then, request, body) : reply_unavailable(request, kRetryAfterS);
+      });
       return;
     }
     if (result == TxnResult::committed) {
       on_job_recorded(at, request, id);
     } else if (result == TxnResult::conflict) {
       // Known already, or the view has changed.
-      read_job(at, request, id, at + k::kPollTimeoutMs,
+      read_job(at, request, id, at + kPollTimeoutMs,
                [this, request, known](Ms, const JobStatus& status) {
-                 status.known ? known(status.state) : reply_unavailable(request, k::kRetryAfterS);
+                 status.known ? known(status.state) : reply_unavailable(request, kRetryAfterS);
                });
     } else {
-      reply_unavailable(request,
-                        result == TxnResult::refused ? k::kRetryAfterOutageS : k::kRetryAfterS);
+      reply_unavailable(request, result == TxnResult::refused ? kRetryAfterOutageS : kRetryAfterS);
     }
   };
   state_client_.submit(std::move(t));
@@ -171,7 +175,7 @@
     accepted(wire::JobState::queued);
     return;
   }
-  wait_until_job_settled(now, request, id, now + k::kPollTimeoutMs, [this, id, accepted](Ms) {
+  wait_until_job_settled(now, request, id, now + kPollTimeoutMs, [this, id, accepted](Ms) {
     const auto* final_state = replica_.final_state(id);
     const Job* settled = replica_.job(id);
     accepted(final_state ? final_status(*final_state).state
@@ -188,7 +192,7 @@
     write_cancelled(now, request, id, tries);
     return;
   }
-  read_job(now, request, id, now + k::kSubmitTimeoutMs,
+  read_job(now, request, id, now + kSubmitTimeoutMs,
            [this, request, id, tries](Ms at, const JobStatus& status) {
              const bool ended =
                  status.state == wire::JobState::done || status.state == wire::JobState::cancelled;
@@ -196,8 +200,8 @@
                reply(request, 404, wire::error_body("no such job"));
              } else if (ended) {
                reply(request, 200, wire::job_state_body(id, status.state));
-             } else if (!replica_.job(id) || tries > k::kCancelTries) {
-               reply_unavailable(request, k::kRetryAfterS);
+             } else if (!replica_.job(id) || tries > kCancelTries) {
+               reply_unavailable(request, kRetryAfterS);
              } else {
                write_cancelled(at, request, id, tries);
              }
@@ -218,7 +222,7 @@
   t.conditions = {view_unchanged(), state_client_.unchanged(key)};
   t.writes = {{key, encode(record), std::nullopt}};
   t.urgent = true;
-  t.deadline = now + k::kSubmitTimeoutMs;
+  t.deadline = now + kSubmitTimeoutMs;
   ++waiting_requests_;
   t.done = [this, request, id, tries](Ms at, TxnResult result, const auto&) {
     --waiting_requests_;
@@ -228,7 +232,7 @@
     } else if (result == TxnResult::conflict) {
       on_cancel(at, request, id, tries + 1);
     } else {
-      reply_unavailable(request, k::kRetryAfterS);
+      reply_unavailable(request, kRetryAfterS);
     }
   };
   state_client_.submit(std::move(t));
--- a/src/links/constants.h
+++ b/src/links/constants.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace scheduler::links::constants {
+namespace scheduler::links {
 
 // ---- requests: the state service and the cloud ----
 // Milliseconds without any answer after which a service counts as not answering; while nothing else
@@ -34,7 +34,7 @@
 constexpr std::int64_t kHeartbeatMarginMs = 600;
 // Milliseconds until a probe of a worker counts as unanswered, and between rounds of probes.
 constexpr std::int64_t kProbeTimeoutMs = 1000;
-constexpr std::int64_t kProbeEveryMs = 2000;
+constexpr std::int64_t kWorkerProbeMs = 2000;
 // Part of a report interval without a report, at least, before workers are probed: single workers
 // report that far apart as a rule.
 constexpr double kSuspectHeartbeats = 0.5;
@@ -76,4 +76,4 @@
 // Milliseconds in which half of a link's past failures is forgotten.
 constexpr double kFlapHalfLifeMs = 60'000.0;
 
-}  // namespace scheduler::links::constants
+}  // namespace scheduler::links
--- a/src/links/matrix.cpp
+++ b/src/links/matrix.cpp
@@ -7,19 +7,17 @@
 
 namespace scheduler::links {
 
-namespace k = constants;
-
 Ms Matrix::age(Ms wall, const wire::LinkRow& row) {
   return std::max<Ms>(0, wall - static_cast<Ms>(row.as_of_ms));
 }
 
 void Matrix::merge(Ms now, Ms wall, const wire::LinkRow& row) {
-  if (row.controller == own_ || age(wall, row) > k::kStateWordFreshMs) return;
+  if (row.controller == own_ || age(wall, row) > kStateWordFreshMs) return;
   const auto known = entries_.find(row.controller);
-  if (known == entries_.end() && entries_.size() >= k::kMostRows) return;
+  if (known == entries_.end() && entries_.size() >= kMostRows) return;
   Entry& entry = known == entries_.end() ? entries_[row.controller] : known->second;
   if (row.as_of_ms <= entry.row.as_of_ms) return;
-  const bool interrupted = age(wall, entry.row) > k::kStateWordFreshMs;
+  const bool interrupted = age(wall, entry.row) > kStateWordFreshMs;
   if (row.state != Status::up) {
     entry.state_up_since = 0;
   } else if (entry.state_up_since == 0 || interrupted) {
--- a/src/links/monitor.cpp
+++ b/src/links/monitor.cpp
@@ -7,8 +7,6 @@
 
 namespace scheduler::links {
 
-namespace k = constants;
-
 Monitor::Monitor(MonitorSettings settings, const RequestLink& state, const RequestLink& cloud)
     : settings_(std::move(settings)), state_(state), cloud_(cloud), matrix_(settings_.name) {
   for (const auto& peer : settings_.peers)
@@ -27,7 +25,7 @@
 }
 
 ZoneLinks& Monitor::zone(const std::string& name) {
-  const bool fits = zones_.contains(name) || zones_.size() < k::kMostEntries;
+  const bool fits = zones_.contains(name) || zones_.size() < kMostEntries;
   return zones_.try_emplace(fits ? name : "", settings_.heartbeat_interval).first->second;
 }
 
@@ -70,7 +68,7 @@
   row.cloud = cloud_.status(moment.now);
   row.relays = settings_.relays;
   for (const auto& [name, detector] : peers_) {
-    if (row.heard.size() < k::kMostEntries) row.heard[name] = detector.status(moment.now);
+    if (row.heard.size() < kMostEntries) row.heard[name] = detector.status(moment.now);
   }
   for (const auto& [name, links] : zones_)
     row.workers[name] = {links.reports(moment.now), links.commands(moment.now),
@@ -83,7 +81,7 @@
 
 std::vector<wire::LinkRow> Monitor::rows_to_spread(const Moment& moment) const {
   std::vector<wire::LinkRow> rows{row(moment)};
-  for (const auto* entry : matrix_.fresh(moment.wall, k::kRowFreshMs)) rows.push_back(entry->row);
+  for (const auto* entry : matrix_.fresh(moment.wall, kRowFreshMs)) rows.push_back(entry->row);
   return rows;
 }
 
@@ -96,11 +94,11 @@
 Decision Monitor::may_serve_users(const Moment& moment) const {
   const Ms age = moment.now - state_.last_answer();
   if (state_.answering(moment.now)) return {true, Reason::link_up, "", age};
-  const auto rows = matrix_.fresh(moment.wall, k::kStateWordFreshMs);
+  const auto rows = matrix_.fresh(moment.wall, kStateWordFreshMs);
   for (const auto* entry : rows) {
     // At the ends of an outage one notices before the other.
     const Ms since = std::max(entry->state_up_since, state_.last_answer());
-    if (entry->state_up_since != 0 && moment.now - since > k::kStateWordMs)
+    if (entry->state_up_since != 0 && moment.now - since > kStateWordMs)
       return {false, Reason::peer_reaches, entry->row.controller,
               Matrix::age(moment.wall, entry->row)};
   }
@@ -123,7 +121,7 @@
   const wire::LinkRow& row = entry.row;
   const auto heard = [&](const std::string& zone, const wire::ZoneLinkStatus& links) {
     const auto since = entry.reports_up_since.find(zone);
-    return since != entry.reports_up_since.end() && moment.now - since->second >= k::kRowSteadyMs &&
+    return since != entry.reports_up_since.end() && moment.now - since->second >= kRowSteadyMs &&
            links.commands != Status::down && static_cast<Ms>(links.heard_ms) > since_wall;
   };
   bool knows_zones = false;
@@ -162,7 +160,7 @@
   Decision decision{true, Reason::nobody_reaches, "", silent};
   for (const auto& other : others) {
     const auto* entry = matrix_.find(other);
-    const bool fresh = entry && Matrix::age(moment.wall, entry->row) <= k::kRowFreshMs;
+    const bool fresh = entry && Matrix::age(moment.wall, entry->row) <= kRowFreshMs;
     // Of who doesn't say (an older version, or one that isn't heard) the best is assumed.
     const bool reaches = !fresh || heard_since(moment, *entry, lost, moment.wall - silent / 2);
     if (!reaches) continue;
@@ -209,7 +207,7 @@
 void Monitor::note_census(Ms now, const Census& census) {
   for (const auto& [zone, count] : census.zones) {
     const bool known = mostly_unresponsive_at_.contains(zone);
-    if (!count.mostly_responsive() && (known || mostly_unresponsive_at_.size() < k::kMostEntries))
+    if (!count.mostly_responsive() && (known || mostly_unresponsive_at_.size() < kMostEntries))
       mostly_unresponsive_at_[zone] = now;
   }
 }
@@ -219,10 +217,10 @@
 Decision Monitor::may_declare_dead(const Moment& moment, const std::string& zone,
                                    const Census& census, Ms quiet) const {
   if (!census.all.mostly_responsive()) return {false, Reason::mostly_unresponsive, "", quiet};
-  const bool patience_over = quiet > k::kZoneCutPatienceMs;
+  const bool patience_over = quiet > kZoneCutPatienceMs;
   const auto links = zones_.find(zone);
   if (links != zones_.end() && !links->second.usable(moment.now) && !patience_over) {
-    for (const auto* entry : matrix_.fresh(moment.wall, k::kRowFreshMs)) {
+    for (const auto* entry : matrix_.fresh(moment.wall, kRowFreshMs)) {
       const auto theirs = entry->row.workers.find(zone);
       if (theirs != entry->row.workers.end() && theirs->second.reports == Status::up)
         return {false, Reason::peer_reaches, entry->row.controller,
@@ -231,8 +229,8 @@
   }
   // Guards against returning the last workers of a zone that is just coming back from a cut.
   const auto silent_at = mostly_unresponsive_at_.find(zone);
-  const bool back_just_now = silent_at != mostly_unresponsive_at_.end() &&
-                             moment.now - silent_at->second < k::kBackFromCutMs;
+  const bool back_just_now =
+      silent_at != mostly_unresponsive_at_.end() && moment.now - silent_at->second < kBackFromCutMs;
   if (census.zone(zone).mostly_responsive() && !back_just_now)
     return {true, Reason::mostly_responsive, "", quiet};
   return {patience_over, patience_over ? Reason::patience_over : Reason::mostly_unresponsive, "",
@@ -241,7 +239,7 @@
 
 std::optional<std::string> Monitor::relay_to(const Moment& moment, const std::string& zone) const {
   std::optional<std::string> best;
-  for (const auto* entry : matrix_.fresh(moment.wall, k::kRowFreshMs)) {
+  for (const auto* entry : matrix_.fresh(moment.wall, kRowFreshMs)) {
     const wire::LinkRow& row = entry->row;
     const auto hears_us = row.heard.find(settings_.name);
     if (!row.relays || peer(moment.now, row.controller) != Status::up) continue;
@@ -266,7 +264,7 @@
                              const std::string& zone) const {
   const auto* entry = matrix_.find(owner);
   if (!settings_.relays || !entry || !entry->row.relays) return false;
-  if (Matrix::age(moment.wall, entry->row) > k::kRowFreshMs) return false;
+  if (Matrix::age(moment.wall, entry->row) > kRowFreshMs) return false;
   if (peer(moment.now, owner) != Status::up) return false;
   const auto hears_us = entry->row.heard.find(settings_.name);
   if (hears_us == entry->row.heard.end() || hears_us->second != Status::up) return false;
--- a/src/links/phi_detector.cpp
+++ b/src/links/phi_detector.cpp
@@ -6,12 +6,10 @@
 
 namespace scheduler::links {
 
-namespace k = constants;
-
 PhiDetector::PhiDetector(Ms expected_interval) : expected_(static_cast<double>(expected_interval)) {
   // Until enough intervals have been seen the expected one stands for them.
   intervals_.fill(expected_);
-  const auto n = static_cast<double>(k::kIntervals);
+  const auto n = static_cast<double>(kIntervals);
   sum_ = n * expected_;
   sum_of_squares_ = n * expected_ * expected_;
 }
@@ -20,8 +18,8 @@
   const Ms before = std::exchange(last_heard_, std::max(now, last_heard_));
   if (before == 0) return;
   const auto interval = static_cast<double>(last_heard_ - before);
-  if (interval > k::kLongestInterval * expected_) return;
-  double& oldest = intervals_.at(count_++ % k::kIntervals);
+  if (interval > kLongestInterval * expected_) return;
+  double& oldest = intervals_.at(count_++ % kIntervals);
   sum_ += interval - oldest;
   sum_of_squares_ += interval * interval - oldest * oldest;
   oldest = interval;
@@ -31,12 +29,12 @@
   if (last_heard_ != 0) last_heard_ = now;
 }
 
-double PhiDetector::mean() const { return sum_ / static_cast<double>(k::kIntervals); }
+double PhiDetector::mean() const { return sum_ / static_cast<double>(kIntervals); }
 
 double PhiDetector::spread() const {
   const double average = mean();
-  const double variance = sum_of_squares_ / static_cast<double>(k::kIntervals) - average * average;
-  return std::max(k::kLeastSpreadMs, std::sqrt(std::max(0.0, variance)));
+  const double variance = sum_of_squares_ / static_cast<double>(kIntervals) - average * average;
+  return std::max(kLeastSpreadMs, std::sqrt(std::max(0.0, variance)));
 }
 
 double PhiDetector::suspicion(Ms now) const {
@@ -53,7 +51,7 @@
 
 Status PhiDetector::status(Ms now) const {
   if (last_heard_ == 0) return Status::unknown;
-  return suspicion(now) < k::kSuspicion ? Status::up : Status::down;
+  return suspicion(now) < kSuspicion ? Status::up : Status::down;
 }
 
 }  // namespace scheduler::links
--- a/src/links/phi_detector.h
+++ b/src/links/phi_detector.h
@@ -28,7 +28,7 @@
   double spread() const;
 
   double expected_;
-  std::array<double, constants::kIntervals> intervals_{};
+  std::array<double, kIntervals> intervals_{};
   std::size_t count_ = 0;  // of all intervals so far; the newest ones are kept
   double sum_ = 0, sum_of_squares_ = 0;
   Ms last_heard_ = 0;  // 0: never
--- a/src/links/request_link.h
+++ b/src/links/request_link.h
@@ -24,13 +24,10 @@
 
   // The last word was an answer, and it is not old.
   bool answering(Ms now) const {
-    return last_answer_ > 0 && last_answer_ >= last_failure_ &&
-           now - last_answer_ < constants::kSilentMs;
+    return last_answer_ > 0 && last_answer_ >= last_failure_ && now - last_answer_ < kSilentMs;
   }
   // Nothing at all comes, not even a refusal.
-  bool silent(Ms now) const {
-    return now - std::max(last_answer_, last_refusal_) >= constants::kSilentMs;
-  }
+  bool silent(Ms now) const { return now - std::max(last_answer_, last_refusal_) >= kSilentMs; }
   Status status(Ms now) const {
     if (last_answer_ == 0 && last_failure_ == 0) return Status::unknown;
     return answering(now) ? Status::up : Status::down;
--- a/src/links/zone_links.cpp
+++ b/src/links/zone_links.cpp
@@ -6,8 +6,6 @@
 
 namespace scheduler::links {
 
-namespace k = constants;
-
 void ZoneLinks::expect(Ms now, std::size_t workers) {
   workers_ = workers;
   if (workers == 0) {
@@ -34,11 +32,10 @@
 Ms ZoneLinks::silent_for(Ms now) const { return now - std::max(last_heartbeat_, expected_since_); }
 
 Ms ZoneLinks::silence_limit(std::size_t workers) const {
-  const double several = (k::kSilentHeartbeats - k::kLongestHeartbeatGap) /
+  const double several = (kSilentHeartbeats - kLongestHeartbeatGap) /
                          static_cast<double>(std::max<std::size_t>(1, workers));
-  const double intervals = k::kLongestHeartbeatGap + several;
-  return static_cast<Ms>(static_cast<double>(heartbeat_interval_) * intervals) +
-         k::kHeartbeatMarginMs;
+  const double intervals = kLongestHeartbeatGap + several;
+  return static_cast<Ms>(static_cast<double>(heartbeat_interval_) * intervals) + kHeartbeatMarginMs;
 }
 
 Status ZoneLinks::reports(Ms now) const {
@@ -53,7 +50,7 @@
 }
 
 Status ZoneLinks::commands(Ms /*now*/) const {
-  if (unanswered_rounds_ >= k::kRoundsUntilDown) return Status::down;
+  if (unanswered_rounds_ >= kRoundsUntilDown) return Status::down;
   return last_answer_ != 0 ? Status::up : Status::unknown;
 }
 
@@ -62,11 +59,11 @@
 }
 
 bool ZoneLinks::probe_due(Ms now) const {
-  if (workers_ == 0 || (probed_at_ != 0 && now - probed_at_ < k::kProbeEveryMs)) return false;
+  if (workers_ == 0 || (probed_at_ != 0 && now - probed_at_ < kWorkerProbeMs)) return false;
   if (suspected_ || unanswered_rounds_ > 0) return true;
   const Ms earliest =
-      static_cast<Ms>(static_cast<double>(heartbeat_interval_) * k::kSuspectHeartbeats);
-  const Ms before_limit = silence_limit(workers_) - k::kProbeTimeoutMs - k::kHeartbeatMarginMs / 2;
+      static_cast<Ms>(static_cast<double>(heartbeat_interval_) * kSuspectHeartbeats);
+  const Ms before_limit = silence_limit(workers_) - kProbeTimeoutMs - kHeartbeatMarginMs / 2;
   return silent_for(now) > std::max(earliest, before_limit);
 }
 
--- a/src/membership/cluster_view.cpp
+++ b/src/membership/cluster_view.cpp
@@ -3,10 +3,15 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/constants.h"
-
 namespace scheduler {
 
+namespace {
+
+// Bits of a token below the epoch: fences raised per machine within one epoch.
+constexpr int kFenceBits = 24;
+
+}  // namespace
+
 namespace {
 // FNV-1a with a final mix: the hash must be the same in every process, unlike std::hash.
 std::uint64_t weight(std::string_view key, std::string_view candidate) {
@@ -107,13 +112,13 @@
 }
 
 std::uint64_t ClusterView::token(std::uint64_t epoch, std::uint64_t fence) {
-  return (epoch << constants::kFenceBits) | fence;
+  return (epoch << kFenceBits) | fence;
 }
 
-std::uint64_t ClusterView::epoch_of(std::uint64_t token) { return token >> constants::kFenceBits; }
+std::uint64_t ClusterView::epoch_of(std::uint64_t token) { return token >> kFenceBits; }
 
 std::uint64_t ClusterView::fence_of(std::uint64_t token) {
-  return token & ((std::uint64_t{1} << constants::kFenceBits) - 1);
+  return token & ((std::uint64_t{1} << kFenceBits) - 1);
 }
 
 }  // namespace scheduler
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -3,11 +3,18 @@
 #include <algorithm>
 #include <utility>
 
-#include "base/constants.h"
+#include "state/state_client.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Milliseconds that a member's hold must have been gone before others remove it.
+constexpr std::int64_t kMemberRemovalDelayMs = 400;
+// Further milliseconds for each live controller before us in order, so that one of them writes.
+constexpr std::int64_t kMemberRemovalStaggerMs = 300;
+
+}  // namespace
 
 MembershipManager::MembershipManager(const Context& context, links::Monitor& links,
                                      std::function<void(Ms now)> joined)
@@ -72,7 +79,7 @@
   t.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}, live_record(next.epoch)};
   t.urgent = true;
   t.done = [this](Ms at, TxnResult result, const auto&) {
-    join_after_ = at + k::kProbeEveryMs / 4;
+    join_after_ = at + kStateProbeMs / 4;
     if (result == TxnResult::committed) {
       joining_ = false;
       on_joined_(at);
@@ -108,10 +115,10 @@
 }
 
 Ms MembershipManager::removal_delay() const {
-  Ms patience = k::kMemberRemovalDelayMs;
+  Ms patience = kMemberRemovalDelayMs;
   for (const auto& name : context_.cluster_view.live()) {
     if (name == context_.settings.name) break;
-    patience += k::kMemberRemovalStaggerMs;
+    patience += kMemberRemovalStaggerMs;
   }
   return patience;
 }
--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -3,12 +3,20 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/constants.h"
+#include "base/resources.h"
 
 namespace scheduler {
 
 namespace {
 
+// The same while services wait: long enough to collect, and short enough that each of five
+// controllers has had its turn before a replica has waited for 20 s.
+constexpr std::int64_t kServiceQuotaTurnMs = 3000;
+
+}  // namespace
+
+namespace {
+
 using Amount = wire::QuotaRecord::Amount;
 
 // Records what our services lack, without a write for every small change. True if it has changed.
@@ -16,8 +24,8 @@
                            double lack) {
   const auto told = r.service_demand.find(self);
   const double before = told == r.service_demand.end() ? 0.0 : told->second.*field;
-  const bool lacks = lack > constants::kAmountSlack, lacked = before > constants::kAmountSlack;
-  if (lacks == lacked && lack <= before + constants::kAmountSlack) return false;
+  const bool lacks = lack > kAmountSlack, lacked = before > kAmountSlack;
+  if (lacks == lacked && lack <= before + kAmountSlack) return false;
   r.service_demand[self].*field = lack;
   return true;
 }
@@ -35,7 +43,7 @@
   // guard of the write keeps them from using more.
   for (auto& [who, grant] : r.leases) {
     if (std::find(in.live.begin(), in.live.end(), who) != in.live.end()) continue;
-    if (grant.*field > used(who) + constants::kAmountSlack) {
+    if (grant.*field > used(who) + kAmountSlack) {
       grant.*field = used(who);
       changed = true;
     }
@@ -55,7 +63,7 @@
   if (in.yield) {
     // Guards against gangs in several parts that each keep a remainder too small to start, for
     // ever.
-    if (own > own_used + constants::kAmountSlack) {
+    if (own > own_used + kAmountSlack) {
       own = own_used;
       changed = true;
     }
@@ -70,38 +78,37 @@
   const double others_services = service_demand_of_others(r, in.self, in.live).*field;
   changed = update_service_demand(r, in.self, field, service_lack) || changed;
   const double idle_now = own - own_used;
-  if (others_services > free + constants::kAmountSlack && idle_now > constants::kAmountSlack) {
+  if (others_services > free + kAmountSlack && idle_now > kAmountSlack) {
     // Guards against services that wait for ever while arrays of the team take up whatever ends.
     own -= std::min(idle_now, others_services - free);
     return true;
   }
-  if (target > own + constants::kAmountSlack) {
+  if (target > own + kAmountSlack) {
     const double rest = std::max(0.0, free - service_lack - others_services);
     const double needed =
         std::min(free, service_lack) + std::min(rest, std::max(0.0, target - own - service_lack));
     // While nobody else asks, some of what is free comes along, so that the next gang or array does
     // not wait for a write; it is given back as soon as another part wants it.
-    const bool alone = others_want <= constants::kAmountSlack;
+    const bool alone = others_want <= kAmountSlack;
     const double spare = alone ? (free - needed) / static_cast<double>(in.live.size() + 1) : 0.0;
     const double take = needed + spare;
-    if (take > constants::kAmountSlack) {
+    if (take > kAmountSlack) {
       own += take;
       changed = true;
     }
     const double missing = std::max(0.0, target - own);
     // Tell the others, without writing for every small change.
-    if ((missing > constants::kAmountSlack) != (demand > constants::kAmountSlack) ||
-        missing > 2 * demand) {
+    if ((missing > kAmountSlack) != (demand > kAmountSlack) || missing > 2 * demand) {
       demand = missing;
       changed = true;
     }
   } else {
-    if (demand > constants::kAmountSlack) {
+    if (demand > kAmountSlack) {
       demand = 0;
       changed = true;
     }
     const double idle = own - target;
-    if (others_want > free + constants::kAmountSlack && idle > constants::kAmountSlack) {
+    if (others_want > free + kAmountSlack && idle > kAmountSlack) {
       own -= std::min(idle, others_want - free);
       changed = true;
     }
@@ -136,13 +143,13 @@
   std::vector<const std::string*> names;
   const auto add_wanting = [&](const std::map<std::string, Amount>& demand) {
     for (const auto& [who, want] : demand)
-      if ((want.cpus > constants::kAmountSlack || want.gpus > constants::kAmountSlack) &&
+      if ((want.cpus > kAmountSlack || want.gpus > kAmountSlack) &&
           std::find(live.begin(), live.end(), who) != live.end())
         names.push_back(&who);
   };
   // Services go before all other work, in collecting as well.
   add_wanting(record.service_demand);
-  const Ms turn = names.empty() ? constants::kQuotaTurnMs : constants::kServiceQuotaTurnMs;
+  const Ms turn = names.empty() ? kQuotaTurnMs : kServiceQuotaTurnMs;
   if (names.empty()) add_wanting(record.demand);
   if (names.empty()) return "";
   return *names[static_cast<std::size_t>(wall / turn) % names.size()];
@@ -154,8 +161,8 @@
                   const wire::QuotaRecord::Amount& used, double cpus, double gpus) {
   auto it = record.leases.find(self);
   const Amount grant = it == record.leases.end() ? Amount{} : it->second;
-  if (team.cpus_max > 0 && used.cpus + cpus > grant.cpus + constants::kAmountSlack) return false;
-  if (team.gpus_max > 0 && used.gpus + gpus > grant.gpus + constants::kAmountSlack) return false;
+  if (team.cpus_max > 0 && used.cpus + cpus > grant.cpus + kAmountSlack) return false;
+  if (team.gpus_max > 0 && used.gpus + gpus > grant.gpus + kAmountSlack) return false;
   return true;
 }
 
--- a/src/quota/quota_leases.h
+++ b/src/quota/quota_leases.h
@@ -11,6 +11,13 @@
 
 namespace scheduler {
 
+// Milliseconds between looks at the grants of teams' limits.
+constexpr std::int64_t kQuotaCheckMs = 100;
+// Milliseconds for which a part must have had a grant too small for all that waits before it gives
+// it to whose turn it is, and milliseconds of a turn: long enough to collect and to start.
+constexpr std::int64_t kQuotaStuckMs = 2000;
+constexpr std::int64_t kQuotaTurnMs = 8000;
+
 struct QuotaLeaseInput {
   const Team* team = nullptr;
   std::string self;
--- a/src/quota/quota_manager.cpp
+++ b/src/quota/quota_manager.cpp
@@ -2,14 +2,13 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/constants.h"
+#include "base/resources.h"
 #include "controller/controller.h"
+#include "quota/quota_leases.h"
 #include "scheduling/scheduling_pass.h"
 
 namespace scheduler {
 
-namespace k = constants;
-
 bool Controller::quota_allows(SchedulingPass& pass, const wire::JobSpec& spec) {
   const Team* t = team(spec.team);
   if (!t) return false;
@@ -47,7 +46,7 @@
 
 void Controller::update_quota_leases(Ms now) {
   if (!can_write(now) || now < next_quota_check_) return;
-  next_quota_check_ = now + k::kQuotaCheckMs;
+  next_quota_check_ = now + kQuotaCheckMs;
   for (const auto& t : settings_.teams) {
     if (!limited(t) || (quota_write_in_flight_[t.name] && !quota_uncertain_.contains(t.name)))
       continue;
@@ -83,13 +82,13 @@
     auto& used = in.used[settings_.name];
     const auto grant = record.leases.find(settings_.name);
     const bool stuck = need != quota_demand_.end() && grant != record.leases.end() &&
-                       (grant->second.cpus > used.cpus + k::kAmountSlack ||
-                        grant->second.gpus > used.gpus + k::kAmountSlack);
+                       (grant->second.cpus > used.cpus + kAmountSlack ||
+                        grant->second.gpus > used.gpus + kAmountSlack);
     Ms& since = quota_stuck_since_[t.name];
     if (!stuck) since = 0;
     if (stuck && since == 0) since = now;
     const std::string turn = quota_collector(record, in.live, now + wall_offset_);
-    in.yield = stuck && now - since > k::kQuotaStuckMs && !turn.empty() && turn != settings_.name;
+    in.yield = stuck && now - since > kQuotaStuckMs && !turn.empty() && turn != settings_.name;
     in.leave_to_collector = quota_yields_[t.name].leave_to_collector(in.yield, turn);
     if (!in.yield) {
       // Guards against giving away what our services need for a restart. While a remainder is being
--- a/src/scheduling/pending_order.cpp
+++ b/src/scheduling/pending_order.cpp
@@ -3,11 +3,15 @@
 #include <algorithm>
 #include <numeric>
 
-#include "base/constants.h"
-
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Rounds in which it is settled which of its class's aims each waiting job is to meet; classes have
+// two to four.
+constexpr int kOrderRounds = 4;
+
+}  // namespace
 
 std::vector<std::size_t> order_by_deadline(const std::vector<PendingJob>& jobs, double cpus) {
   enum Class : int { in_time, late, misses_every_objective };
@@ -19,9 +23,9 @@
   for (std::size_t i = 0; i < n; ++i)
     if (jobs[i].latest_starts.empty()) kind[i] = misses_every_objective;
   auto due = [&](std::size_t i) { return jobs[i].latest_starts[aim[i]]; };
-  const double rate = std::max(cpus * k::kForecastShare, 1.0);
+  const double rate = std::max(cpus * kForecastShare, 1.0);
   // A job that misses an aim may still meet the next; each round settles who does.
-  for (int round = 0; round < k::kOrderRounds; ++round) {
+  for (int round = 0; round < kOrderRounds; ++round) {
     std::vector<std::size_t> open;
     for (std::size_t i = 0; i < n; ++i)
       if (kind[i] == in_time) open.push_back(i);
--- a/src/scheduling/pending_order.h
+++ b/src/scheduling/pending_order.h
@@ -6,6 +6,10 @@
 
 namespace scheduler {
 
+// Share of the fleet's CPUs that forecasts of when waiting work starts count with: fetches, losses
+// and wrong estimates take the rest.
+constexpr double kForecastShare = 0.65;
+
 // A job with tasks that wait for room.
 struct PendingJob {
   int priority = 0;   // high first; forecasts count what goes before as work done first
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -4,13 +4,13 @@
 #include <cmath>
 #include <random>
 
-#include "base/constants.h"
+#include "base/resources.h"
 
 namespace scheduler {
 
 bool Candidate::fits(const wire::JobSpec& job) const {
-  return cpus + constants::kAmountSlack >= job.cpus && gpus + constants::kAmountSlack >= job.gpus &&
-         memory_gb + constants::kAmountSlack >= job.memory_gb;
+  return cpus + kAmountSlack >= job.cpus && gpus + kAmountSlack >= job.gpus &&
+         memory_gb + kAmountSlack >= job.memory_gb;
 }
 
 bool Candidate::book(const wire::JobSpec& job, Ms ends_at) {
@@ -45,16 +45,14 @@
 
 double fit_count(const wire::JobSpec& job, double cpus, double gpus, double memory_gb) {
   double n = 1e6;
-  if (job.cpus > 0) n = std::min(n, std::floor((cpus + constants::kAmountSlack) / job.cpus));
-  if (job.gpus > 0) n = std::min(n, std::floor((gpus + constants::kAmountSlack) / job.gpus));
-  if (job.memory_gb > 0)
-    n = std::min(n, std::floor((memory_gb + constants::kAmountSlack) / job.memory_gb));
+  if (job.cpus > 0) n = std::min(n, std::floor((cpus + kAmountSlack) / job.cpus));
+  if (job.gpus > 0) n = std::min(n, std::floor((gpus + kAmountSlack) / job.gpus));
+  if (job.memory_gb > 0) n = std::min(n, std::floor((memory_gb + kAmountSlack) / job.memory_gb));
   return std::max(0.0, n);
 }
 
 double remaining_s(Ms now, Ms ends_at) {
-  return now < ends_at ? static_cast<double>(ends_at - now) / 1000.0
-                       : constants::kOverrunAllowanceS;
+  return now < ends_at ? static_cast<double>(ends_at - now) / 1000.0 : kOverrunAllowanceS;
 }
 
 double predict_finish(Ms now, const Candidate& machine, const wire::JobSpec& job) {
@@ -106,7 +104,7 @@
     best_finish = finish;
   };
   std::uniform_int_distribution<std::size_t> draw(0, eligible.size() - 1);
-  for (int s = 0; s < constants::kSampledMachines; ++s) consider(eligible[draw(random)]);
+  for (int s = 0; s < kSampledMachines; ++s) consider(eligible[draw(random)]);
   if (best >= 0) return best;
   for (const int i : eligible) consider(i);
   return best;
--- a/src/scheduling/placement.h
+++ b/src/scheduling/placement.h
@@ -10,6 +10,11 @@
 
 namespace scheduler {
 
+// Machines sampled per task. The paper's default; eight changed nothing (docs/results.md).
+constexpr int kSampledMachines = 2;
+// Seconds in which an overrunning task is counted as ending; the design's starting value.
+constexpr double kOverrunAllowanceS = 10.0;
+
 // What a booked task holds, and when it should be through by its estimate.
 struct Booked {
   double cpus = 0, gpus = 0, memory_gb = 0;
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -2,13 +2,23 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/constants.h"
+#include "base/resources.h"
 #include "controller/controller.h"
 #include "scheduling/scheduling_pass.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Seconds of work that are little to lose at any time.
+constexpr double kNegligibleLossS = 5.0;
+// Machines drawn to find the one where making room loses least.
+constexpr int kPreemptionSamples = 20;
+// Seconds that a low-priority task must still have ahead for standard work to stop it; high and
+// production work stops any. Below it waiting is cheaper than saving, fetching and repeating.
+constexpr double kLongVictimS = 300.0;
+
+}  // namespace
 
 // Stops what may be stopped for this task on the machine where that loses least; returns the
 // machine, with its room counted as free, or -1. A few machines are drawn instead of searching all:
@@ -23,8 +33,8 @@
     auto [used, fresh] = pass.team_usage.try_emplace(name);
     if (fresh) used->second = replica_.usage(name);
     const Usage& u = used->second;
-    return u.cpus + more.cpus <= t->cpus + k::kAmountSlack &&
-           u.gpus + more.gpus <= t->gpus + k::kAmountSlack;
+    return u.cpus + more.cpus <= t->cpus + kAmountSlack &&
+           u.gpus + more.gpus <= t->gpus + kAmountSlack;
   };
   const bool entitled = within(spec.team, spec);
   if (spec.priority == wire::Priority::low && !entitled) return -1;
@@ -50,7 +60,7 @@
   std::vector<Victim> best_victims;
   if (pass.local_machines == 0) return -1;
   std::uniform_int_distribution<std::size_t> draw(0, pass.local_machines - 1);
-  for (int look = 0; look < k::kPreemptionSamples; ++look) {
+  for (int look = 0; look < kPreemptionSamples; ++look) {
     const std::size_t i = draw(random_);
     const Candidate& c = *pass.candidates[i];
     auto at = machines_.find(c.id);
@@ -76,12 +86,12 @@
       const double ran = elapsed_s(now, m, ref, p->attempt);
       // Work that can wait a little does not stop what will soon end by itself: measured, each stop
       // costs more than it brings (docs/design.md).
-      if (spec.priority < wire::Priority::high && v.estimate_s - ran < k::kLongVictimS) continue;
+      if (spec.priority < wire::Priority::high && v.estimate_s - ran < kLongVictimS) continue;
       const bool checkpoints =
           v.checkpoint_interval_s > 0 && v.checkpoint_write_s + 1.0 < wait_aim_s / 2;
       // Whole machines come free by themselves every second; what would be lost for one outweighs
       // the waiting until little time is left (docs/results.md, round 7).
-      if (!is_urgent && v.checkpoint_interval_s <= 0 && ran > k::kNegligibleLossS) continue;
+      if (!is_urgent && v.checkpoint_interval_s <= 0 && ran > kNegligibleLossS) continue;
       const double lost =
           v.checkpoint_interval_s > 0
               ? (checkpoints ? v.checkpoint_write_s : std::min(ran, v.checkpoint_interval_s / 2))
--- a/src/scheduling/range_split.cpp
+++ b/src/scheduling/range_split.cpp
@@ -4,12 +4,20 @@
 #include <iterator>
 #include <utility>
 
-#include "base/constants.h"
-
 namespace scheduler {
 
 namespace {
 
+// Tasks of one range record; the bitmap then takes 2 KiB of the value as hexadecimal digits.
+constexpr std::uint32_t kTasksPerRange = 8192;
+// Share of a range record's value that its bitmap of finished tasks may take: a job of 100,000
+// tasks then has at most 28 ranges at 2 KiB, and half of each value is left to placements.
+constexpr double kFinishedMarksShare = 0.45;
+
+}  // namespace
+
+namespace {
+
 // The tasks [begin, end) of the range as a range of their own.
 wire::RangeRecord slice(const wire::RangeRecord& range, std::uint32_t begin, std::uint32_t end) {
   wire::RangeRecord piece;
@@ -57,8 +65,8 @@
 std::uint32_t tasks_per_range(std::size_t limit_bytes) {
   constexpr std::size_t kTasksPerHexDigit = 4;
   const auto by_value = static_cast<std::uint32_t>(
-      static_cast<double>(limit_bytes * kTasksPerHexDigit) * constants::kFinishedMarksShare);
-  return std::clamp(by_value, 1U, constants::kTasksPerRange);
+      static_cast<double>(limit_bytes * kTasksPerHexDigit) * kFinishedMarksShare);
+  return std::clamp(by_value, 1U, kTasksPerRange);
 }
 
 }  // namespace scheduler
--- a/src/scheduling/ranges.cpp
+++ b/src/scheduling/ranges.cpp
@@ -3,34 +3,63 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/constants.h"
 #include "controller/controller.h"
 #include "scheduling/range_split.h"
 #include "scheduling/scheduling_pass.h"
+#include "state/state_client.h"
+#include "wire/state_service.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Ranges of one job, so that one transaction can end it (conditions).
+constexpr std::size_t kRangesPerJob = 48;
+// A job is divided in steps of this part of what the fleet holds of its tasks, so that records do
+// not outgrow the write rate with the fleet while a small fleet is used to the full; tasks of a
+// step at most, and steps of a large job.
+constexpr double kStepOfFleet = 64.0;
+constexpr std::uint32_t kTasksPerStep = 64;
+constexpr std::uint32_t kStepsPerJob = 256;
+// Milliseconds within which the ends of tasks are recorded, and for which they are at least
+// gathered: records of a hundred tasks each would otherwise be written at every end.
+constexpr std::int64_t kCompletionWriteMs = 4000;
+constexpr std::int64_t kCompletionBatchMs = 500;
+// Unstarted tasks from which on another part takes a range soon, and milliseconds after which it
+// takes fewer.
+constexpr std::size_t kStealAtLeastTasks = 8;
+constexpr std::int64_t kStealFewAfterMs = 3000;
+// Milliseconds that a range must have waited unstarted before another part may take from it: its
+// owner, which sees it first, gets the first try.
+constexpr std::int64_t kStealAfterMs = 400;
+// Bytes that a placement usually takes of a range record when each is on a machine of its own.
+constexpr std::size_t kBytesPerPlacement = 30;
+// Bytes of a range record besides placements and bitmap: owner, bounds.
+constexpr std::size_t kRangeOverheadBytes = 200;
+// Milliseconds for which a count of the machines of all shards is used again.
+constexpr std::int64_t kShardCountMs = 1000;
+
+}  // namespace
 
 // Placements that fit into the record of a range of so many tasks, as a rule.
 std::size_t Controller::max_placements(std::uint32_t tasks) const {
   const double bytes =
-      value_bytes() - static_cast<double>(k::kRangeOverheadBytes) - static_cast<double>(tasks) / 4;
-  return static_cast<std::size_t>(std::max(1.0, bytes / k::kBytesPerPlacement));
+      value_bytes() - static_cast<double>(kRangeOverheadBytes) - static_cast<double>(tasks) / 4;
+  return static_cast<std::size_t>(std::max(1.0, bytes / kBytesPerPlacement));
 }
 
 std::size_t Controller::max_ranges() const {
   // Besides the ranges, the end of a job has the view, the job and its final state as conditions.
   constexpr std::size_t kOtherConditions = 4;
   const std::size_t conditions =
-      static_cast<std::size_t>(settings_.txn_ops) * k::kConditionsPerWrite;
-  return std::min(k::kRangesPerJob, conditions - kOtherConditions);
+      static_cast<std::size_t>(settings_.txn_ops) * wire::kConditionsPerWrite;
+  return std::min(kRangesPerJob, conditions - kOtherConditions);
 }
 
 const std::map<Controller::ShardMachineKind, std::size_t>& Controller::shard_machines() {
   const Ms now = last_input_at_;
   if (shard_machines_at_ != 0 && now < shard_machines_at_) return shard_machines_;
-  shard_machines_at_ = now + k::kSizeEveryMs;
+  shard_machines_at_ = now + kShardCountMs;
   shard_machines_.clear();
   for (const auto& [id, record] : replica_.machines()) {
     if (record.state != wire::MachineState::ready || record.incarnation == 0) continue;
@@ -108,8 +137,8 @@
   double held = 0;
   for (const auto& [name, p] : shards) held += p.capacity;
   const auto fine = static_cast<std::uint32_t>(
-      std::clamp(held / k::kStepOfFleet, 1.0, static_cast<double>(k::kTasksPerStep)));
-  const std::uint32_t step = whole ? spec.tasks : std::max(fine, spec.tasks / k::kStepsPerJob);
+      std::clamp(held / kStepOfFleet, 1.0, static_cast<double>(kTasksPerStep)));
+  const std::uint32_t step = whole ? spec.tasks : std::max(fine, spec.tasks / kStepsPerJob);
   std::map<std::string, std::uint32_t> given;
   for (std::uint32_t left = spec.tasks; left > 0;) {
     const std::uint32_t n = std::min(step, left);
@@ -173,7 +202,7 @@
       if (r.placed.size() > max_placements(r.end - r.begin)) continue;
       // A few tasks are left to their owner for longer: each taking makes one more record.
       const std::size_t waits = (r.end - r.begin) - r.placed.size() - r.done_count();
-      const Ms patience = waits < k::kStealAtLeastTasks ? k::kStealFewAfterMs : k::kStealAfterMs;
+      const Ms patience = waits < kStealAtLeastTasks ? kStealFewAfterMs : kStealAfterMs;
       if (now - w.first_seen < patience) {
         dirty_ = true;
         continue;
@@ -280,9 +309,8 @@
   const Job* job = replica_.job(id.job);
   if (!job || job->record.cancelled || job->record.spec.is_gang()) return true;
   const Ms waited = now - w.released_since;
-  return (waited >= k::kCompletionWriteMs && may_queue_writes) ||
-         waited >= 3 * k::kCompletionWriteMs ||
-         (waited >= k::kCompletionBatchMs && state_client_.has_write_headroom(now));
+  return (waited >= kCompletionWriteMs && may_queue_writes) || waited >= 3 * kCompletionWriteMs ||
+         (waited >= kCompletionBatchMs && state_client_.has_write_headroom(now));
 }
 
 // Puts the proven ends of tasks into the record. False when all of them are recorded already.
@@ -430,7 +458,7 @@
     log(LogLevel::info, key + " does not fit the state service's limits yet");
     clear_pending_placements(w);
     w.stop_requested = stop;
-    w.retry_at = last_input_at_ + k::kRejectedPauseMs;
+    w.retry_at = last_input_at_ + kRejectedPauseMs;
     return;
   }
   log(LogLevel::debug, "writing " + key + " stamp " + std::to_string(state_client_.version(key)) +
@@ -462,7 +490,7 @@
   }
   if (not_executed) {
     work.busy = false;
-    work.retry_at = now + k::kRefusedRetryMs;
+    work.retry_at = now + kRefusedRetryMs;
     return;
   }
   state_client_.wait_until_settled(now, [this, id, result](Ms) {
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -4,13 +4,46 @@
 #include <cmath>
 #include <iterator>
 
-#include "base/constants.h"
+#include "base/resources.h"
+#include "base/types.h"
 #include "controller/controller.h"
 #include "scheduling/scheduling_pass.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Seconds of an image's fetch from which on machines that have the image are sampled first: as long
+// as a short task runs. Two samples of hundreds of machines hardly ever meet one that has it.
+constexpr double kLongFetchS = 20.0;
+// Tasks placed in one scheduling pass; bounds the time of a pass on a small processor share.
+constexpr int kPlacementsPerPass = 256;
+// Milliseconds between passes at least; a pass takes about a millisecond.
+constexpr std::int64_t kPassEveryMs = 50;
+// Machines and jobs that passes walk in a second at most: each takes about half a microsecond, so
+// that they stay below a twentieth of a core.
+constexpr std::int64_t kPassWalkPerS = 40'000;
+// Writes that may wait for the state service before scheduling asks for more (high work excepted):
+// about a second's share of the rate.
+constexpr int kWritesQueued = 16;
+// Seconds left to start a task in time below which others lose their work for it.
+constexpr double kUrgentStartS = 6.0;
+// Seconds from which on a job is old, whatever its aims, and the share of a part's CPUs that old
+// jobs have before all others.
+constexpr double kOldJobS = 180.0;
+constexpr double kOldShare = 0.2;
+// Seconds after which a job that has nothing started goes before all others with its first tasks,
+// and how many in each range. The largest must begin within 240 s (four minutes); starts take
+// seconds, but more than one such job may be due at once.
+constexpr double kBeginWithinS = 120.0;
+constexpr std::uint32_t kTasksToBegin = 8;
+// Milliseconds that a booked replica counts as still running in predictions: it ends when its user
+// calls it off, so its machine counts as full for longer than any array runs.
+constexpr std::int64_t kServiceRunsMs = 24LL * 3600 * 1000;
+// Milliseconds for which a sum over the machines of the fleet is used again.
+constexpr std::int64_t kFleetCountMs = 1000;
+
+}  // namespace
 
 double Controller::elapsed_s(Ms now, const Machine& m, const TaskRef& ref,
                              std::uint64_t attempt) const {
@@ -22,7 +55,7 @@
 
 Ms Controller::ends_at(Ms from, const wire::JobSpec& spec) {
   // A service has no end to predict.
-  if (spec.is_service()) return from + k::kServiceRunsMs;
+  if (spec.is_service()) return from + kServiceRunsMs;
   return from + static_cast<Ms>(spec.estimate_s * 1000.0);
 }
 
@@ -208,8 +241,8 @@
   change(at->second.cpus, spec.cpus);
   change(at->second.gpus, spec.gpus);
   change(at->second.memory_gb, spec.memory_gb);
-  const bool none = at->second.cpus <= k::kAmountSlack && at->second.gpus <= k::kAmountSlack &&
-                    at->second.memory_gb <= k::kAmountSlack;
+  const bool none = at->second.cpus <= kAmountSlack && at->second.gpus <= kAmountSlack &&
+                    at->second.memory_gb <= kAmountSlack;
   if (none) remote_reservations_.erase(at);
 }
 
@@ -229,7 +262,7 @@
 // A pass walks the machines of the part and all jobs; with thousands of them passes are rarer.
 Ms Controller::pass_interval() const {
   const auto walked = static_cast<Ms>(machines_.size() + replica_.jobs().size());
-  return std::max(k::kPassEveryMs, walked * 1000 / k::kPassWalkPerS);
+  return std::max(kPassEveryMs, walked * 1000 / kPassWalkPerS);
 }
 
 void Controller::clear_pending_placements(RangeState& work) {
@@ -269,7 +302,7 @@
     w.latest_starts.push_back(start_by);
     finish_open = finish_open || finishing;
   }
-  if (!any) w.latest_starts.push_back(std::max(0.0, k::kDefaultHorizonS - spec.estimate_s - w.age));
+  if (!any) w.latest_starts.push_back(std::max(0.0, kDefaultHorizonS - spec.estimate_s - w.age));
   std::sort(w.latest_starts.begin(), w.latest_starts.end());
   // While its class has an aim to meet, low work waits in one queue with standard work (measured,
   // docs/design.md); it still stops nothing and may be stopped.
@@ -292,12 +325,12 @@
     if (o.kind == ObjectiveKind::finished) start_by = o.within_s - spec.estimate_s;
     if (start_by > age) left = std::min(left, start_by - age);
   }
-  return left < k::kUrgentStartS;
+  return left < kUrgentStartS;
 }
 
 double Controller::total_fleet_cpus(Ms now) {
   if (now < fleet_cpus_at_) return fleet_cpus_;
-  fleet_cpus_at_ = now + k::kSizeEveryMs;
+  fleet_cpus_at_ = now + kFleetCountMs;
   fleet_cpus_ = 0;
   for (const auto& [id, record] : replica_.machines()) {
     if (record.state != wire::MachineState::ready || record.incarnation == 0) continue;
@@ -313,10 +346,10 @@
   count_service_reserve();
   SchedulingPass pass;
   pass.now = now;
-  pass.remaining_placements = k::kPlacementsPerPass;
+  pass.remaining_placements = kPlacementsPerPass;
   // Few writes wait at once: which work goes next is decided when it can be written, not before a
   // queue of seconds, and what gathers meanwhile goes in one write.
-  pass.remaining_writes = k::kWritesQueued - static_cast<int>(state_client_.queued());
+  pass.remaining_writes = kWritesQueued - static_cast<int>(state_client_.queued());
   for (const auto& [id, m] : machines_)
     if (usable(now, m)) {
       pass.candidates.push_back(&candidate(now, m));
@@ -350,7 +383,7 @@
     if (!job.known || job.record.cancelled || job.done_tasks() >= job.record.spec.tasks) continue;
     of_class[job.record.spec.job_class] += 1;
     pass.whole_machine_gangs = pass.whole_machine_gangs || is_whole_machine_gang(job.record.spec);
-    const bool old = !job.record.spec.is_service() && age_s(now, job) > k::kOldJobS;
+    const bool old = !job.record.spec.is_service() && age_s(now, job) > kOldJobS;
     const std::size_t waiter = waiters.size();
     bool waits = job.done_tasks() + job.placed_tasks() < job.record.spec.tasks;
     for (const auto& [number, r] : job.ranges) {
@@ -376,13 +409,13 @@
     // Nobody is starved: whoever has waited this long without any task started begins now, and goes
     // on in its own place afterwards.
     e.scheduling_priority.has_started =
-        w.age < k::kBeginWithinS || e.job->done_tasks() + e.job->placed_tasks() > 0;
+        w.age < kBeginWithinS || e.job->done_tasks() + e.job->placed_tasks() > 0;
     e.scheduling_priority.misses_every_objective = w.latest_starts.empty();
     e.scheduling_priority.place = place[e.waiter];
   }
   // Old jobs have a share of the machines before all others, so that an overload that lasts does
   // not put them off for ever; the rest goes by the aims.
-  if (old_cpus < k::kOldShare * all_cpus) {
+  if (old_cpus < kOldShare * all_cpus) {
     for (auto& e : entries)
       if (e.old) e.scheduling_priority.has_started = false;
   }
@@ -483,7 +516,7 @@
   for (const int i : eligible) {
     const Candidate& c = *pass.candidates[static_cast<std::size_t>(i)];
     if (!c.fits(spec)) continue;
-    const bool long_fetch = spec.image_gb / std::max(0.01, c.fetch_gb_per_s) >= k::kLongFetchS;
+    const bool long_fetch = spec.image_gb / std::max(0.01, c.fetch_gb_per_s) >= kLongFetchS;
     const bool has_image =
         std::find(c.images.begin(), c.images.end(), spec.image) != c.images.end();
     if (long_fetch && has_image) out.with_image.push_back(i);
@@ -543,7 +576,7 @@
     ++w.cursor;
   std::optional<PreferredMachines> preferred;  // made for the first task that is placed
   std::uint32_t tasks_without_quota = 0;
-  std::uint32_t begin_with = scheduling_priority.has_started ? range.end : k::kTasksToBegin;
+  std::uint32_t begin_with = scheduling_priority.has_started ? range.end : kTasksToBegin;
   for (std::uint32_t task = std::max(w.cursor, range.begin); task < range.end; ++task) {
     if (!is_unstarted(w, range, task)) continue;
     if (pass.remaining_placements <= 0 || range.placed.size() + w.pending_placements.size() >= most)
--- a/src/scheduling/services.cpp
+++ b/src/scheduling/services.cpp
@@ -3,13 +3,22 @@
 #include <algorithm>
 #include <iterator>
 
-#include "base/constants.h"
 #include "controller/controller.h"
 #include "scheduling/scheduling_pass.h"
+#include "workers/timing.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Replicas of one range that find no machine in a pass before the rest of it waits for the next:
+// one may be kept from the only machine with room by its own result there, while another is not.
+constexpr std::uint32_t kReplicasWithoutMachine = 4;
+// Milliseconds after which a replica is tried again on a machine that failed it, if only such
+// machines have room: enough for a sick machine to have failed another job and to be returned.
+constexpr std::int64_t kRetryFailedMachineMs = 10'000;
+
+}  // namespace
 
 void Controller::switch_format(Ms now) {
   if (format_write_in_flight_ || !can_write(now)) return;
@@ -84,7 +93,7 @@
     const int machine = pick_for_replica(pass, job, task);
     if (machine >= 0) {
       assign(pass, work, job, task, range.next_attempt, machine, false);
-    } else if (++without_machine >= k::kReplicasWithoutMachine) {
+    } else if (++without_machine >= kReplicasWithoutMachine) {
       break;  // others may go where a result of these is kept
     }
   }
@@ -138,7 +147,7 @@
   // is on a machine that has failed it once.
   const bool others = !failure_tracker_.is_faulty_job(spec.id) && other_machine_left(pass, choice);
   choice.avoid_failures.reset();
-  if (others) choice.avoid_failures = k::kRetryFailedMachineMs;
+  if (others) choice.avoid_failures = kRetryFailedMachineMs;
   return pick_of_two(pass.now, pass.candidates, spec, replica_candidates(pass, choice, true),
                      random_);
 }
@@ -146,7 +155,7 @@
 bool Controller::contacted_recently(Ms now, const std::string& machine) const {
   const auto known = machines_.find(machine);
   return known != machines_.end() &&
-         now - known->second.last_contact <= std::min(overdue_after(), k::kServiceOverdueMs);
+         now - known->second.last_contact <= std::min(overdue_after(), kServiceOverdueMs);
 }
 
 // Whether some machine on which the job has not failed is allowed, with room or without.
@@ -182,7 +191,7 @@
 
 void Controller::on_replica_end(Ms now, const Machine& m, const TaskRef& ref,
                                 const ReportedTask& seen) {
-  const bool settled = seen.running_since != 0 && now - seen.running_since > k::kServiceSettledMs;
+  const bool settled = seen.running_since != 0 && now - seen.running_since > kServiceSettledMs;
   if (settled) failure_tracker_.on_stable(ref.range.job);
   // Guards against a loop of instant ends: a worker remembers that a task is done, and ends every
   // further attempt at once.
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -2,10 +2,15 @@
 
 #include <algorithm>
 
-#include "base/constants.h"
-
 namespace scheduler {
 
+namespace {
+
+// Final states kept in memory; each takes about 100 bytes, older ones are read again.
+constexpr std::size_t kFinalStatesCached = 20'000;
+
+}  // namespace
+
 bool Job::whole() const {
   if (!known) return false;
   std::uint64_t n = 0;
@@ -316,7 +321,7 @@
 void Replica::remember_final_state(const std::string& id, const wire::FinalStateRecord& record) {
   if (!final_states_.emplace(id, record).second) return;
   final_state_order_.push_back(id);
-  if (final_state_order_.size() > constants::kFinalStatesCached) {
+  if (final_state_order_.size() > kFinalStatesCached) {
     final_states_.erase(final_state_order_.front());
     final_state_order_.pop_front();
   }
--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -4,12 +4,48 @@
 #include <iterator>
 #include <memory>
 
-#include "base/constants.h"
 #include "base/log_event.h"
+#include "wire/state_service.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Life of a controller's hold, milliseconds. Longer than a restart (about 3 s) so that a crash
+// alone moves no machines, shorter than any worker lease.
+constexpr std::int64_t kSessionLeaseMs = 5000;
+// Milliseconds between extensions of the hold: three may fail before it ends.
+constexpr std::int64_t kLeaseRenewalMs = 1200;
+// Milliseconds until an unanswered request counts as such; answers take 10 ms, rarely hundreds.
+constexpr std::int64_t kStateTimeoutMs = 2000;
+// Milliseconds that a watch is left open by the service.
+constexpr std::int64_t kWatchMs = 10000;
+// Milliseconds beyond that after which a watch counts as lost.
+constexpr std::int64_t kWatchGraceMs = 2500;
+// Milliseconds for which the watch may be behind what other answers name before it is reopened;
+// it usually takes a few tens.
+constexpr std::int64_t kWatchBehindMs = 800;
+// Share of the service's request rate that all controllers together plan to use.
+constexpr double kRateShare = 0.85;
+// Of that, the shares for reopening watches and for barrier reads; transactions get the rest.
+constexpr double kWatchRateShare = 0.30;
+constexpr double kBarrierRateShare = 0.25;
+// Transactions under way at once: one slow answer must not hold up everything.
+constexpr int kTransactionsInFlight = 3;
+// Share of a second's writes that is kept for what users wait for.
+constexpr double kUrgentShare = 0.25;
+// Milliseconds between looks at the time while nothing waits, and while something does. Waking up
+// costs more processor time than what is done then.
+constexpr std::int64_t kIdleLookMs = 100;
+constexpr std::int64_t kBusyLookMs = 20;
+// Share of a second's writes that must be left for what can wait to be written.
+constexpr double kWriteHeadroomShare = 0.5;
+// Milliseconds to wait after a 429.
+constexpr std::int64_t kThrottledPauseMs = 250;
+// Items per page when reading prefixes (limit 1,000 and 512 KiB).
+constexpr std::uint32_t kPageItems = 250;
+
+}  // namespace
 
 namespace {
 // Read at the start, in this order; final states stay out of recovery's way.
@@ -42,7 +78,7 @@
 
 void StateClient::call(Ms sent, std::string method, std::string path, std::string body,
                        ResultHandler done) {
-  send_(Target::state, "", std::move(method), std::move(path), std::move(body), k::kStateTimeoutMs,
+  send_(Target::state, "", std::move(method), std::move(path), std::move(body), kStateTimeoutMs,
         [this, sent, pauses = pauses_, done = std::move(done)](Ms now,
                                                                const HttpResult& http_result) {
           // Guards against taking single answers that were lost for a service that is down: what
@@ -55,7 +91,7 @@
 
 void StateClient::on_pause(Ms now) {
   ++pauses_;
-  link_.on_pause(now, k::kProbeEveryMs);
+  link_.on_pause(now, kStateProbeMs);
   lease_due_ = next_barrier_ = now;
   behind_since_ = now;
   std::vector<Barrier> old = std::exchange(queued_barriers_, {});
@@ -70,7 +106,7 @@
   } else if (http_result.status == 503) {
     link_.refused(now);
   } else if (http_result.status == 429) {
-    paused_until_ = std::max(paused_until_, now + k::kThrottledPauseMs);
+    paused_until_ = std::max(paused_until_, now + kThrottledPauseMs);
   } else {
     link_.answered(now);
   }
@@ -82,8 +118,8 @@
     // Guards against a watch whose answer was lost: other answers name revisions that it should
     // have brought long ago. Whatever it still answers is ignored.
     const bool behind =
-        newest_known_revision_ > applied_revision_ && now - behind_since_ > k::kWatchBehindMs;
-    if (watching_ && (behind || now - watch_opened_ > k::kWatchMs + k::kWatchGraceMs)) {
+        newest_known_revision_ > applied_revision_ && now - behind_since_ > kWatchBehindMs;
+    if (watching_ && (behind || now - watch_opened_ > kWatchMs + kWatchGraceMs)) {
       ++watch_generation_;
       watching_ = false;
       behind_since_ = now;
@@ -92,7 +128,7 @@
     renew_lease(now);
     // While nothing else is asked, a barrier read tells whether the service answers.
     const Ms quiet = now - link_.last_word();
-    const bool probe = answering(now) ? quiet > k::kLeaseRenewalMs : quiet > k::kProbeEveryMs;
+    const bool probe = answering(now) ? quiet > kLeaseRenewalMs : quiet > kStateProbeMs;
     if ((probe || !queued_barriers_.empty()) && !barrier_in_flight_ && now >= next_barrier_)
       send_barrier(now);
   }
@@ -128,7 +164,7 @@
 
 void StateClient::load_next(Ms now) {
   const std::string prefix(kLoadedPrefixes[load_prefix_]);
-  call(now, "GET", wire::page_path(prefix, load_after_, k::kPageItems), "",
+  call(now, "GET", wire::page_path(prefix, load_after_, kPageItems), "",
        [this](Ms at, const HttpResult& http_result) {
          if (load_phase_ != LoadPhase::reading) return;
          std::vector<wire::StoredItem> items;
@@ -137,7 +173,7 @@
          if (http_result.status != 200 ||
              !wire::parse_page(http_result.body, items, more, revision)) {
            load_phase_ = LoadPhase::none;
-           load_retry_at_ = at + k::kProbeEveryMs;
+           load_retry_at_ = at + kStateProbeMs;
            return;
          }
          // Guards against watching from a later page's revision: the first one may well be 0.
@@ -208,8 +244,8 @@
   watching_ = true;
   watch_opened_ = now;
   const std::uint64_t generation = ++watch_generation_;
-  send_(Target::state, "", "GET", wire::watch_path(applied_revision_, k::kWatchMs), "",
-        k::kWatchMs + k::kWatchGraceMs,
+  send_(Target::state, "", "GET", wire::watch_path(applied_revision_, kWatchMs), "",
+        kWatchMs + kWatchGraceMs,
         [this, generation, pauses = pauses_](Ms at, const HttpResult& http_result) {
           on_watch(at, generation, pauses, http_result);
         });
@@ -219,7 +255,7 @@
                            const HttpResult& http_result) {
   if (generation != watch_generation_) return;
   watching_ = false;
-  const double rate = share(settings_.state_rps) * k::kRateShare * k::kWatchRateShare;
+  const double rate = share(settings_.state_rps) * kRateShare * kWatchRateShare;
   watch_at_ = std::max(now, watch_opened_ + static_cast<Ms>(1000.0 / std::max(rate, 0.1)));
   // Guards against asking for ever for an answer that is longer each time, after a long cut.
   if (http_result.status == 410 || http_result.status == kReplyTooLarge) {
@@ -231,7 +267,7 @@
   std::vector<wire::StoredItem> events;
   std::uint64_t revision = 0;
   if (http_result.status != 200 || !wire::parse_events(http_result.body, events, revision)) {
-    watch_at_ = now + k::kProbeEveryMs;
+    watch_at_ = now + kStateProbeMs;
     return;
   }
   if (pauses == pauses_) link_.answered(now);
@@ -283,7 +319,7 @@
 
 void StateClient::send_barrier(Ms now) {
   barrier_in_flight_ = true;
-  const double rate = share(settings_.state_rps) * k::kRateShare * k::kBarrierRateShare;
+  const double rate = share(settings_.state_rps) * kRateShare * kBarrierRateShare;
   next_barrier_ = now + static_cast<Ms>(1000.0 / std::max(rate, 0.1));
   auto batch = std::make_shared<std::vector<Barrier>>(std::move(queued_barriers_));
   queued_barriers_.clear();
@@ -331,14 +367,14 @@
   if (lease_id_ != 0 && link_.silent(now)) return;
   lease_in_flight_ = true;
   if (lease_id_ == 0) {
-    call(now, "POST", wire::kLeasesPath, wire::lease_body(k::kSessionLeaseMs),
+    call(now, "POST", wire::kLeasesPath, wire::lease_body(kSessionLeaseMs),
          [this](Ms at, const HttpResult& http_result) {
            lease_in_flight_ = false;
-           lease_due_ = at + k::kProbeEveryMs;
+           lease_due_ = at + kStateProbeMs;
            std::uint64_t permit = 0;
            if (http_result.status == 200 && wire::parse_lease_id(http_result.body, permit)) {
              lease_id_ = permit;
-             lease_due_ = at + k::kLeaseRenewalMs;
+             lease_due_ = at + kLeaseRenewalMs;
            }
          });
     return;
@@ -346,7 +382,7 @@
   call(now, "POST", wire::renew_lease_path(lease_id_), "{}",
        [this](Ms at, const HttpResult& http_result) {
          lease_in_flight_ = false;
-         lease_due_ = at + (http_result.status == 200 ? k::kLeaseRenewalMs : k::kProbeEveryMs);
+         lease_due_ = at + (http_result.status == 200 ? kLeaseRenewalMs : kStateProbeMs);
          if (http_result.status == 404) {
            log_(LogLevel::info, "our hold has ended");
            lease_id_ = 0;
@@ -369,14 +405,14 @@
 bool StateClient::has_write_headroom(Ms now) const {
   const double rate = share(settings_.state_write_rps);
   const double tokens = write_tokens_ + rate * static_cast<double>(now - write_refilled_) / 1000.0;
-  return queue_.empty() && in_flight_ < k::kTransactionsInFlight &&
-         tokens >= rate * k::kWriteHeadroomShare;
+  return queue_.empty() && in_flight_ < kTransactionsInFlight &&
+         tokens >= rate * kWriteHeadroomShare;
 }
 
 Ms StateClient::next_tick(Ms now) const {
-  Ms at = now + k::kIdleLookMs;
-  if (!queue_.empty() && in_flight_ < k::kTransactionsInFlight)
-    at = std::min(at, std::max({next_transaction_, paused_until_, now + k::kBusyLookMs}));
+  Ms at = now + kIdleLookMs;
+  if (!queue_.empty() && in_flight_ < kTransactionsInFlight)
+    at = std::min(at, std::max({next_transaction_, paused_until_, now + kBusyLookMs}));
   if (!queued_barriers_.empty() && !barrier_in_flight_)
     at = std::min(at, std::max(next_barrier_, now));
   if (watch_allowed() && !watching_) at = std::min(at, std::max(watch_at_, now));
@@ -403,11 +439,11 @@
   write_tokens_ =
       std::min(rate, write_tokens_ + rate * static_cast<double>(now - write_refilled_) / 1000.0);
   write_refilled_ = now;
-  const double request_rate = share(settings_.state_rps) * k::kRateShare *
-                              (1.0 - k::kWatchRateShare - k::kBarrierRateShare);
+  const double request_rate =
+      share(settings_.state_rps) * kRateShare * (1.0 - kWatchRateShare - kBarrierRateShare);
   std::vector<Transaction> oversize;
   const auto most = static_cast<std::size_t>(std::max(1, settings_.txn_ops));
-  while (!queue_.empty() && in_flight_ < k::kTransactionsInFlight && now >= next_transaction_) {
+  while (!queue_.empty() && in_flight_ < kTransactionsInFlight && now >= next_transaction_) {
     std::vector<Transaction> group;
     std::set<std::string> written, compared;
     std::size_t writes = 0, bytes = 0;
@@ -428,8 +464,8 @@
       }
       if (!group.empty() && (t.exclusive || group.front().exclusive)) break;
       const bool allowed = writes + t.writes.size() <= most &&
-                           compared.size() + conditions <= most * k::kConditionsPerWrite &&
-                           bytes + size <= k::kTransactionBytes;
+                           compared.size() + conditions <= most * wire::kConditionsPerWrite &&
+                           bytes + size <= wire::kTransactionBytes;
       if (!allowed && group.empty()) {
         // Guards against one that can never be sent holding up all behind it.
         log_(LogLevel::error,
@@ -441,7 +477,7 @@
         continue;
       }
       // What users wait for finds something left of the rate.
-      const double left = write_tokens_ - (t.urgent ? 0.0 : rate * k::kUrgentShare);
+      const double left = write_tokens_ - (t.urgent ? 0.0 : rate * kUrgentShare);
       const bool paid = left >= static_cast<double>(writes + t.writes.size()) ||
                         (group.empty() && write_tokens_ >= rate - 1);
       if (!allowed || !paid) break;
@@ -600,7 +636,7 @@
     transaction.done(now, TxnResult::rejected, {});
     return;
   }
-  rejected_.push_back({now + k::kRejectedPauseMs, std::move(transaction)});
+  rejected_.push_back({now + kRejectedPauseMs, std::move(transaction)});
 }
 
 void StateClient::release_rejected(Ms now) {
--- a/src/state/state_client.h
+++ b/src/state/state_client.h
@@ -17,6 +17,14 @@
 
 namespace scheduler {
 
+// Milliseconds before a refused write is tried again.
+constexpr std::int64_t kRefusedRetryMs = 250;
+// Milliseconds between probes while the service does not answer.
+constexpr std::int64_t kStateProbeMs = 400;
+// Milliseconds before a change that the service has refused for its size is tried again: it can
+// only succeed once something has shrunk.
+constexpr std::int64_t kRejectedPauseMs = 5000;
+
 enum class TxnResult : std::uint8_t {
   committed,
   conflict,  // a condition failed; nothing was written
--- a/src/wire/state_service.h
+++ b/src/wire/state_service.h
@@ -9,6 +9,11 @@
 
 namespace scheduler::wire {
 
+// Bytes of one transaction's body (limit 64 KiB), with room for its frame.
+constexpr std::size_t kTransactionBytes = 56 * 1024;
+// Conditions per put allowed in a transaction (PROTOCOL).
+constexpr std::size_t kConditionsPerWrite = 4;
+
 struct Compare {
   std::string key;
   std::uint64_t version = 0;  // 0: must not exist
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -1,13 +1,24 @@
 // Commands to machines of our part: what follows from the records, and direct messages.
 #include <algorithm>
 
-#include "base/constants.h"
 #include "base/log_event.h"
+#include "base/resources.h"
 #include "controller/controller.h"
+#include "workers/timing.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Milliseconds for which a recorded start may wait for room while nothing on its machine is being
+// stopped: reports of what ended come within one.
+constexpr std::int64_t kBlockedStartMs = 2500;
+// Commands in one message to a worker; keeps any body far below 64 KiB.
+constexpr std::size_t kCommandsPerMessage = 200;
+// Times that this interval doubles while a machine goes on not answering.
+constexpr int kCommandRetryDoublings = 3;
+
+}  // namespace
 
 std::vector<wire::Command> Controller::commands_for(Ms now, Machine& m) {
   std::vector<wire::Command> out;
@@ -17,7 +28,7 @@
   bool clears = false, stopping = false;
   // What the worker lists.
   for (const auto& [task, seen] : m.tasks) {
-    if (out.size() >= k::kCommandsPerMessage) break;
+    if (out.size() >= kCommandsPerMessage) break;
     auto job = replica_.jobs().find(task.job);
     const Job* known = job == replica_.jobs().end() ? nullptr : &job->second;
     const wire::Placement* p = nullptr;
@@ -81,7 +92,7 @@
   // What is recorded and not listed. Nothing is started while the state service is silent.
   if (can_write(now) && m.sequence > 0) {
     for (const TaskRef& ref : replica_.placed_on(m.id)) {
-      if (out.size() >= k::kCommandsPerMessage) break;
+      if (out.size() >= kCommandsPerMessage) break;
       const auto* p = replica_.placement(ref);
       const Job* job = replica_.job(ref.range.job);
       if (!p || !job || p->incarnation != m.incarnation || must_not_run(m, ref, *p)) continue;
@@ -90,8 +101,8 @@
       if (seen != m.tasks.end() && seen->second.attempt == p->attempt) continue;
       if (released(ref, p->attempt)) continue;
       const auto& spec = job->record.spec;
-      if (cpus + k::kAmountSlack < spec.cpus || gpus + k::kAmountSlack < spec.gpus ||
-          memory + k::kAmountSlack < spec.memory_gb) {
+      if (cpus + kAmountSlack < spec.cpus || gpus + kAmountSlack < spec.gpus ||
+          memory + kAmountSlack < spec.memory_gb) {
         if (!stopping && !spec.is_gang()) abandon_blocked_start(now, m, task, p->attempt);
         continue;  // waits for what is being stopped
       }
@@ -127,7 +138,7 @@
 void Controller::abandon_blocked_start(Ms now, Machine& m, const wire::TaskId& task,
                                        std::uint64_t attempt) {
   auto [since, fresh] = m.start_blocked_since.try_emplace(task, now);
-  if (fresh || now - since->second < k::kBlockedStartMs) return;
+  if (fresh || now - since->second < kBlockedStartMs) return;
   log(LogLevel::info, "no room for " + wire::task_name(task.job, task.index) + " on " + m.id);
   m.stop_requests[task] = {attempt, 0.0};
   m.start_blocked_since.erase(since);
@@ -177,8 +188,8 @@
       return;
     sent.relayed = false;
   }
-  call(Target::worker, m.address, "POST", wire::kCommandsPath, std::move(body),
-       k::kCommandTimeoutMs, [this, sent](Ms at, const HttpResult& http_result) {
+  call(Target::worker, m.address, "POST", wire::kCommandsPath, std::move(body), kCommandTimeoutMs,
+       [this, sent](Ms at, const HttpResult& http_result) {
          on_command_result(at, sent, http_result);
        });
 }
@@ -207,9 +218,9 @@
     }
     // It has answered, so it is within reach. A restarted one shows our token first.
     if (!again) m.unreachable_since = 0;
-    m.next_command_at = http_result.status == 200 ? now : now + k::kCommandRetryMs / 4;
+    m.next_command_at = http_result.status == 200 ? now : now + kCommandRetryMs / 4;
     // What was stopped may be gone, and what waits for its room can start.
-    m.next_command_check = std::min(m.next_command_check, now + k::kMachineCheckMs);
+    m.next_command_check = std::min(m.next_command_check, now + kMachineCheckMs);
   } else if (!current) {
     // We were not there to hear it. It may have been executed, or may still be.
     ++m.fence;
@@ -237,8 +248,7 @@
   // The next goes another way at once, if there is one.
   const bool other_way = !sent.relayed && relay_for(now, m).has_value();
   if (!first_of_service && !other_way)
-    m.next_command_at += k::kCommandRetryMs
-                         << std::min(m.unanswered_commands, k::kCommandRetryDoublings);
+    m.next_command_at += kCommandRetryMs << std::min(m.unanswered_commands, kCommandRetryDoublings);
   ++m.unanswered_commands;
 }
 
--- a/src/workers/failure_tracker.cpp
+++ b/src/workers/failure_tracker.cpp
@@ -2,22 +2,30 @@
 
 #include <algorithm>
 
-#include "base/constants.h"
-
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Milliseconds for which a machine that has a replica's result is avoided for its job: the worker
+// keeps the result for good, and would end each further attempt at once.
+constexpr std::int64_t kKeptResultMemoryMs = 3'600'000;
+// Jobs whose tasks must have failed on a machine before it counts as sick.
+constexpr std::size_t kQuarantineJobs = 2;
+// Machines on which tasks of a job must have failed before the job counts as faulty itself.
+constexpr std::size_t kFaultyJobMachines = 2;
+
+}  // namespace
 
 void FailureTracker::note_error(Ms now, const std::string& machine, const std::string& job) {
   JobErrors& j = jobs_[job];
   j.machines[machine] = now;
   ++j.in_a_row;
-  if (j.machines.size() >= k::kFaultyJobMachines) back_off(now, j);
+  if (j.machines.size() >= kFaultyJobMachines) back_off(now, j);
 }
 
 void FailureTracker::back_off(Ms now, JobErrors& errors) {
-  const Ms wait = k::kJobBackoffMs << std::min(errors.in_a_row - 1, 10);
-  errors.next_attempt_at = now + std::min(wait, k::kJobBackoffMostMs);
+  const Ms wait = kJobBackoffMs << std::min(errors.in_a_row - 1, 10);
+  errors.next_attempt_at = now + std::min(wait, kJobBackoffMostMs);
 }
 
 void FailureTracker::on_early_exit(Ms now, const std::string& machine, const std::string& job) {
@@ -35,7 +43,7 @@
   const auto kept = results_.find(machine);
   if (kept == results_.end()) return false;
   const auto ended = kept->second.find(replica);
-  return ended != kept->second.end() && now - ended->second < k::kKeptResultMemoryMs;
+  return ended != kept->second.end() && now - ended->second < kKeptResultMemoryMs;
 }
 
 void FailureTracker::on_stable(const std::string& job) { jobs_.erase(job); }
@@ -44,11 +52,11 @@
   note_error(now, machine, job);
   auto& m = machines_[machine];
   m[job] = now;
-  std::erase_if(m, [now](const auto& e) { return now - e.second > k::kFailureMemoryMs; });
+  std::erase_if(m, [now](const auto& e) { return now - e.second > kFailureMemoryMs; });
   // A job that fails wherever it runs says nothing about the machine.
   const auto telling =
       std::count_if(m.begin(), m.end(), [this](const auto& e) { return !is_faulty_job(e.first); });
-  return static_cast<std::size_t>(telling) >= k::kQuarantineJobs;
+  return static_cast<std::size_t>(telling) >= kQuarantineJobs;
 }
 
 void FailureTracker::completed(const std::string& machine, const std::string& job) {
@@ -71,7 +79,7 @@
 
 bool FailureTracker::is_faulty_job(const std::string& job) const {
   auto it = jobs_.find(job);
-  return it != jobs_.end() && it->second.machines.size() >= k::kFaultyJobMachines;
+  return it != jobs_.end() && it->second.machines.size() >= kFaultyJobMachines;
 }
 
 void FailureTracker::forget_job(const std::string& job) {
--- a/src/workers/failure_tracker.h
+++ b/src/workers/failure_tracker.h
@@ -5,11 +5,16 @@
 #include <set>
 #include <string>
 
-#include "base/constants.h"
 #include "base/types.h"
 
 namespace scheduler {
 
+// Milliseconds after which errors are forgotten.
+constexpr std::int64_t kFailureMemoryMs = 180'000;
+// Milliseconds a failing job waits at first; doubles up to the most.
+constexpr std::int64_t kJobBackoffMs = 1000;
+constexpr std::int64_t kJobBackoffMostMs = 30'000;
+
 class FailureTracker {
  public:
   // A task of `job` failed on `machine`. True when the machine now counts as sick.
@@ -29,7 +34,7 @@
   Ms next_attempt_at(const std::string& job) const;
   // The machine failed a task of this job lately: others are tried first.
   bool has_failed_on(Ms now, const std::string& machine, const std::string& job,
-                     Ms failure_memory = constants::kFailureMemoryMs) const;
+                     Ms failure_memory = kFailureMemoryMs) const;
   bool is_faulty_job(const std::string& job) const;
   // A task of the job failed somewhere.
   bool has_failed(const std::string& job) const { return jobs_.contains(job); }
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -1,19 +1,37 @@
 // Reports of machines of our part, and what they prove about recorded tasks.
 #include <algorithm>
 
-#include "base/constants.h"
+#include "base/types.h"
 #include "controller/controller.h"
+#include "workers/timing.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Milliseconds for which a machine that refused a start for lack of room is passed over.
+constexpr std::int64_t kNoRoomPauseMs = 1500;
+// Report intervals without a report after which a machine gets nothing new; reports come at up to
+// 1.25 intervals, so this allows one to be lost.
+constexpr double kUnresponsiveIntervals = 2.6;
+// Report intervals without a report after which it is asked directly; just above the longest.
+constexpr double kOverdueIntervals = 1.4;
+// Estimated seconds of high-priority tasks that are begun again rather than waited for when their
+// zone is cut off; cuts last about a minute.
+constexpr double kRestartElsewhereS = 30.0;
+// Share of a worker lease without a report after which a machine gets nothing new though it answers
+// direct messages: its lease is about to end. After a crash of its controller it finds the next in
+// 5 s as a rule, well within.
+constexpr double kHeartbeatsMissingLeaseShare = 0.6;
+
+}  // namespace
 
 Ms Controller::unresponsive_after() const {
-  return to_ms(settings_.heartbeat_interval_s * k::kUnresponsiveIntervals);
+  return to_ms(settings_.heartbeat_interval_s * kUnresponsiveIntervals);
 }
 
 Ms Controller::overdue_after() const {
-  return to_ms(settings_.heartbeat_interval_s * k::kOverdueIntervals);
+  return to_ms(settings_.heartbeat_interval_s * kOverdueIntervals);
 }
 
 // All that it runs is short and must be done soon: it is sooner begun again elsewhere than heard of
@@ -24,7 +42,7 @@
     const Job* job = replica_.job(ref.range.job);
     return job && !job->record.spec.is_service() &&
            job->record.spec.priority >= wire::Priority::high &&
-           job->record.spec.estimate_s <= k::kRestartElsewhereS;
+           job->record.spec.estimate_s <= kRestartElsewhereS;
   });
 }
 
@@ -39,7 +57,7 @@
 // lease. Guards against a machine that draws task after task and loses each with its lease.
 bool Controller::heartbeats_missing(Ms now, const Machine& m) const {
   return now - m.last_heartbeat >
-         std::max(unresponsive_after(), to_ms(settings_.lease_s * k::kHeartbeatsMissingLeaseShare));
+         std::max(unresponsive_after(), to_ms(settings_.lease_s * kHeartbeatsMissingLeaseShare));
 }
 
 void Controller::on_heartbeat(Ms now, std::uint64_t request, const std::string& body) {
@@ -50,31 +68,31 @@
   }
   if (!Relay::is_relayed(request)) links_.zone(heartbeat.zone).heartbeat_received(now);
   if (!state_client_.loaded() || !view_known_ || deposed(now) || resynchronising(now)) {
-    reply_unavailable(request, k::kRetryAfterS);
+    reply_unavailable(request, kRetryAfterS);
     return;
   }
   if (ClusterView::epoch_of(heartbeat.token) > cluster_view_.epoch()) {
     // Somebody acts on a newer view than we know.
     newest_epoch_seen_ = std::max(newest_epoch_seen_, ClusterView::epoch_of(heartbeat.token));
-    reply_unavailable(request, k::kRetryAfterS);
+    reply_unavailable(request, kRetryAfterS);
     return;
   }
   const std::string& owner = cluster_view_.machine_owner(heartbeat.machine, heartbeat.zone);
   if (owner != settings_.name) {
     if (owner.empty()) {
-      reply_unavailable(request, k::kRetryAfterS);
+      reply_unavailable(request, kRetryAfterS);
     } else {
       redirect_heartbeat(now, request, owner, heartbeat, body);
     }
     return;
   }
   if (!ready()) {
-    reply_unavailable(request, k::kRetryAfterS);
+    reply_unavailable(request, kRetryAfterS);
     return;
   }
   const auto* record = replica_.machine(heartbeat.machine);
   if (record && record->state == wire::MachineState::terminated) {
-    reply_unavailable(request, k::kRetryAfterS);  // a late copy
+    reply_unavailable(request, kRetryAfterS);  // a late copy
     return;
   }
   auto it = machines_.find(heartbeat.machine);
@@ -111,7 +129,7 @@
     // with low counters looks the same; its answer to a message of our own tells (on_orders).
     m.suspect = true;
     send_commands(now, m);
-    reply_unavailable(request, k::kRetryAfterS);
+    reply_unavailable(request, kRetryAfterS);
     return;
   }
   const auto list = commands_for(now, m);
@@ -233,7 +251,7 @@
   const auto* record = replica_.machine(m.id);
   if (record &&
       (record->incarnation != m.incarnation || new_address || record->address != m.address))
-    record_machine_state(now, m, m.state, k::kContactWriteDelayMs);
+    record_machine_state(now, m, m.state, kContactWriteDelayMs);
   reconcile(now, m);
   // Most reports only say that all goes on.
   if (changed) {
@@ -344,7 +362,7 @@
     case wire::ExitCause::unknown:
       log(LogLevel::info,
           "start of " + wire::task_name(ref.range.job, ref.index) + " refused by " + m.id);
-      m.full_until = now + k::kNoRoomPauseMs;
+      m.full_until = now + kNoRoomPauseMs;
       break;
     default:
       break;
--- a/src/workers/machine_checks.cpp
+++ b/src/workers/machine_checks.cpp
@@ -2,12 +2,33 @@
 // of reach.
 #include <algorithm>
 
-#include "base/constants.h"
 #include "controller/controller.h"
+#include "scheduling/placement.h"
+#include "workers/timing.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Relative drift of steady clocks (PROTOCOL: 0.05%), doubled for both ends being off.
+constexpr double kClockDrift = 0.001;
+// Milliseconds added to a lease before it counts as run out: timers fire late by a few.
+constexpr std::int64_t kLeaseMarginMs = 250;
+// Seconds before its machine is taken at which a replica is stopped to be moved: a halt and the
+// proof of it take about one, and until then it serves.
+constexpr double kServiceMoveS = 3.0;
+// Direct messages that a machine without reports leaves unanswered before it is returned; one is
+// enough once it counts as silent.
+constexpr int kProbesBeforeReturn = 2;
+// Milliseconds between looks whether a machine needs a direct message, if nothing calls for one.
+constexpr std::int64_t kCommandCheckMs = 1000;
+// Machines looked at in a second at most, so that the looks of a large part stay below a hundredth
+// of a core: each takes about a microsecond. A part of 4,000 is then looked at every 0.8 s.
+constexpr std::int64_t kMachineChecksPerS = 5000;
+// Worker leases for which a machine may be out of reach, though it reports, before it is returned.
+constexpr double kUnreachableLeases = 2.0;
+
+}  // namespace
 
 bool Controller::peers_acknowledged_epoch(std::uint64_t epoch) const {
   const auto& view = replica_.view();
@@ -28,9 +49,8 @@
 }
 
 bool Controller::lease_expired(Ms now, const Machine& m) const {
-  return m.lease_known &&
-         static_cast<double>(now - m.lease_granted_at) >
-             settings_.lease_s * 1000.0 * (1.0 + k::kClockDrift) + k::kLeaseMarginMs;
+  return m.lease_known && static_cast<double>(now - m.lease_granted_at) >
+                              settings_.lease_s * 1000.0 * (1.0 + kClockDrift) + kLeaseMarginMs;
 }
 
 // What still runs on a sick machine is stopped; it is returned once it is empty.
@@ -52,7 +72,7 @@
     const double left_s = static_cast<double>(m.preemption_at - now) / 1000.0;
     const double ran =
         seen.running_since ? static_cast<double>(now - seen.running_since) / 1000.0 : 0;
-    const double need = ran < spec.estimate_s ? spec.estimate_s - ran : k::kOverrunAllowanceS;
+    const double need = ran < spec.estimate_s ? spec.estimate_s - ran : kOverrunAllowanceS;
     if (spec.is_gang()) {
       for (const auto& [number, r] : job->ranges)
         range_states_[{task.job, number}].stop_requested = true;
@@ -60,7 +80,7 @@
       continue;
     }
     if (spec.is_service()) {
-      if (left_s <= k::kServiceMoveS) move_replica(m, task, seen.attempt);
+      if (left_s <= kServiceMoveS) move_replica(m, task, seen.attempt);
       continue;
     }
     // It may end in time; what saves is stopped when just enough is left for that.
@@ -74,7 +94,7 @@
 }
 
 Ms Controller::probe_after(const Machine& m) const {
-  return replica_.hosts_service(m.id) ? std::min(overdue_after(), k::kServiceOverdueMs)
+  return replica_.hosts_service(m.id) ? std::min(overdue_after(), kServiceOverdueMs)
                                       : overdue_after();
 }
 
@@ -82,19 +102,19 @@
   const Ms quiet = now - m.last_contact;
   // Guards against returning a machine for one lost message while its report waits for a controller
   // that it reported to before and that does not answer.
-  const Ms patience = unresponsive_after() + (m.heartbeat_answered ? 0 : k::kHeartbeatReplyMs);
+  const Ms patience = unresponsive_after() + (m.heartbeat_answered ? 0 : kHeartbeatReplyMs);
   if (m.unanswered_commands > 0 && quiet > patience) return true;
-  if (m.unanswered_commands < k::kProbesBeforeReturn || quiet <= overdue_after()) return false;
+  if (m.unanswered_commands < kProbesBeforeReturn || quiet <= overdue_after()) return false;
   // Guards against returning all services of a zone in the first seconds of a cut: when the first
   // of their machines has left two messages unanswered, most others have not been asked yet.
   return !probed_early(m) || early.mostly_responsive() ||
-         quiet > overdue_after() + k::kTwoUnansweredCommandsMs;
+         quiet > overdue_after() + kTwoUnansweredCommandsMs;
 }
 
 void Controller::check_machines(Ms now) {
   if (!ready() || now < next_machine_check_ || resynchronising(now)) return;
   const auto shard = static_cast<Ms>(machines_.size());
-  next_machine_check_ = now + std::max(k::kMachineCheckMs, shard * 1000 / k::kMachineChecksPerS);
+  next_machine_check_ = now + std::max(kMachineCheckMs, shard * 1000 / kMachineChecksPerS);
   std::erase_if(machines_, [&](const auto& entry) {
     const Machine& m = entry.second;
     // Guards against forgetting, with the machine, which starts may still be on their way to it.
@@ -126,11 +146,11 @@
     }
     // It reports, but nothing reaches it: what it has is stopped by its own lease, and it goes.
     if (ready && few && m.unreachable_since != 0 &&
-        now - m.unreachable_since > to_ms(settings_.lease_s * k::kUnreachableLeases)) {
+        now - m.unreachable_since > to_ms(settings_.lease_s * kUnreachableLeases)) {
       log(LogLevel::info, "machine " + id + " cannot be reached; returning it");
       record_machine_state(now, m, wire::MachineState::lost, 0);
     }
-    if (ready && few && now - m.last_heartbeat > to_ms(settings_.lease_s * k::kUnreachableLeases) &&
+    if (ready && few && now - m.last_heartbeat > to_ms(settings_.lease_s * kUnreachableLeases) &&
         now - m.last_contact <= unresponsive_after()) {
       log(LogLevel::info, "machine " + id + " does not report; returning it");
       record_machine_state(now, m, wire::MachineState::lost, 0);
@@ -150,7 +170,7 @@
                             !replica_.placed_on(id).empty();
     // What calls for a direct message sets send_again; the rest is looked at now and then.
     if (m.resend_commands || idle_probe || now >= m.next_command_check) {
-      m.next_command_check = now + k::kCommandCheckMs;
+      m.next_command_check = now + kCommandCheckMs;
       send_commands(now, m, idle_probe);
     }
   }
--- a/src/workers/shard_records.cpp
+++ b/src/workers/shard_records.cpp
@@ -4,12 +4,21 @@
 // (fleet_record_writer.h), each controller its own part's state.
 #include <algorithm>
 
-#include "base/constants.h"
 #include "controller/controller.h"
+#include "state/state_client.h"
+#include "workers/timing.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Writes that only say which machines were heard may wait at once: placements go before them, and a
+// fleet of thousands has more such records than a second has writes.
+constexpr std::size_t kContactWritesQueued = 4;
+// Milliseconds between looks for entries that stand in the record of another group.
+constexpr std::int64_t kStrayCheckMs = 1000;
+
+}  // namespace
 
 void Controller::refresh_from_records(Machine& m) const {
   const auto* record = replica_.machine(m.id);
@@ -108,7 +117,7 @@
   if (!can_write(now)) return;
   regroup_pending();
   if (services_enabled() && now >= next_stray_check_) {
-    next_stray_check_ = now + k::kSizeEveryMs;
+    next_stray_check_ = now + kStrayCheckMs;
     for (const auto& [group, record] : replica_.shards_of(settings_.name)) {
       if (!shard_writes_[group].busy && has_strays(*record, group)) move_strays(group, *record);
     }
@@ -144,7 +153,7 @@
       return p.second.state != wire::MachineState::ready;
     });
     // Guards against a fleet of many groups that keeps placements waiting while it comes up.
-    if (!changes_state && contact_writes_in_flight_ >= k::kContactWritesQueued) continue;
+    if (!changes_state && contact_writes_in_flight_ >= kContactWritesQueued) continue;
     Transaction t;
     const std::string key = wire::shard_key(settings_.name, group);
     t.conditions = {view_unchanged(), state_client_.unchanged(key)};
@@ -162,14 +171,13 @@
           auto s = sent.find(p.first);
           return s != sent.end() && s->second == p.second;
         });
-        if (!written.pending.empty() && written.due == 0)
-          written.due = at + k::kContactWriteDelayMs;
+        if (!written.pending.empty() && written.due == 0) written.due = at + kContactWriteDelayMs;
         return;
       }
       state_client_.wait_until_settled(at, [this, group](Ms then) {
         ShardWrite& again = shard_writes_[group];
         again.busy = false;
-        again.due = then + k::kRefusedRetryMs;
+        again.due = then + kRefusedRetryMs;
       });
     };
     state_client_.submit(std::move(t));
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -3,13 +3,19 @@
 #include <algorithm>
 #include <memory>
 
-#include "base/constants.h"
 #include "base/log_event.h"
+#include "base/types.h"
 #include "controller/controller.h"
+#include "state/state_client.h"
 
 namespace scheduler {
 
-namespace k = constants;
+namespace {
+
+// Milliseconds for which commands to a worker that left a direct one unanswered are passed on.
+constexpr std::int64_t kRelayForMs = 15'000;
+
+}  // namespace
 
 namespace {
 constexpr std::size_t kProbesGivenUp = 3;  // workers asked at once after the machines were given up
@@ -44,7 +50,7 @@
   auto round = std::make_shared<Round>();
   round->open = addresses.size();
   for (const auto& address : addresses) {
-    call(Target::worker, address, "GET", wire::kStatusPath, "", links::constants::kProbeTimeoutMs,
+    call(Target::worker, address, "GET", wire::kStatusPath, "", links::kProbeTimeoutMs,
          [this, round, done, pauses = pauses_](Ms at, const HttpResult& http_result) {
            --round->open;
            wire::Heartbeat heartbeat;
@@ -68,7 +74,7 @@
           m.state != wire::MachineState::ready)
         continue;
       ++seen;
-      if (sample.size() < links::constants::kProbedAtOnce) {
+      if (sample.size() < links::kProbedAtOnce) {
         sample.push_back(m.address);
       } else if (const auto at = probe_random_(static_cast<std::uint32_t>(seen));
                  at < sample.size()) {
@@ -104,7 +110,7 @@
 
 // Asks machines that would be ours, in our own zone if there are any.
 void Controller::reclaim_shard(Ms now) {
-  next_reachability_check_ = now + links::constants::kProbeEveryMs;
+  next_reachability_check_ = now + links::kWorkerProbeMs;
   std::vector<std::string> near, all;
   for (const auto& [id, record] : replica_.machines()) {
     if (record.incarnation == 0 || record.address.empty() ||
@@ -167,7 +173,7 @@
 std::optional<std::string> Controller::relay_for(Ms now, const Machine& m) const {
   if (!settings_.relays) return std::nullopt;
   const bool failed =
-      m.direct_command_failed_at != 0 && now - m.direct_command_failed_at < k::kRelayForMs;
+      m.direct_command_failed_at != 0 && now - m.direct_command_failed_at < kRelayForMs;
   const auto zone = links_.zones().find(m.zone);
   const bool zone_down =
       zone != links_.zones().end() && zone->second.commands(now) == links::Status::down;
@@ -195,7 +201,7 @@
                                          if (http_result.status == 200) {
                                            reply(request, 200, http_result.body);
                                          } else {
-                                           reply_unavailable(request, k::kRetryAfterS);
+                                           reply_unavailable(request, kRetryAfterS);
                                          }
                                        });
   if (!sent) reply(request, 421, wire::redirect_body(owner));
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "base/constants.h"
+#include "wire/state_service.h"
 
 namespace scheduler {
 namespace {
@@ -46,7 +46,7 @@
       EXPECT_LE(groups, static_cast<std::size_t>(txn_ops));
       if (groups > 1) {
         EXPECT_LE(static_cast<double>(groups) * value_kb * 1024.0,
-                  static_cast<double>(constants::kTransactionBytes));
+                  static_cast<double>(wire::kTransactionBytes));
       }
     }
   }
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -3,14 +3,12 @@
 
 #include <map>
 
-#include "base/constants.h"
+#include "jobs/timeouts.h"
 #include "support/single_controller_test.h"
 
 namespace scheduler {
 namespace {
 
-namespace k = constants;
-
 TEST_F(SingleControllerTest, DuplicateHeartbeatsRenewNoLease) {
   EXPECT_EQ(heartbeat(50).status, 200);
   const HttpReply copy = heartbeat(49);
@@ -130,7 +128,7 @@
   while (status(first) == 0 && now_ < asked + 5000) run(20);
   EXPECT_EQ(status(first), 503);
   EXPECT_GT(answers_[first].retry_after_s, 0);
-  EXPECT_LE(now_ - asked, k::kCancelTimeoutMs + 200);
+  EXPECT_LE(now_ - asked, kCancelTimeoutMs + 200);
   run(1000);  // the machine has not answered: known now
   const std::uint64_t second = cancel("req-000001");
   EXPECT_EQ(status(second), 503);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -4,7 +4,6 @@
 #include <cmath>
 #include <set>
 
-#include "base/constants.h"
 #include "fleet/fleet_sizer.h"
 #include "membership/cluster_view.h"
 #include "quota/quota_leases.h"
@@ -51,7 +50,7 @@
 
 TEST(Placement, OverrunningTaskEndsWithinTheAllowance) {
   EXPECT_DOUBLE_EQ(remaining_s(kNow, kNow + 40'000), 40);
-  EXPECT_DOUBLE_EQ(remaining_s(kNow, kNow - 140'000), constants::kOverrunAllowanceS);
+  EXPECT_DOUBLE_EQ(remaining_s(kNow, kNow - 140'000), kOverrunAllowanceS);
 }
 
 TEST(Placement, ScanFindsTheOnlyFreeMachine) {
@@ -84,7 +83,7 @@
   for (auto& m : machines) pool.push_back(&m);
   int hits = 0;
   for (int n = 0; n < 4000; ++n) hits += pick_of_two(kNow, pool, spec(1), all, random) < 2;
-  EXPECT_NEAR(hits / 4000.0, 1 - std::pow(0.75, constants::kSampledMachines), 0.03);
+  EXPECT_NEAR(hits / 4000.0, 1 - std::pow(0.75, kSampledMachines), 0.03);
 }
 
 TEST(ClusterView, MachinesStayInTheirZoneAndMoveLittle) {
@@ -133,7 +132,7 @@
   record.leases = {{"a", {8, 0}}, {"b", {15, 0}}, {"c", {17, 0}}};
   record.demand = {{"a", {12, 0}}, {"b", {5, 0}}, {"c", {3, 0}}, {"gone", {9, 0}}};
   std::map<std::string, double> used, started;
-  for (Ms wall = 0; wall < 20 * constants::kQuotaTurnMs; wall += constants::kQuotaCheckMs) {
+  for (Ms wall = 0; wall < 20 * kQuotaTurnMs; wall += kQuotaCheckMs) {
     for (const auto& who : live) {
       QuotaLeaseInput in;
       in.team = &team;
@@ -149,7 +148,7 @@
       if (used[who] == 0 && within_lease(team, record, who, {0, 0}, 20, 0)) {
         used[who] = 20;
         ++started[who];
-      } else if (wall % constants::kQuotaTurnMs == 0) {
+      } else if (wall % kQuotaTurnMs == 0) {
         used[who] = 0;
       }
     }
@@ -182,7 +181,7 @@
     in.live = {"a", "b", "c"};
     for (const auto& p : parts) in.used[p.name] = {p.used, 0};
     in.need.cpus = part.lacking;
-    in.yield = wall - part.stuck_since > constants::kQuotaStuckMs && turn != part.name;
+    in.yield = wall - part.stuck_since > kQuotaStuckMs && turn != part.name;
     in.leave_to_collector = part.memory.leave_to_collector(in.yield, turn);
     if (!in.yield) {
       in.used[part.name].cpus += part.lacking;
@@ -191,7 +190,7 @@
     }
     return next_quota_record(in, seen);
   };
-  for (Ms wall = 0; wall < 20'000 && started_at == 0; wall += constants::kQuotaCheckMs) {
+  for (Ms wall = 0; wall < 20'000 && started_at == 0; wall += kQuotaCheckMs) {
     // Each knows the record of the look before and its own write; a write that another was faster
     // with fails.
     const wire::QuotaRecord seen = record;
@@ -258,7 +257,7 @@
   for (int i = 0; i < 6; ++i)
     EXPECT_FALSE(h.failed(1000 + i, "m" + std::to_string(i), "req-000009"));
   EXPECT_TRUE(h.is_faulty_job("req-000009"));
-  EXPECT_GT(h.next_attempt_at("req-000009"), 1005 + constants::kJobBackoffMs);
+  EXPECT_GT(h.next_attempt_at("req-000009"), 1005 + kJobBackoffMs);
   EXPECT_FALSE(h.failed(2000, "m1", "req-000010"));  // the faulty job's errors do not count
 }
 
@@ -272,7 +271,7 @@
 }
 
 // CPUs with which the forecast counts on one CPU second a second.
-constexpr double kOneCpu = 1.0 / constants::kForecastShare;
+constexpr double kOneCpu = 1.0 / kForecastShare;
 
 TEST(DeadlineOrder, DefersTheLargestWhenDeadlinesConflict) {
   // Due after 10, 11 and 12 s; 4 + 9 + 4 s of work: without the one of 9 the others are in time.
@@ -357,7 +356,7 @@
       f.next_scale_out(1, demand, {t}, {}).empty());  // the job does not allow spot machines
   job.spot = true;
   EXPECT_FALSE(f.next_scale_out(1, demand, {t}, {}).empty());
-  EXPECT_FALSE(f.next_scale_out(constants::kRefusedPauseMs + 1, demand, {t}, {}).empty());
+  EXPECT_FALSE(f.next_scale_out(kRefusedPauseMs + 1, demand, {t}, {}).empty());
 }
 
 TEST(FleetSizer, SpotMachinesDoNotServeOnDemandWork) {
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -9,14 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "base/constants.h"
+#include "fleet/cloud_inventory.h"
 #include "support/component_test.h"
 #include "wire/json.h"
 
 namespace scheduler {
 namespace {
 
-namespace k = constants;
 using wire::MachineState;
 
 class FleetCoordinatorTest : public ComponentTest {
@@ -125,7 +124,7 @@
 // minutes, and two of them for ever (docs/results.md, round 25).
 TEST_F(FleetCoordinatorTest, IdleMachinesAreReturnedWithinAMinute) {
   have_machines(5);
-  advance(k::kScaleInIdleAfterMs - 5000);
+  advance(kScaleInIdleAfterMs - 5000);
   EXPECT_TRUE(returned_.empty());
   advance(35'000);
   EXPECT_EQ(returned_.size(), 5U);
@@ -135,7 +134,7 @@
 
 TEST_F(FleetCoordinatorTest, IdleFleetOfHundredsScalesInWithinMinutes) {
   have_machines(300);
-  advance(k::kScaleInIdleAfterMs + 60'000);
+  advance(kScaleInIdleAfterMs + 60'000);
   EXPECT_GT(returned_.size(), 200U);
   advance(120'000);
   EXPECT_EQ(returned_.size(), 300U);
@@ -145,7 +144,7 @@
 TEST_F(FleetCoordinatorTest, MachinesBeyondTheWorkAreKeptForMinutes) {
   have_machines(8);
   have_job(1);
-  advance(k::kScaleInAfterMs - 5000);
+  advance(kScaleInAfterMs - 5000);
   EXPECT_TRUE(returned_.empty());
   advance(30'000);
   EXPECT_FALSE(returned_.empty());
@@ -159,7 +158,7 @@
   ASSERT_TRUE(decode(state_.items[wire::job_key("req-000001")].value, job));
   job.cancelled = true;
   put(wire::job_key("req-000001"), encode(job));
-  advance(k::kScaleInIdleAfterMs - 2000);
+  advance(kScaleInIdleAfterMs - 2000);
   job.cancelled = false;
   put(wire::job_key("req-000001"), encode(job));
   advance(60'000);
@@ -201,7 +200,7 @@
   list.on_pause(now_);
   calls_[0].done(now_, {200, R"({"rigs":[],"hasNext":false})"});
   EXPECT_FALSE(list.known());
-  run(k::kListEveryMs + 100, [&](Ms now) { list.tick(now); });
+  run(kListEveryMs + 100, [&](Ms now) { list.tick(now); });
   ASSERT_EQ(calls_.size(), 2U);
   calls_[1].done(now_, {200, R"({"rigs":[],"hasNext":false})"});
   EXPECT_TRUE(list.known());
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -12,8 +12,6 @@
 namespace scheduler::links {
 namespace {
 
-namespace k = constants;
-
 constexpr Ms kHintMs = 500;
 constexpr Ms kReportMs = 1000;
 constexpr Ms kWallOffset = 1'700'000'000'000;
@@ -63,10 +61,10 @@
   EXPECT_EQ(link.status(1500), Status::up);
   link.refused(2000);
   EXPECT_FALSE(link.answering(2100));
-  EXPECT_FALSE(link.silent(2000 + k::kSilentMs - 1));
-  EXPECT_TRUE(link.silent(2000 + k::kSilentMs));
+  EXPECT_FALSE(link.silent(2000 + kSilentMs - 1));
+  EXPECT_TRUE(link.silent(2000 + kSilentMs));
   link.answered(6000);
-  EXPECT_FALSE(link.answering(6000 + k::kSilentMs));  // without a failure, but long ago
+  EXPECT_FALSE(link.answering(6000 + kSilentMs));  // without a failure, but long ago
 }
 
 TEST(FlapDamper, PenaltyGrowsWithFailuresAndDecays) {
@@ -76,14 +74,14 @@
   EXPECT_EQ(damper.steady_ms(1000), 0);  // most cuts come alone
   damper.failed(6000);
   const Ms second = damper.steady_ms(6000);
-  EXPECT_GT(second, k::kSteadyMs / 2);
+  EXPECT_GT(second, kSteadyMs / 2);
   FlapDamper strict{0};
   strict.failed(1000);
-  EXPECT_EQ(strict.steady_ms(1000), k::kSteadyMs);
+  EXPECT_EQ(strict.steady_ms(1000), kSteadyMs);
   damper.failed(11'000);
   EXPECT_GT(damper.steady_ms(11'000), 2 * second);
   for (Ms now = 10'000; now < 200'000; now += 5000) damper.failed(now);
-  EXPECT_EQ(damper.steady_ms(200'000), k::kSteadyMostMs);
+  EXPECT_EQ(damper.steady_ms(200'000), kSteadyMostMs);
   EXPECT_EQ(damper.steady_ms(200'000 + 600'000), 0);
 }
 
@@ -165,8 +163,8 @@
 TEST(Matrix, StaleRowsAreIgnored) {
   Matrix matrix("a");
   matrix.merge(100, 10'000, row_of("b", 9'900, Status::up));
-  EXPECT_EQ(matrix.fresh(10'000, k::kRowFreshMs).size(), 1U);
-  EXPECT_TRUE(matrix.fresh(10'000 + 180'000, k::kRowFreshMs).empty());
+  EXPECT_EQ(matrix.fresh(10'000, kRowFreshMs).size(), 1U);
+  EXPECT_TRUE(matrix.fresh(10'000 + 180'000, kRowFreshMs).empty());
   matrix.merge(200, 300'000, row_of("c", 120'000, Status::up));
   EXPECT_EQ(matrix.find("c"), nullptr);
   matrix.merge(200, 300'000, row_of("a", 300'000, Status::up));  // our own, as others know it
@@ -177,7 +175,7 @@
   Matrix matrix("a");
   for (int i = 0; i < 100; ++i)
     matrix.merge(100, 10'000, row_of("n" + std::to_string(i), 9'900, Status::up));
-  EXPECT_EQ(matrix.size(), k::kMostRows);
+  EXPECT_EQ(matrix.size(), kMostRows);
 }
 
 class MonitorTest : public testing::Test {
@@ -234,15 +232,15 @@
     monitor_.merge(at(t), row("c", Status::up, t - 60));
     verdict = monitor_.may_serve_users(at(t));
     // Not before it has said so for a while: at the ends of an outage one notices first.
-    EXPECT_EQ(verdict.allowed, t - now_ <= 200 + k::kStateWordMs) << t;
+    EXPECT_EQ(verdict.allowed, t - now_ <= 200 + kStateWordMs) << t;
   }
   EXPECT_EQ(verdict.reason, Reason::peer_reaches);
   EXPECT_EQ(verdict.through, "c");
 }
 
 TEST_F(MonitorTest, UsersLeaveIsolatedControllers) {
-  EXPECT_TRUE(monitor_.may_serve_users(at(now_ + k::kSilentMs - 100)).allowed);
-  const Decision verdict = monitor_.may_serve_users(at(now_ + k::kSilentMs + 100));
+  EXPECT_TRUE(monitor_.may_serve_users(at(now_ + kSilentMs - 100)).allowed);
+  const Decision verdict = monitor_.may_serve_users(at(now_ + kSilentMs + 100));
   EXPECT_FALSE(verdict.allowed);
   EXPECT_EQ(verdict.reason, Reason::isolated);
 }
@@ -272,7 +270,7 @@
   c.workers["y"].heard_ms = static_cast<std::uint64_t>(later - 100 + kWallOffset);
   monitor_.merge(at(later), c);
   EXPECT_TRUE(monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);  // only just now
-  const Ms then = later + k::kRowSteadyMs;
+  const Ms then = later + kRowSteadyMs;
   b.as_of_ms = c.as_of_ms = static_cast<std::uint64_t>(then + kWallOffset);
   monitor_.merge(at(then), b);
   monitor_.merge(at(then), c);
@@ -296,7 +294,7 @@
   EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 800).allowed);
   monitor_.probed_while_given_up(now_ + 1000, true);
   EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 2000).allowed);
-  EXPECT_TRUE(monitor_.may_reclaim_machines(now_ + 1000 + k::kSteadyMs).allowed);
+  EXPECT_TRUE(monitor_.may_reclaim_machines(now_ + 1000 + kSteadyMs).allowed);
   // It fails again and again.
   for (Ms t = now_ + 4000; t < now_ + 60'000; t += 6000) {
     monitor_.probed_while_given_up(t, false);
@@ -337,7 +335,7 @@
   const Decision verdict = monitor_.may_declare_dead(at(now_), "x", census, 5000);
   EXPECT_FALSE(verdict.allowed);
   EXPECT_EQ(verdict.through, "b");
-  EXPECT_TRUE(monitor_.may_declare_dead(at(now_), "x", census, k::kZoneCutPatienceMs + 1).allowed);
+  EXPECT_TRUE(monitor_.may_declare_dead(at(now_), "x", census, kZoneCutPatienceMs + 1).allowed);
 }
 
 // As a cut heals the first workers are heard; the others are on their way.
@@ -356,7 +354,7 @@
   EXPECT_FALSE(monitor_.may_declare_dead(at(now_), "x", cut, 60'000).allowed);
   monitor_.note_census(now_ + 1000, back);
   EXPECT_FALSE(monitor_.may_declare_dead(at(now_ + 1000), "x", back, 60'000).allowed);
-  const Ms later = now_ + k::kBackFromCutMs;
+  const Ms later = now_ + kBackFromCutMs;
   EXPECT_TRUE(monitor_.may_declare_dead(at(later), "x", back, 60'000).allowed);
 }
 
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -6,18 +6,16 @@
 #include <set>
 #include <string>
 
-#include "base/constants.h"
 #include "fleet/machine_groups.h"
 #include "membership/format_switch.h"
 #include "scheduling/range_split.h"
 #include "support/single_controller_test.h"
 #include "workers/failure_tracker.h"
+#include "workers/timing.h"
 
 namespace scheduler {
 namespace {
 
-namespace k = constants;
-
 std::string replaced(std::string text, const std::string& from, const std::string& to) {
   const auto at = text.find(from);
   EXPECT_NE(at, std::string::npos) << from;
@@ -151,7 +149,7 @@
   run(1000);
   EXPECT_EQ(status(accepted), 201);
   EXPECT_EQ(tasks_.size(), 2U);
-  run(k::kServiceSettledMs);
+  run(kServiceSettledMs);
   heartbeat(100);
   exit_cause_ = "done";
   const int before = starts_;
@@ -199,7 +197,7 @@
   FailureTracker health;
   const wire::TaskId replica{"req-000001", 3};
   health.on_result_kept(1000, "m", replica);
-  EXPECT_TRUE(health.has_kept_result(1000 + 2 * k::kFailureMemoryMs, "m", replica));
+  EXPECT_TRUE(health.has_kept_result(1000 + 2 * kFailureMemoryMs, "m", replica));
   EXPECT_FALSE(health.has_kept_result(1000, "m", {"req-000001", 4}));  // it would run there
   EXPECT_FALSE(health.has_kept_result(1000, "m", {"req-000002", 3}));
   EXPECT_FALSE(health.has_kept_result(1000, "n", replica));
--- a/tests/sim/cluster_members.h
+++ b/tests/sim/cluster_members.h
@@ -12,6 +12,7 @@
 
 #include "sim/simulated_cluster.h"
 #include "wire/messages.h"
+#include "workers/timing.h"
 
 namespace scheduler::sim {
 
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -5,6 +5,7 @@
 #include "sim/cluster_members.h"
 #include "sim/simulated_cluster.h"
 #include "wire/messages.h"
+#include "workers/timing.h"
 
 namespace scheduler::sim {
 
