--- a/src/scheduling/placement.cpp
+++ b/src/allocation/placement.cpp
@@ -1,4 +1,4 @@
-#include "scheduling/placement.h"
+#include "allocation/placement.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,6 +8,14 @@
 
 namespace scheduler {
 
+namespace {
+
+// Milliseconds that a booked replica counts as still running in predictions: it ends when its user
+// cancels it, so its machine counts as full for longer than any array runs.
+constexpr std::int64_t kServiceRunsMs = 24LL * 3600 * 1000;
+
+}  // namespace
+
 bool Candidate::fits(const wire::JobSpec& job) const {
   return cpus + kAmountSlack >= job.cpus && gpus + kAmountSlack >= job.gpus &&
          memory_gb + kAmountSlack >= job.memory_gb;
@@ -51,6 +59,11 @@
   return std::max(0.0, n);
 }
 
+Ms predicted_end(Ms from, const wire::JobSpec& spec) {
+  if (spec.is_service()) return from + kServiceRunsMs;
+  return from + static_cast<Ms>(spec.estimate_s * 1000.0);
+}
+
 double remaining_s(Ms now, Ms ends_at) {
   return now < ends_at ? static_cast<double>(ends_at - now) / 1000.0 : kOverrunAllowanceS;
 }
--- a/src/scheduling/placement.h
+++ b/src/allocation/placement.h
@@ -46,6 +46,10 @@
 // Tasks of the job that a machine with this much free can take at once.
 double fit_count(const wire::JobSpec& job, double cpus, double gpus, double memory_gb);
 
+// When a task that starts at `from` should end, by its estimate; far away for a service, which has
+// no end to predict.
+Ms predicted_end(Ms from, const wire::JobSpec& spec);
+
 // Remaining seconds of a task that should end at `ends_at`. An overrunning task counts as ending
 // within the allowance.
 double remaining_s(Ms now, Ms ends_at);
--- /dev/null
+++ b/src/allocation/range_table.cpp
@@ -0,0 +1,73 @@
+#include "allocation/range_table.h"
+
+#include <algorithm>
+
+namespace scheduler {
+
+bool RangeState::is_unstarted(const wire::RangeRecord& range, std::uint32_t task) const {
+  if (range.done[task - range.begin] || pending_placements.contains(task)) return false;
+  const auto placement = range.placed.find(task);
+  if (placement == range.placed.end()) return true;
+  const auto release = released.find(task);
+  return !range.stopping && release != released.end() && !release->second.done &&
+         release->second.attempt == placement->second.attempt;
+}
+
+std::size_t RangeState::open_tasks(const wire::RangeRecord& range) const {
+  const std::size_t held = range.placed.size() + range.done_count();
+  const auto lost = static_cast<std::size_t>(std::count_if(
+      released.begin(), released.end(), [](const auto& entry) { return !entry.second.done; }));
+  const std::size_t all = range.end - range.begin;
+  return std::min(all, all - std::min(all, held) + lost);
+}
+
+void RangeTable::erase_unrecorded() {
+  std::erase_if(ranges_, [this](const auto& entry) {
+    return !entry.second.busy && !context_.replica.range(entry.first);
+  });
+}
+
+void RangeTable::release_task(const TaskRef& ref, std::uint64_t attempt, bool done) {
+  ReleasedTask& released = ranges_[ref.range].released[ref.index];
+  if (released.attempt == attempt && released.done) return;
+  released = {attempt, done};
+  context_.log(LogLevel::debug, std::string(done ? "done: " : "released: ") +
+                                    wire::task_name(ref.range.job, ref.index) + " try " +
+                                    std::to_string(attempt));
+  pass_trigger_.request();
+}
+
+bool RangeTable::is_released(const TaskRef& ref, std::uint64_t attempt) const {
+  const auto range = ranges_.find(ref.range);
+  if (range == ranges_.end()) return false;
+  const auto released = range->second.released.find(ref.index);
+  return released != range->second.released.end() && released->second.attempt == attempt;
+}
+
+void RangeTable::discard_unrecorded_releases(const std::string& machine) {
+  for (const TaskRef& ref : context_.replica.placed_on(machine)) {
+    const auto range = ranges_.find(ref.range);
+    if (range != ranges_.end()) range->second.released.erase(ref.index);
+  }
+}
+
+Usage RangeTable::usage_with_pending(const std::string& team, Usage recorded) const {
+  Usage sum = recorded;
+  for (const auto& [id, state] : ranges_) {
+    if (state.pending_placements.empty()) continue;
+    const Job* job = context_.replica.job(id.job);
+    if (!job || job->record.spec.team != team) continue;
+    const auto tasks = static_cast<double>(state.pending_placements.size());
+    sum.cpus += job->record.spec.cpus * tasks;
+    sum.gpus += job->record.spec.gpus * tasks;
+  }
+  return sum;
+}
+
+std::size_t RangeTable::writes_in_flight() const {
+  return static_cast<std::size_t>(std::count_if(ranges_.begin(), ranges_.end(), [](const auto& r) {
+    return r.second.busy || r.second.write_uncertain;
+  }));
+}
+
+}  // namespace scheduler
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
+#include "allocation/placement.h"
 #include "base/types.h"
-#include "scheduling/placement.h"
 
 namespace scheduler {
 
--- a/src/membership/cluster_view.cpp
+++ b/src/membership/cluster_view.cpp
@@ -59,6 +59,7 @@
 }
 
 void ClusterView::update(const wire::ViewRecord& view) {
+  known_ = true;
   epoch_ = view.epoch;
   live_.clear();
   owners_.clear();
--- a/src/membership/cluster_view.h
+++ b/src/membership/cluster_view.h
@@ -23,6 +23,8 @@
   explicit ClusterView(const Settings& settings);
 
   void update(const wire::ViewRecord& view);
+  // Whether a view has been read.
+  bool known() const { return known_; }
   std::uint64_t epoch() const { return epoch_; }
   const std::vector<std::string>& live() const { return live_; }
   // Live controllers that may own machines and ranges.
@@ -43,6 +45,7 @@
 
  private:
   std::map<std::string, std::string> zone_of_;
+  bool known_ = false;
   std::uint64_t epoch_ = 0;
   std::vector<std::string> live_;
   std::vector<std::string> owners_;  // of those, the ones that workers can reach
--- a/src/membership/format_switch.cpp
+++ b/src/membership/format_switch.cpp
@@ -1,6 +1,7 @@
 #include "membership/format_switch.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace scheduler {
 
@@ -23,31 +24,47 @@
 }  // namespace
 
 std::vector<std::string> FormatSwitch::configured_controllers() const {
-  std::vector<std::string> names{settings_.name};
-  for (const Peer& peer : settings_.peers) names.push_back(peer.name);
+  std::vector<std::string> names{context_.settings.name};
+  for (const Peer& peer : context_.settings.peers) names.push_back(peer.name);
   return names;
 }
 
-std::uint32_t FormatSwitch::supported(const Replica& replica) const {
-  std::uint32_t format = settings_.record_format;
+std::uint32_t FormatSwitch::supported() const {
+  std::uint32_t format = context_.settings.record_format;
   for (const std::string& name : configured_controllers())
-    format = std::min(format, announced_format(replica, name));
+    format = std::min(format, announced_format(context_.replica, name));
   return format;
 }
 
-std::optional<Transaction> FormatSwitch::propose(const Replica& replica,
-                                                 const StateClient& state_client) const {
-  const std::uint32_t format = supported(replica);
-  if (format <= replica.format()) return std::nullopt;
+std::optional<Transaction> FormatSwitch::propose() const {
+  const std::uint32_t format = supported();
+  if (format <= context_.replica.format()) return std::nullopt;
   Transaction transaction;
   const std::string key(wire::kFormatKey);
-  transaction.conditions = {state_client.unchanged(std::string(wire::kViewKey)),
-                            state_client.unchanged(key)};
+  transaction.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
   for (const std::string& name : configured_controllers())
-    transaction.conditions.push_back(state_client.unchanged(live_key(name)));
+    transaction.conditions.push_back(context_.state_client.unchanged(live_key(name)));
   transaction.writes = {{key, encode(wire::FormatRecord{format}), std::nullopt}};
   transaction.urgent = true;  // submissions of services wait for it
   return transaction;
 }
 
+void FormatSwitch::tick(Ms now) {
+  if (write_in_flight_ || !context_.can_write(now)) return;
+  std::optional<Transaction> transaction = propose();
+  if (!transaction) return;
+  write_in_flight_ = true;
+  transaction->done = [this](Ms at, TxnResult result, const auto&) {
+    if (result == TxnResult::committed) {
+      write_in_flight_ = false;
+      context_.log(LogLevel::info, "all controllers read record format " +
+                                       std::to_string(context_.replica.format()) +
+                                       "; services are accepted");
+      return;
+    }
+    context_.state_client.wait_until_settled(at, [this](Ms) { write_in_flight_ = false; });
+  };
+  context_.state_client.submit(std::move(*transaction));
+}
+
 }  // namespace scheduler
--- a/src/membership/format_switch.h
+++ b/src/membership/format_switch.h
@@ -8,29 +8,34 @@
 #pragma once
 
 #include <optional>
+#include <string>
+#include <vector>
 
 #include "base/types.h"
-#include "state/replica.h"
+#include "membership/context.h"
 #include "state/state_client.h"
 
 namespace scheduler {
 
+// Writes `formats`, together with the other controllers.
 class FormatSwitch {
  public:
-  explicit FormatSwitch(const Settings& settings) : settings_(settings) {}
+  explicit FormatSwitch(const Context& context) : context_(context) {}
 
-  // The newest format that every configured controller reads; kFirstFormat while one of them is not
-  // in the view or has not announced any.
-  std::uint32_t supported(const Replica& replica) const;
-
-  // The write that records a newer format than is recorded now, if all controllers support one.
-  // Its guards are the view and every live record that it rests on.
-  std::optional<Transaction> propose(const Replica& replica, const StateClient& state_client) const;
+  // Records the format that all controllers support, once they do.
+  void tick(Ms now);
 
  private:
+  // The newest format that every configured controller reads; kFirstFormat while one of them is not
+  // in the view or has not announced any.
+  std::uint32_t supported() const;
+  // The write that records a newer format than is recorded now, if all controllers support one. Its
+  // conditions are the view and every live record that it rests on.
+  std::optional<Transaction> propose() const;
   std::vector<std::string> configured_controllers() const;
 
-  const Settings& settings_;
+  const Context& context_;
+  bool write_in_flight_ = false;
 };
 
 }  // namespace scheduler
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -20,14 +20,8 @@
                                      std::function<void(Ms now)> joined)
     : context_(context), links_(links), on_joined_(std::move(joined)) {}
 
-bool MembershipManager::is_member() const {
-  const auto& live = context_.replica.view().live;
-  const auto own = live.find(context_.settings.name);
-  return own != live.end() && own->second == context_.incarnation;
-}
-
 void MembershipManager::tick(Ms now) {
-  const bool member = is_member();
+  const bool member = context_.is_member();
   if (std::exchange(was_member_, member) && !member) links_.removed_from_view(now);
   if (!member) {
     join(now);
--- a/src/membership/membership_manager.h
+++ b/src/membership/membership_manager.h
@@ -24,8 +24,6 @@
   void tick(Ms now);
   // This controller stood still: how long others' leases have been missing counts anew.
   void on_pause() { lease_missing_since_.clear(); }
-  // In the view, with this incarnation.
-  bool is_member() const;
 
  private:
   void join(Ms now);
--- /dev/null
+++ b/src/scheduling/array_placement.cpp
@@ -0,0 +1,138 @@
+#include "scheduling/array_placement.h"
+#include <algorithm>
+#include <iterator>
+#include <utility>
+#include "scheduling/start_deadlines.h"
+
+namespace scheduler {
+
+namespace {
+
+// Seconds of an image's fetch from which on machines that have the image are sampled first: as long
+// as a short task runs. Two samples of hundreds of machines hardly ever meet one that has it.
+constexpr double kLongFetchS = 20.0;
+// Seconds after which a job that has nothing started goes before all others with its first tasks,
+// and how many in each range. The largest must begin within 240 s (four minutes); starts take
+// seconds, but more than one such job may be due at once.
+constexpr double kBeginWithinS = 120.0;
+constexpr std::uint32_t kTasksToBegin = 8;
+
+}  // namespace
+
+bool ArrayPlacement::has_failed_already(const SchedulingPass& pass, const wire::JobSpec& spec) {
+  // At least as large as something that found no capacity, and allowed nowhere else.
+  return std::any_of(pass.failed.begin(), pass.failed.end(), [&spec](const auto* failed) {
+    return spec.cpus >= failed->cpus && spec.gpus >= failed->gpus &&
+           spec.memory_gb >= failed->memory_gb && spec.types == failed->types &&
+           spec.zone == failed->zone && (!spec.spot || failed->spot) &&
+           spec.priority <= failed->priority;
+  });
+}
+
+const std::vector<int>& ArrayPlacement::eligible_machines(SchedulingPass& pass,
+                                                          const wire::JobSpec& spec,
+                                                          const SchedulingPriority& priority,
+                                                          std::vector<int>& some) const {
+  const bool zoned = spec.one_zone || spec.spread;
+  const std::vector<int>& of_kind = pass.machines_for(spec, "", zoned);
+  const bool keep_reserved = priority.has_started && !pass.reserved.empty();
+  if (!keep_reserved && !failure_tracker_.has_failed(spec.id)) return of_kind;
+  std::copy_if(of_kind.begin(), of_kind.end(), std::back_inserter(some), [&](int index) {
+    if (keep_reserved && pass.reserved.contains(index)) return false;
+    return !failure_tracker_.has_failed_on(pass.now, pass.candidate(index).id, spec.id);
+  });
+  // Failed everywhere: try again anywhere, at the pace of its back-off.
+  if (some.empty() && failure_tracker_.is_faulty_job(spec.id))
+    return pass.machines_for(spec, "", false);
+  return some;
+}
+
+ArrayPlacement::PreferredMachines ArrayPlacement::find_preferred(const SchedulingPass& pass,
+                                                         const wire::JobSpec& spec,
+                                                         const std::vector<int>& eligible) {
+  PreferredMachines out;
+  for (const int i : eligible) {
+    const Candidate& c = pass.candidate(i);
+    if (!c.fits(spec)) continue;
+    const bool long_fetch = spec.image_gb / std::max(0.01, c.fetch_gb_per_s) >= kLongFetchS;
+    const bool has_image =
+        std::find(c.images.begin(), c.images.end(), spec.image) != c.images.end();
+    if (long_fetch && has_image) out.with_image.push_back(i);
+    if (pass.whole_machine_gangs && (c.spot || !c.booked.empty()))
+      out.useless_to_gangs.push_back(i);
+  }
+  return out;
+}
+
+int ArrayPlacement::pick_preferred(SchedulingPass& pass, const wire::JobSpec& spec,
+                               const std::vector<int>& eligible, PreferredMachines& preferred) {
+  for (const auto* some : {&preferred.with_image, &preferred.useless_to_gangs}) {
+    const int machine = pick_of_two(pass.now, pass.candidates, spec, *some, random_);
+    if (machine >= 0) return machine;
+  }
+  const int machine = pick_of_two(pass.now, pass.candidates, spec, eligible, random_);
+  if (machine >= 0) {
+    // The next task of the job finds the image on its way there, and the machine in use.
+    preferred.with_image.push_back(machine);
+    if (pass.whole_machine_gangs) preferred.useless_to_gangs.push_back(machine);
+  }
+  return machine;
+}
+
+int ArrayPlacement::pick_in_zones(SchedulingPass& pass, const wire::JobSpec& spec,
+                                  const std::vector<int>& eligible,
+                                  const std::set<std::string>& zones) {
+  std::vector<int> here = eligible;
+  std::erase_if(here, [&](int index) { return !zones.contains(pass.candidate(index).zone); });
+  return pick_of_two(pass.now, pass.candidates, spec, here, random_);
+}
+
+void ArrayPlacement::place(SchedulingPass& pass, const RangeId& id, const Job& job,
+                           const wire::RangeRecord& range, const SchedulingPriority& priority) {
+  const wire::JobSpec& spec = job.record.spec;
+  const bool zoned = spec.one_zone || spec.spread;
+  if (!zoned && has_failed_already(pass, spec)) return;
+  if (zoned) candidate_cache_.add_remote_candidates(pass);
+  std::vector<int> some;
+  const std::vector<int>& eligible = eligible_machines(pass, spec, priority, some);
+  RangeState& state = ranges_[id];
+  const std::size_t most = planner_.max_placements(range.end - range.begin);
+  while (state.cursor < range.end &&
+         (state.cursor < range.begin || range.done[state.cursor - range.begin]))
+    ++state.cursor;
+  std::optional<PreferredMachines> preferred;  // found for the first task that is placed
+  std::uint32_t without_quota = 0;
+  std::uint32_t begin_with = priority.has_started ? range.end : kTasksToBegin;
+  for (std::uint32_t task = std::max(state.cursor, range.begin); task < range.end; ++task) {
+    if (!state.is_unstarted(range, task)) continue;
+    if (pass.remaining_placements <= 0 ||
+        range.placed.size() + state.pending_placements.size() >= most)
+      break;
+    if (begin_with-- == 0) break;
+    if (!quota_.allows(pass.used, spec)) {
+      for (std::uint32_t other = task; other < range.end; ++other)
+        without_quota += state.is_unstarted(range, other) ? 1 : 0;
+      break;
+    }
+    std::set<std::string> zones;
+    if (zoned) zones = assigner_.zones_open(pass, job);
+    if (!zoned && !preferred) preferred = find_preferred(pass, spec, eligible);
+    int chosen = zoned ? pick_in_zones(pass, spec, eligible, zones)
+                       : pick_preferred(pass, spec, eligible, *preferred);
+    // What can meet no objective any more waits for capacity instead of making others late.
+    if (chosen < 0 && !priority.misses_every_objective) {
+      const double age_s = status_.age_s(pass.now, job.record.submitted_ms);
+      chosen = preemption_.preempt_for(pass, spec, is_urgent(context_.settings, spec, age_s),
+                                       zoned ? &zones : nullptr);
+    }
+    if (chosen < 0) {
+      if (!priority.has_started) pass.reserve(spec, 1);
+      if (!zoned) pass.failed.push_back(&spec);
+      break;
+    }
+    assigner_.assign(pass, {spec, state, task, range.next_attempt}, chosen, false);
+  }
+  quota_.add_demand(spec, without_quota);
+}
+
+}  // namespace scheduler
--- a/src/scheduling/gangs.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -1,10 +1,8 @@
-// Gangs: whole or not at all.
+#include "scheduling/gang_placement.h"
 #include <algorithm>
-#include <cmath>
-
+#include <map>
+#include <utility>
 #include "base/log_event.h"
-#include "controller/controller.h"
-#include "scheduling/scheduling_pass.h"
 
 namespace scheduler {
 
@@ -21,57 +19,65 @@
 
 }  // namespace
 
-// For the log: what a gang waits for, whenever that changes.
-void Controller::log_gang_wait(Ms now, const RangeId& id, const Job& job, RangeState& work,
+bool is_whole_machine_gang(const wire::JobSpec& spec,
+                           const std::vector<wire::MachineType>& catalog) {
+  if (!spec.is_gang()) return false;
+  return std::all_of(catalog.begin(), catalog.end(), [&spec](const auto& type) {
+    return !type_fits(spec, type) || fit_count(spec, type.cpus, type.gpus, type.memory_gb) < 2;
+  });
+}
+
+void GangPlacement::log_gang_wait(Ms now, const RangeId& id, const Job& job, RangeState& range,
                                std::string_view reason) {
-  if (work.waits_for == reason) return;
-  work.waits_for = reason;
-  if (!logs_debug()) return;
+  if (range.waits_for == reason) return;
+  range.waits_for = reason;
+  if (!context_.logs_debug()) return;
   LogEvent event("gang");
   event.field("job", id.job).field("tasks", job.record.spec.tasks).field("waits_for", reason);
-  event.field("age_ms", static_cast<Ms>(age_s(now, job) * 1000.0));
-  log(LogLevel::debug, event.text());
+  event.field("age_ms", static_cast<Ms>(status_.age_s(now, job.record.submitted_ms) * 1000.0));
+  context_.log(LogLevel::debug, event.text());
 }
 
-void Controller::place_gang(SchedulingPass& pass, const RangeId& id, const Job& job,
-                            const wire::RangeRecord& range, bool has_started) {
-  const auto& spec = job.record.spec;
-  RangeState& w = range_states_[id];
+void GangPlacement::place(SchedulingPass& pass, const RangeId& id, const Job& job,
+                          const wire::RangeRecord& range, bool has_started) {
+  const wire::JobSpec& spec = job.record.spec;
+  RangeState& state = ranges_[id];
   // The next attempt starts when nothing of the last is left anywhere.
-  if (!range.placed.empty() || !w.pending_placements.empty() || range.done_count() > 0) return;
-  const Team* t = team(spec.team);
-  if (!t) return;
-  if (limited(*t)) {
+  if (!range.placed.empty() || !state.pending_placements.empty() || range.done_count() > 0) return;
+  const Team* team = context_.team(spec.team);
+  if (!team) return;
+  if (limited(*team)) {
     wire::JobSpec all = spec;
     all.cpus *= spec.tasks;
     all.gpus *= spec.tasks;
-    if (!quota_allows(pass, all)) {
-      log_gang_wait(pass.now, id, job, w,
-                    quota_write_in_flight_[spec.team] ? "grant_write" : "grant");
-      add_quota_demand(all, 1);
+    if (!quota_.allows(pass.used, all)) {
+      const bool being_written = quota_.write_in_flight(spec.team);
+      log_gang_wait(pass.now, id, job, state, being_written ? "quota_write" : "quota");
+      quota_.add_demand(all, 1);
       return;
     }
   }
   const std::vector<int> chosen = find_gang_allocation(pass, spec);
   if (chosen.empty()) {
-    log_gang_wait(pass.now, id, job, w, "room");
-    if (!has_started) reserve(pass, spec, spec.tasks);
+    log_gang_wait(pass.now, id, job, state, "capacity");
+    if (!has_started) pass.reserve(spec, spec.tasks);
     return;
   }
-  const bool remote = std::any_of(chosen.begin(), chosen.end(), [&pass](int i) {
-    return !pass.candidates[static_cast<std::size_t>(i)]->local;
-  });
-  log_gang_wait(pass.now, id, job, w, remote ? "placing_foreign" : "placing");
-  for (std::uint32_t task = 0; task < spec.tasks; ++task)
-    assign(pass, w, job, range.begin + task, range.next_attempt, chosen[task], true);
+  const bool remote = std::any_of(chosen.begin(), chosen.end(),
+                                  [&pass](int index) { return !pass.candidate(index).local; });
+  log_gang_wait(pass.now, id, job, state, remote ? "placing_remote" : "placing");
+  for (std::uint32_t task = 0; task < spec.tasks; ++task) {
+    assigner_.assign(pass, {spec, state, range.begin + task, range.next_attempt}, chosen[task],
+                     true);
+  }
 }
 
-std::vector<int> Controller::find_gang_allocation(SchedulingPass& pass, const wire::JobSpec& spec) {
+std::vector<int> GangPlacement::find_gang_allocation(SchedulingPass& pass, const wire::JobSpec& spec) {
   for (const auto* failed : pass.failed_gangs)
     if (needs_as_much(spec, *failed)) return {};
   // Our own part first; if it cannot hold the gang, other parts' machines too.
   for (const bool remote : {false, true}) {
-    if (remote) add_remote_candidates(pass);
+    if (remote) candidate_cache_.add_remote_candidates(pass);
     std::vector<std::string> tries;
     if (spec.one_zone) {
       tries.assign(pass.zones.begin(), pass.zones.end());
@@ -87,13 +93,12 @@
   return {};
 }
 
-// Books a machine for every task of the gang, or nothing.
-std::vector<int> Controller::allocate_gang(SchedulingPass& pass, const wire::JobSpec& spec,
+std::vector<int> GangPlacement::allocate_gang(SchedulingPass& pass, const wire::JobSpec& spec,
                                            bool remote, const std::string& only) {
-  const std::vector<int>& machines = machines_for(pass, spec, only, remote);
+  const std::vector<int>& machines = pass.machines_for(spec, only, remote);
   double room = 0;
   for (const int i : machines) {
-    const Candidate& c = *pass.candidates[static_cast<std::size_t>(i)];
+    const Candidate& c = pass.candidate(i);
     room += fit_count(spec, c.cpus, c.gpus, c.memory_gb);
     if (room >= spec.tasks) break;
   }
@@ -104,12 +109,12 @@
   while (booked.size() < spec.tasks) {
     const int at = pick_of_two(pass.now, pass.candidates, spec, open, random_);
     if (at < 0) break;
-    Candidate& c = *pass.candidates[static_cast<std::size_t>(at)];
-    booked.emplace_back(at, c.book(spec, ends_at(pass.now, spec)));
+    Candidate& c = pass.candidate(at);
+    booked.emplace_back(at, c.book(spec, predicted_end(pass.now, spec)));
     const std::string zone = c.zone;
     if (spec.spread && ++in_zone[zone] + 1 > (spec.tasks + 1) / 2)
       std::erase_if(
-          open, [&](int i) { return pass.candidates[static_cast<std::size_t>(i)]->zone == zone; });
+          open, [&](int i) { return pass.candidate(i).zone == zone; });
   }
   std::vector<int> chosen;
   if (booked.size() == spec.tasks) {
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,10 +1,10 @@
-// Making room: what is stopped for work that goes before it.
+#include "scheduling/preemption.h"
+
 #include <algorithm>
-#include <cmath>
+#include <random>
+#include <utility>
 
 #include "base/resources.h"
-#include "controller/controller.h"
-#include "scheduling/scheduling_pass.h"
 
 namespace scheduler {
 
@@ -18,123 +18,150 @@
 // production work stops any. Below it waiting is cheaper than saving, fetching and repeating.
 constexpr double kLongVictimS = 300.0;
 
+// Seconds; stands for no objective that limits the time to a start.
+constexpr double kNoObjectiveS = 1e9;
+
 }  // namespace
 
-// Stops what may be stopped for this task on the machine where that loses least; returns the
-// machine, with its room counted as free, or -1. A few machines are drawn instead of searching all:
-// the cost must not grow with the fleet, and the least loss among some is nearly the least of all.
-int Controller::preempt_for(SchedulingPass& pass, const wire::JobSpec& spec, bool is_urgent,
-                            const std::set<std::string>* zones) {
-  const Ms now = pass.now;
-  // A team that stays within its guarantee need not wait for what another runs beyond its own.
-  auto within = [this, &pass](const std::string& name, const wire::JobSpec& more) {
-    const Team* t = team(name);
-    if (!t || (t->cpus <= 0 && t->gpus <= 0)) return false;
-    auto [used, fresh] = pass.team_usage.try_emplace(name);
-    if (fresh) used->second = replica_.usage(name);
-    const Usage& u = used->second;
-    return u.cpus + more.cpus <= t->cpus + kAmountSlack &&
-           u.gpus + more.gpus <= t->gpus + kAmountSlack;
-  };
-  const bool entitled = within(spec.team, spec);
-  if (spec.priority == wire::Priority::low && !entitled) return -1;
-  std::map<std::string, bool> borrows;  // team -> runs beyond its guarantee
+bool Preemption::within_guarantee(SchedulingPass& pass, const std::string& team_name,
+                                  const wire::JobSpec& more) const {
+  const Team* team = context_.team(team_name);
+  if (!team || (team->cpus <= 0 && team->gpus <= 0)) return false;
+  auto [used, fresh] = pass.team_usage.try_emplace(team_name);
+  if (fresh) used->second = context_.replica.usage(team_name);
+  const Usage& usage = used->second;
+  return usage.cpus + more.cpus <= team->cpus + kAmountSlack &&
+         usage.gpus + more.gpus <= team->gpus + kAmountSlack;
+}
+
+Preemption::Claim Preemption::make_claim(SchedulingPass& pass, const wire::JobSpec& spec,
+                                         bool is_urgent, bool entitled) const {
+  Claim claim{spec, is_urgent, entitled, {}, kNoObjectiveS};
   if (entitled) {
     const wire::JobSpec nothing;
-    for (const auto& t : settings_.teams)
-      borrows[t.name] = t.name != spec.team && !within(t.name, nothing);
+    for (const Team& team : context_.settings.teams) {
+      claim.borrows[team.name] =
+          team.name != spec.team && !within_guarantee(pass, team.name, nothing);
+    }
+  }
+  for (const Objective& objective : context_.settings.objectives) {
+    const bool of_starts =
+        objective.kind == ObjectiveKind::wait || objective.kind == ObjectiveKind::up;
+    if (of_starts && objective.job_class == spec.job_class)
+      claim.wait_objective_s = std::min(claim.wait_objective_s, objective.within_s);
+  }
+  return claim;
+}
+
+std::optional<Preemption::Victim> Preemption::judge(Ms now, const Machine& m, const TaskRef& ref,
+                                                    const Claim& claim) const {
+  const auto* placement = context_.replica.placement(ref);
+  const Job* job = context_.replica.job(ref.range.job);
+  if (!placement || !job || job->record.spec.is_gang()) return std::nullopt;
+  const wire::JobSpec& spec = job->record.spec;
+  const bool lower = spec.priority < claim.spec.priority;
+  const auto borrows = claim.borrows.find(spec.team);
+  const bool borrowed = claim.entitled && borrows != claim.borrows.end() && borrows->second;
+  if (!lower && !borrowed) return std::nullopt;
+  const wire::TaskId task{ref.range.job, ref.index};
+  const auto reported = m.tasks.find(task);
+  if (m.stop_requests.contains(task) || reported == m.tasks.end() ||
+      reported->second.attempt != placement->attempt ||
+      reported->second.state == wire::TaskState::exited ||
+      reported->second.state == wire::TaskState::checkpointing)
+    return std::nullopt;
+  const double ran_s = m.run_time_s(now, task, placement->attempt);
+  // Work that can wait a little does not stop what will soon end by itself: measured, each stop
+  // costs more than it brings (docs/design.md).
+  if (claim.spec.priority < wire::Priority::high && spec.estimate_s - ran_s < kLongVictimS)
+    return std::nullopt;
+  const bool checkpoints = spec.checkpoint_interval_s > 0;
+  // Whole machines come free by themselves every second; what would be lost for one outweighs the
+  // waiting until little time is left (docs/results.md, round 7).
+  if (!claim.is_urgent && !checkpoints && ran_s > kNegligibleLossS) return std::nullopt;
+  const bool in_time = checkpoints && spec.checkpoint_write_s + 1.0 < claim.wait_objective_s / 2;
+  double lost_s = ran_s;
+  if (in_time) {
+    lost_s = spec.checkpoint_write_s;
+  } else if (checkpoints) {
+    lost_s = std::min(ran_s, spec.checkpoint_interval_s / 2);
+  }
+  const double grace_s = in_time ? spec.checkpoint_write_s : 0.0;
+  return Victim{task, placement->attempt, grace_s, (lost_s + 1.0) * spec.cpus, &spec};
+}
+
+std::vector<Preemption::Victim> Preemption::victims_on(Ms now, const Machine& m,
+                                                       const Claim& claim) const {
+  std::vector<Victim> victims;
+  for (const TaskRef& ref : context_.replica.placed_on(m.id)) {
+    if (const auto victim = judge(now, m, ref, claim)) victims.push_back(*victim);
+  }
+  std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
+    if (a.spec->priority != b.spec->priority) return a.spec->priority < b.spec->priority;
+    return a.loss < b.loss;
+  });
+  return victims;
+}
+
+std::vector<Preemption::Victim> Preemption::enough(const Candidate& candidate,
+                                                   std::vector<Victim> victims,
+                                                   const wire::JobSpec& spec) {
+  Candidate after = candidate;
+  std::size_t count = 0;
+  while (count < victims.size() && !after.fits(spec)) {
+    const wire::JobSpec& stopped = *victims[count].spec;
+    after.cpus += stopped.cpus;
+    after.gpus += stopped.gpus;
+    after.memory_gb += stopped.memory_gb;
+    ++count;
+  }
+  if (!after.fits(spec)) count = 0;
+  victims.resize(count);
+  return victims;
+}
+
+void Preemption::stop(SchedulingPass& pass, const Choice& choice, const wire::JobSpec& spec) {
+  Candidate& candidate = pass.candidate(choice.machine);
+  Machine& m = machines_.at(candidate.id);
+  for (const Victim& victim : choice.victims) {
+    m.stop_requests[victim.task] = {victim.attempt, victim.grace_s};
+    // The capacity counts as free below, in the candidate as it stands.
+    m.resend_commands = true;
+    candidate.cpus += victim.spec->cpus;
+    candidate.gpus += victim.spec->gpus;
+    candidate.memory_gb += victim.spec->memory_gb;
+    context_.log(LogLevel::debug, "stopping " +
+                                      wire::task_name(victim.task.job, victim.task.index) + " on " +
+                                      candidate.id + " for " + spec.id);
   }
-  double wait_aim_s = 1e9;
-  for (const auto& o : settings_.objectives)
-    if ((o.kind == ObjectiveKind::wait || o.kind == ObjectiveKind::up) &&
-        o.job_class == spec.job_class)
-      wait_aim_s = std::min(wait_aim_s, o.within_s);
-  struct Victim {
-    wire::TaskId task;
-    std::uint64_t attempt;
-    double grace, loss;
-    const wire::JobSpec* spec;
-  };
-  int best = -1;
-  double best_loss = 0;
-  std::vector<Victim> best_victims;
+}
+
+int Preemption::preempt_for(SchedulingPass& pass, const wire::JobSpec& spec, bool is_urgent,
+                            const std::set<std::string>* zones) {
+  const bool entitled = within_guarantee(pass, spec.team, spec);
+  if (spec.priority == wire::Priority::low && !entitled) return -1;
   if (pass.local_machines == 0) return -1;
+  const Claim claim = make_claim(pass, spec, is_urgent, entitled);
+  Choice best;
   std::uniform_int_distribution<std::size_t> draw(0, pass.local_machines - 1);
-  for (int look = 0; look < kPreemptionSamples; ++look) {
-    const std::size_t i = draw(random_);
-    const Candidate& c = *pass.candidates[i];
-    auto at = machines_.find(c.id);
-    if (!c.local || at == machines_.end() || !allowed(spec, c.type, c.zone, c.spot) ||
-        (zones && !zones->contains(c.zone)) || failure_tracker_.has_failed_on(now, c.id, spec.id))
+  for (int sample = 0; sample < kPreemptionSamples; ++sample) {
+    const auto index = static_cast<int>(draw(random_));
+    const Candidate& candidate = pass.candidate(index);
+    const auto machine = machines_.find(candidate.id);
+    if (!candidate.local || machine == machines_.end() ||
+        !allowed(spec, candidate.type, candidate.zone, candidate.spot) ||
+        (zones && !zones->contains(candidate.zone)) ||
+        failure_tracker_.has_failed_on(pass.now, candidate.id, spec.id))
       continue;
-    const Machine& m = at->second;
-    std::vector<Victim> victims;
-    for (const TaskRef& ref : replica_.placed_on(m.id)) {
-      const auto* p = replica_.placement(ref);
-      const Job* job = replica_.job(ref.range.job);
-      if (!p || !job || job->record.spec.is_gang()) continue;
-      const bool lower = job->record.spec.priority < spec.priority;
-      const bool borrowed = entitled && borrows[job->record.spec.team];
-      if (!lower && !borrowed) continue;
-      const wire::TaskId task{ref.range.job, ref.index};
-      auto seen = m.tasks.find(task);
-      if (m.stop_requests.contains(task) || seen == m.tasks.end() ||
-          seen->second.attempt != p->attempt || seen->second.state == wire::TaskState::exited ||
-          seen->second.state == wire::TaskState::checkpointing)
-        continue;
-      const auto& v = job->record.spec;
-      const double ran = elapsed_s(now, m, ref, p->attempt);
-      // Work that can wait a little does not stop what will soon end by itself: measured, each stop
-      // costs more than it brings (docs/design.md).
-      if (spec.priority < wire::Priority::high && v.estimate_s - ran < kLongVictimS) continue;
-      const bool checkpoints =
-          v.checkpoint_interval_s > 0 && v.checkpoint_write_s + 1.0 < wait_aim_s / 2;
-      // Whole machines come free by themselves every second; what would be lost for one outweighs
-      // the waiting until little time is left (docs/results.md, round 7).
-      if (!is_urgent && v.checkpoint_interval_s <= 0 && ran > kNegligibleLossS) continue;
-      const double lost =
-          v.checkpoint_interval_s > 0
-              ? (checkpoints ? v.checkpoint_write_s : std::min(ran, v.checkpoint_interval_s / 2))
-              : ran;
-      victims.push_back(
-          {task, p->attempt, checkpoints ? v.checkpoint_write_s : 0.0, (lost + 1.0) * v.cpus, &v});
-    }
-    std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
-      if (a.spec->priority != b.spec->priority) return a.spec->priority < b.spec->priority;
-      return a.loss < b.loss;
-    });
-    Candidate after = c;
+    std::vector<Victim> victims =
+        enough(candidate, victims_on(pass.now, machine->second, claim), spec);
+    if (victims.empty()) continue;
     double loss = 0;
-    std::vector<Victim> taken;
-    for (const Victim& v : victims) {
-      if (after.fits(spec)) break;
-      after.cpus += v.spec->cpus;
-      after.gpus += v.spec->gpus;
-      after.memory_gb += v.spec->memory_gb;
-      loss += v.loss;
-      taken.push_back(v);
-    }
-    if (!after.fits(spec) || taken.empty()) continue;
-    if (best < 0 || loss < best_loss) {
-      best = static_cast<int>(i);
-      best_loss = loss;
-      best_victims = std::move(taken);
-    }
-  }
-  if (best < 0) return -1;
-  Candidate& c = *pass.candidates[static_cast<std::size_t>(best)];
-  Machine& m = machines_.at(c.id);
-  for (const Victim& v : best_victims) {
-    m.stop_requests[v.task] = {v.attempt, v.grace};
-    // The room counts as free below, in the candidate as it stands.
-    m.resend_commands = true;
-    c.cpus += v.spec->cpus;
-    c.gpus += v.spec->gpus;
-    c.memory_gb += v.spec->memory_gb;
-    log(LogLevel::debug, "stopping " + wire::task_name(v.task.job, v.task.index) + " on " + c.id +
-                             " for " + spec.id);
+    for (const Victim& victim : victims) loss += victim.loss;
+    if (best.machine < 0 || loss < best.loss) best = {index, loss, std::move(victims)};
   }
-  return best;
+  if (best.machine >= 0) stop(pass, best, spec);
+  return best.machine;
 }
 
 }  // namespace scheduler
--- /dev/null
+++ b/src/scheduling/range_writer.cpp
@@ -0,0 +1,245 @@
+#include "scheduling/range_writer.h"
+#include <algorithm>
+#include <utility>
+#include <vector>
+#include "base/resources.h"
+#include "scheduling/range_split.h"
+#include "state/state_client.h"
+
+namespace scheduler {
+
+namespace {
+
+// Milliseconds within which the ends of tasks are recorded, and for which they are at least
+// gathered: records of a hundred tasks each would otherwise be written at every end.
+constexpr std::int64_t kCompletionWriteMs = 4000;
+constexpr std::int64_t kCompletionBatchMs = 500;
+
+}  // namespace
+
+bool RangeWriter::completes(const RangeId& id, const RangeState& w) const {
+  if (w.released.empty()) return false;
+  const auto* range = context_.replica.range(id);
+  if (!range) return false;
+  const auto done = static_cast<std::size_t>(std::count_if(
+      w.released.begin(), w.released.end(), [](const auto& f) { return f.second.done; }));
+  return range->done_count() + done >= range->end - range->begin;
+}
+
+bool RangeWriter::must_write_now(Ms now, const RangeId& id, RangeState& w,
+                                bool may_queue_writes) const {
+  if (!w.pending_placements.empty() || w.stop_requested || w.write_uncertain) return true;
+  if (w.released.empty()) {
+    w.released_since = 0;
+    return false;
+  }
+  if (w.released_since == 0) w.released_since = now;
+  const Job* job = context_.replica.job(id.job);
+  if (!job || job->record.cancelled || job->record.spec.is_gang()) return true;
+  const Ms waited = now - w.released_since;
+  return (waited >= kCompletionWriteMs && may_queue_writes) || waited >= 3 * kCompletionWriteMs ||
+         (waited >= kCompletionBatchMs && context_.state_client.has_write_headroom(now));
+}
+
+// Puts the proven ends of tasks into the record. False when all of them are recorded already.
+bool RangeWriter::record_completions(const wire::JobSpec& spec, RangeState& work,
+                                    wire::RangeRecord& record) {
+  bool changed = false;
+  for (auto it = work.released.begin(); it != work.released.end();) {
+    const auto placed = record.placed.find(it->first);
+    if (placed == record.placed.end() || placed->second.attempt != it->second.attempt) {
+      it = work.released.erase(it);  // recorded already
+      continue;
+    }
+    record.placed.erase(placed);
+    if (it->second.done && spec.is_gang()) {
+      // If one task of a gang is done, every one is.
+      record.done.assign(record.done.size(), true);
+    } else if (it->second.done) {
+      record.done[it->first - record.begin] = true;
+    } else {
+      work.cursor = std::min(work.cursor, it->first);
+    }
+    changed = true;
+    ++it;
+  }
+  return changed;
+}
+
+// Takes over whether the gang is to be stopped in good order.
+bool RangeWriter::record_stop(const wire::JobSpec& spec, const RangeState& work,
+                             wire::RangeRecord& record) {
+  const bool stop = work.stop_requested && spec.is_gang() && !record.placed.empty() &&
+                    record.done_count() == 0 && !record.stopping;
+  if (stop) record.stopping = true;
+  if (record.placed.empty()) record.stopping = false;
+  return stop;
+}
+
+// Takes choices back until the record fits. Guards against a value over the service's limit, which
+// would be refused for ever: names may be longer than the rule of placed_most() counts with.
+void RangeWriter::fit_placements(const wire::JobSpec& spec, RangeState& work,
+                                const wire::RangeRecord& record) {
+  while (!spec.is_gang() && work.pending_placements.size() > 1) {
+    wire::RangeRecord full = record;
+    for (const auto& [task, placement] : work.pending_placements) full.placed[task] = placement;
+    if (static_cast<double>(encode(full).size()) <= context_.value_bytes()) break;
+    candidate_cache_.drop_pending_placements(work, work.pending_placements.size() / 2);
+  }
+}
+
+// Puts the chosen placements into the record, with the conditions that they rest on.
+void RangeWriter::record_placements(const Job& job, const RangeState& work,
+                                   wire::RangeRecord& record, Transaction& t) {
+  const wire::JobSpec& spec = job.record.spec;
+  // A cancellation or a change of a machine's standing in between voids the placement.
+  t.conditions.push_back(context_.state_client.unchanged(wire::job_key(spec.id)));
+  record.owner = context_.settings.name;
+  std::set<std::string> owners;  // of the machines
+  for (const auto& [task, placement] : work.pending_placements) {
+    record.placed[task] = placement;
+    record.next_attempt = std::max(record.next_attempt, placement.attempt + 1);
+    const auto* machine = context_.replica.machine(placement.machine);
+    owners.insert(machine ? context_.cluster_view.machine_owner(placement.machine, machine->zone)
+                          : context_.settings.name);
+  }
+  // One stamp stands for all machines of a part: whoever places on another part's machines
+  // changes its claim, and so makes placements of its controller that do not know of these fail.
+  // A condition for each machine would not fit into a transaction for an array spread over
+  // hundreds.
+  for (const auto& owner : owners) {
+    const std::string guard_key = wire::shard_guard_key(owner);
+    t.conditions.push_back(context_.state_client.unchanged(guard_key));
+    if (owner != context_.settings.name)
+      t.writes.push_back({guard_key, wire::shard_guard_body(context_.settings.name), std::nullopt});
+  }
+  // Guards against two controllers that place ranges of one job bound to zones at the same time:
+  // what the zones may still take is counted over all of them.
+  if (!spec.one_zone && !spec.spread) return;
+  for (const auto& [number, other] : job.ranges)
+    if (number != record.number)
+      t.conditions.push_back(context_.state_client.unchanged(wire::range_key(spec.id, number)));
+}
+
+// Adds the writes of the record, cut into several where it would not fit. False when it cannot be
+// written within the limits: it can once more of its tasks have ended.
+bool RangeWriter::write_pieces(const Job& job, const wire::RangeRecord& record, Transaction& t) {
+  const auto limit = static_cast<std::size_t>(context_.value_bytes());
+  const wire::JobSpec& spec = job.record.spec;
+  const std::string key = wire::range_key(spec.id, record.number);
+  if (spec.is_gang()) {
+    // A gang is placed and ends as one. The production version may have written larger records.
+    const std::string value = encode(record);
+    if (static_cast<double>(value.size()) > context_.stored_value_bytes()) return false;
+    t.writes.push_back({key, value, std::nullopt});
+    return true;
+  }
+  std::set<std::uint32_t> numbers;
+  for (const wire::RangeRecord& piece : split_to_fit(record, limit)) {
+    const std::string value = encode(piece);
+    if (value.size() > limit) return false;
+    std::uint32_t number = record.number;
+    if (piece.begin != record.begin) {
+      do {
+        number = random_();
+      } while (number == 0 || job.ranges.contains(number) || !numbers.insert(number).second);
+      t.conditions.push_back({wire::range_key(spec.id, number), 0});
+    }
+    t.writes.push_back({wire::range_key(spec.id, number), value, std::nullopt});
+  }
+  return static_cast<int>(t.writes.size()) <= context_.settings.txn_ops;
+}
+
+bool RangeWriter::add_placements(const Job& job, RangeState& state, wire::RangeRecord& record,
+                                 Transaction& transaction) {
+  if (state.pending_placements.empty() || state.write_uncertain) return false;
+  const wire::JobSpec& spec = job.record.spec;
+  const bool fits =
+      spec.is_gang() || static_cast<double>(encode(record).size()) <= context_.value_bytes();
+  if (fits) {
+    fit_placements(spec, state, record);
+    record_placements(job, state, record, transaction);
+  } else {
+    candidate_cache_.clear_pending_placements(state);  // once the record has been split
+  }
+  return true;
+}
+
+void RangeWriter::write(const RangeId& id) {
+  RangeState& state = ranges_[id];
+  const auto* range = context_.replica.range(id);
+  const Job* job = context_.replica.job(id.job);
+  if (state.busy) return;
+  if (!range || !job) {
+    candidate_cache_.clear_pending_placements(state);
+    state.released.clear();
+    state.stop_requested = false;
+    return;
+  }
+  const wire::JobSpec& spec = job->record.spec;
+  const std::string key = wire::range_key(id.job, id.number);
+  wire::RangeRecord next = *range;
+  Transaction transaction;
+  transaction.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
+  bool changed = record_completions(spec, state, next);
+  const bool stop = record_stop(spec, state, next);
+  state.stop_requested = false;
+  changed = changed || stop;
+  changed = changed || state.write_uncertain;  // the same again, with a new stamp
+  changed = add_placements(*job, state, next, transaction) || changed;
+  if (!changed) return;
+  if (!write_pieces(*job, next, transaction)) {
+    context_.log(LogLevel::info, key + " does not fit the state service's limits yet");
+    candidate_cache_.clear_pending_placements(state);
+    state.stop_requested = stop;
+    state.retry_at = status_.last_input_at() + kRejectedPauseMs;
+    return;
+  }
+  context_.log(LogLevel::debug,
+               "writing " + key + " stamp " + std::to_string(context_.state_client.version(key)) +
+                   " placing " + std::to_string(state.pending_placements.size()) + " released " +
+                   std::to_string(state.released.size()));
+  state.released_since = 0;
+  // A user waits for the end of a cancelled job.
+  transaction.urgent = spec.priority >= wire::Priority::high || job->record.cancelled;
+  state.busy = true;
+  transaction.done = [this, id](Ms at, TxnResult result, const auto&) {
+    on_written(at, id, result);
+  };
+  context_.state_client.submit(std::move(transaction));
+}
+
+void RangeWriter::on_written(Ms now, const RangeId& id, TxnResult result) {
+  auto it = ranges_.find(id);
+  if (it == ranges_.end()) return;
+  RangeState& work = it->second;
+  pass_trigger_.request();
+  const bool not_executed = result == TxnResult::refused || result == TxnResult::rejected;
+  if (result == TxnResult::unknown) {
+    // Guards against a late write that fills a grant or a machine a second time.
+    work.write_uncertain = true;
+  } else if (result == TxnResult::committed || (not_executed && !work.write_uncertain)) {
+    candidate_cache_.clear_pending_placements(work);
+  }
+  if (result == TxnResult::committed) {
+    work.busy = false;
+    return;  // starts follow from the changed machines
+  }
+  if (not_executed) {
+    work.busy = false;
+    work.retry_at = now + kRefusedRetryMs;
+    return;
+  }
+  context_.state_client.wait_until_settled(now, [this, id, result](Ms) {
+    auto again = ranges_.find(id);
+    if (again != ranges_.end()) {
+      // Guards against a conflict with a repeat of this very write, which was executed: until the
+      // replica shows it, its placements count as made. Others would exceed the team's limit.
+      if (result == TxnResult::conflict) candidate_cache_.clear_pending_placements(again->second);
+      again->second.busy = false;
+    }
+    pass_trigger_.request();
+  });
+}
+
+}  // namespace scheduler
--- /dev/null
+++ b/src/scheduling/scheduler.h
@@ -0,0 +1,103 @@
+// Scheduling passes: which pending work gets machines, in which order.
+#pragma once
+
+#include <map>
+#include <pcg_random.hpp>
+#include <string_view>
+#include <vector>
+
+#include "membership/context.h"
+#include "membership/controller_status.h"
+#include "quota/quota_manager.h"
+#include "quota/service_reserve.h"
+#include "scheduling/array_placement.h"
+#include "scheduling/candidate_cache.h"
+#include "scheduling/gang_placement.h"
+#include "scheduling/pending_order.h"
+#include "allocation/pass_trigger.h"
+#include "scheduling/preemption.h"
+#include "scheduling/range_planner.h"
+#include "allocation/range_table.h"
+#include "scheduling/range_writer.h"
+#include "scheduling/scheduling_pass.h"
+#include "scheduling/service_placement.h"
+#include "scheduling/task_assigner.h"
+#include "scheduling/work_stealing.h"
+#include "workers/failure_tracker.h"
+#include "workers/machine_table.h"
+
+namespace scheduler {
+
+// Chooses machines for the tasks of the ranges that this controller owns. What is chosen is then
+// recorded (range_writer.h), and starts follow from the records. Every controller orders all
+// pending jobs alike.
+class Scheduler {
+ public:
+  Scheduler(const Context& context, const ControllerStatus& status, MachineTable& machines,
+            RangeTable& ranges, CandidateCache& candidates, RangePlanner& planner,
+            QuotaManager& quota, ServiceReserve& service_reserve, FailureTracker& failures,
+            PassTrigger& pass_trigger, pcg32& random);
+
+  // Runs a pass if one is due: asked for, or for what becomes possible by time alone.
+  void tick(Ms now);
+  // Runs a pass if one was asked for and enough time has gone by since the last.
+  void run_if_requested(Ms now);
+  // When tick() should be called next, given when it would be called anyway.
+  Ms next_tick(Ms now, Ms otherwise) const;
+
+ private:
+  // A range with tasks to place.
+  struct Entry {
+    RangeId id;
+    const Job* job = nullptr;
+    const wire::RangeRecord* range = nullptr;
+    std::size_t pending_job = 0;  // index among the pending jobs
+    bool old = false;             // its job has waited for long, whatever its objectives
+    SchedulingPriority priority;
+  };
+  // What waits, and what is needed to order it.
+  struct PendingWork {
+    std::vector<Entry> entries;    // of our shard
+    std::vector<PendingJob> jobs;  // of all shards: every controller comes to the same order
+    std::vector<const std::string*> classes;            // of `jobs`
+    std::map<std::string_view, double> live_per_class;  // live jobs
+    double old_cpus = 0;                                // that old jobs use of our shard
+  };
+
+  void run_pass(Ms now);
+  Ms pass_interval() const;
+  SchedulingPass begin_pass(Ms now);
+  void write(SchedulingPass& pass, const RangeId& id);
+  // Ends of ranges first: users wait for them.
+  void write_completed_ranges(SchedulingPass& pass);
+  PendingWork collect_pending_work(SchedulingPass& pass);
+  void add_job(SchedulingPass& pass, const std::string& id, const Job& job, PendingWork& work);
+  void order_entries(const SchedulingPass& pass, PendingWork& work);
+  void place_entries(SchedulingPass& pass, const std::vector<Entry>& entries);
+  void write_remaining_changes(SchedulingPass& pass);
+  // CPUs of all machines that may be used.
+  double total_fleet_cpus(Ms now);
+
+  const Context& context_;
+  const ControllerStatus& status_;
+  MachineTable& machines_;
+  RangeTable& ranges_;
+  CandidateCache& candidate_cache_;
+  QuotaManager& quota_;
+  ServiceReserve& service_reserve_;
+  FailureTracker& failure_tracker_;
+  PassTrigger& pass_trigger_;
+  RangeWriter range_writer_;
+  TaskAssigner assigner_;
+  Preemption preemption_;
+  ArrayPlacement arrays_;
+  GangPlacement gangs_;
+  ServicePlacement services_;
+  WorkStealing work_stealing_;
+
+  Ms next_pass_ = 0;
+  double fleet_cpus_ = 0;
+  Ms next_fleet_count_ = 0;
+};
+
+}  // namespace scheduler
--- /dev/null
+++ b/src/scheduling/service_placement.cpp
@@ -0,0 +1,120 @@
+#include "scheduling/service_placement.h"
+#include <algorithm>
+#include <utility>
+
+namespace scheduler {
+
+namespace {
+
+// Replicas of one range that find no machine in a pass before the rest of it waits for the next:
+// one may be kept from the only machine with room by its own result there, while another is not.
+constexpr std::uint32_t kReplicasWithoutMachine = 4;
+// Milliseconds after which a replica is tried again on a machine that failed it, if only such
+// machines have room: enough for a sick machine to have failed another job and to be returned.
+constexpr std::int64_t kRetryFailedMachineMs = 10'000;
+
+}  // namespace
+
+void ServicePlacement::place(SchedulingPass& pass, const RangeId& id, const Job& job,
+                               const wire::RangeRecord& range) {
+  const wire::JobSpec& spec = job.record.spec;
+  RangeState& state = ranges_[id];
+  const std::size_t most = planner_.max_placements(range.end - range.begin);
+  std::uint32_t without_grant = 0, without_machine = 0;
+  for (std::uint32_t task = range.begin; task < range.end; ++task) {
+    if (!state.is_unstarted(range, task)) continue;
+    if (pass.remaining_placements <= 0 ||
+        range.placed.size() + state.pending_placements.size() >= most + state.released.size())
+      break;
+    if (!quota_.allows(pass.used, spec)) {
+      ++without_grant;
+      continue;
+    }
+    const int machine = pick_for_replica(pass, job, task);
+    if (machine >= 0) {
+      assigner_.assign(pass, {spec, state, task, range.next_attempt}, machine, false);
+    } else if (++without_machine >= kReplicasWithoutMachine) {
+      break;  // others may go where a result of these is kept
+    }
+  }
+  quota_.add_demand(spec, without_grant);
+}
+
+int ServicePlacement::pick_local_for_replica(SchedulingPass& pass, ReplicaChoice choice) {
+  for (const bool without_replica : {true, false}) {
+    for (const bool contacted_recently : {true, false}) {
+      choice.without_replica = without_replica;
+      choice.contacted_recently = contacted_recently;
+      const int machine = pick_of_two(pass.now, pass.candidates, *choice.spec,
+                                      replica_candidates(pass, choice, true), random_);
+      if (machine >= 0) return machine;
+    }
+  }
+  return -1;
+}
+
+// The machine for one more replica, or -1. Each choice is by two samples (placement.cpp); what is
+// sampled is narrowed step by step. Our own machines come first: a replica on another part's
+// machine makes placements of its owner fail and starts later. Machines where the job failed come
+// last, and only if it has failed on several or no other is left.
+int ServicePlacement::pick_for_replica(SchedulingPass& pass, const Job& job, std::uint32_t task) {
+  const wire::JobSpec& spec = job.record.spec;
+  const bool bound_to_zones = spec.one_zone || spec.spread;
+  ReplicaChoice choice;
+  choice.spec = &spec;
+  choice.replica = {spec.id, task};
+  choice.taken = assigner_.machines_of(job);
+  if (bound_to_zones) choice.zones = assigner_.zones_open(pass, job);
+  const int local = pick_local_for_replica(pass, choice);
+  if (local >= 0) return local;
+  const int preempted = preemption_.preempt_for(pass, spec, true, bound_to_zones ? &*choice.zones : nullptr);
+  if (preempted >= 0) return preempted;
+  // Guards against a service whose zone has no machine of our part.
+  candidate_cache_.add_remote_candidates(pass);
+  if (bound_to_zones) choice.zones = assigner_.zones_open(pass, job);
+  // Guards against a service bound to a zone of another part that waits because each machine with
+  // room there has a replica already.
+  for (const bool without_replica : {true, false}) {
+    choice.without_replica = without_replica;
+    const int remote = pick_of_two(pass.now, pass.candidates, spec,
+                                   replica_candidates(pass, choice, false), random_);
+    if (remote >= 0) return remote;
+  }
+  // Guards against a replica that waits for as long as errors are remembered because the only room
+  // is on a machine that has failed it once.
+  const bool others = !failure_tracker_.is_faulty_job(spec.id) && other_machine_left(pass, choice);
+  choice.avoid_failures.reset();
+  if (others) choice.avoid_failures = kRetryFailedMachineMs;
+  return pick_of_two(pass.now, pass.candidates, spec, replica_candidates(pass, choice, true),
+                     random_);
+}
+
+bool ServicePlacement::other_machine_left(const SchedulingPass& pass, const ReplicaChoice& choice) const {
+  const wire::JobSpec& spec = *choice.spec;
+  return std::any_of(pass.candidates.begin(), pass.candidates.end(), [&](const Candidate* c) {
+    return allowed(spec, c->type, c->zone, c->spot) &&
+           !failure_tracker_.has_failed_on(pass.now, c->id, spec.id) &&
+           !failure_tracker_.has_kept_result(pass.now, c->id, choice.replica);
+  });
+}
+
+std::vector<int> ServicePlacement::replica_candidates(const SchedulingPass& pass,
+                                                const ReplicaChoice& choice, bool local) const {
+  const wire::JobSpec& spec = *choice.spec;
+  std::vector<int> out;
+  for (std::size_t i = 0; i < pass.candidates.size(); ++i) {
+    const Candidate& c = *pass.candidates[i];
+    if (c.local != local || !c.fits(spec) || !allowed(spec, c.type, c.zone, c.spot)) continue;
+    if (choice.zones && !choice.zones->contains(c.zone)) continue;
+    if (choice.without_replica && choice.taken.contains(c.id)) continue;
+    if (choice.contacted_recently && !machines_.contacted_recently(pass.now, c.id)) continue;
+    if (choice.avoid_failures &&
+        (failure_tracker_.has_failed_on(pass.now, c.id, spec.id, *choice.avoid_failures) ||
+         failure_tracker_.has_kept_result(pass.now, c.id, choice.replica)))
+      continue;
+    out.push_back(static_cast<int>(i));
+  }
+  return out;
+}
+
+}  // namespace scheduler
--- /dev/null
+++ b/src/scheduling/start_deadlines.cpp
@@ -0,0 +1,93 @@
+#include "scheduling/start_deadlines.h"
+
+#include <algorithm>
+#include <optional>
+
+namespace scheduler {
+
+namespace {
+
+// Seconds left to start a task in time below which others lose their work for it.
+constexpr double kUrgentStartS = 6.0;
+// CPUs that a task counts for at least in the work that waits.
+constexpr double kLeastCpusCounted = 0.1;
+// Seconds; no objective is that far away.
+constexpr double kNever = 1e9;
+
+// Whether the objective counts completed jobs, not started tasks.
+bool counts_completions(const Objective& objective) {
+  return objective.kind == ObjectiveKind::deadline || objective.kind == ObjectiveKind::finished;
+}
+
+// Seconds after the job's submission by which its tasks must have started to meet the objective, if
+// it says anything about starts.
+std::optional<double> latest_start_s(const Objective& objective, const wire::JobSpec& spec) {
+  switch (objective.kind) {
+    case ObjectiveKind::wait:
+      return objective.within_s;
+    case ObjectiveKind::deadline:
+      if (!spec.deadline_s) return std::nullopt;
+      return *spec.deadline_s * objective.times - spec.estimate_s;
+    case ObjectiveKind::finished:
+      return objective.within_s - spec.estimate_s;
+    case ObjectiveKind::up:
+      break;
+  }
+  return std::nullopt;
+}
+
+// CPU seconds of the job that have not been placed yet, by the estimate.
+double waiting_work(const Job& job) {
+  const wire::JobSpec& spec = job.record.spec;
+  const std::uint64_t held = job.done_tasks() + job.placed_tasks();
+  const std::uint64_t open = spec.tasks - std::min<std::uint64_t>(spec.tasks, held);
+  return static_cast<double>(open) * spec.estimate_s * std::max(spec.cpus, kLeastCpusCounted);
+}
+
+}  // namespace
+
+PendingJob pending_job(const Settings& settings, const Job& job, double age_s) {
+  const wire::JobSpec& spec = job.record.spec;
+  PendingJob pending;
+  pending.age = age_s;
+  pending.work = waiting_work(job);
+  if (spec.is_service()) {
+    // Every second that a replica is missing counts, however long it has been so.
+    pending.latest_starts.push_back(0);
+    pending.priority = static_cast<int>(spec.priority);
+    return pending;
+  }
+  bool completion_open = false;
+  bool has_completion_objective = false;
+  for (const Objective& objective : settings.objectives) {
+    if (objective.job_class != spec.job_class) continue;
+    const bool completion = counts_completions(objective);
+    has_completion_objective = has_completion_objective || completion;
+    const std::optional<double> latest = latest_start_s(objective, spec);
+    if (!latest || *latest - age_s < 0) continue;
+    pending.latest_starts.push_back(*latest - age_s);
+    completion_open = completion_open || completion;
+  }
+  if (!has_completion_objective)
+    pending.latest_starts.push_back(std::max(0.0, kDefaultHorizonS - spec.estimate_s - age_s));
+  std::sort(pending.latest_starts.begin(), pending.latest_starts.end());
+  // While its class has an objective to meet, low work waits in one queue with standard work
+  // (measured, docs/design.md); it still stops nothing and may be stopped.
+  const wire::Priority priority =
+      completion_open ? std::max(spec.priority, wire::Priority::normal) : spec.priority;
+  pending.priority = static_cast<int>(priority);
+  return pending;
+}
+
+bool is_urgent(const Settings& settings, const wire::JobSpec& spec, double age_s) {
+  if (spec.is_service()) return true;
+  double left = kNever;
+  for (const Objective& objective : settings.objectives) {
+    if (objective.job_class != spec.job_class) continue;
+    const std::optional<double> latest = latest_start_s(objective, spec);
+    if (latest && *latest > age_s) left = std::min(left, *latest - age_s);
+  }
+  return left < kUrgentStartS;
+}
+
+}  // namespace scheduler
--- /dev/null
+++ b/src/scheduling/work_stealing.cpp
@@ -0,0 +1,139 @@
+#include "scheduling/work_stealing.h"
+#include <utility>
+#include "allocation/placement.h"
+
+namespace scheduler {
+
+namespace {
+
+// Unstarted tasks from which on another part takes a range soon, and milliseconds after which it
+// takes fewer.
+constexpr std::size_t kStealAtLeastTasks = 8;
+constexpr std::int64_t kStealFewAfterMs = 3000;
+// Milliseconds that a range must have waited unstarted before another part may take from it: its
+// owner, which sees it first, gets the first try.
+constexpr std::int64_t kStealAfterMs = 400;
+
+}  // namespace
+
+bool WorkStealing::may_steal(Ms now, const std::string& id, const Job& job) const {
+  const wire::JobSpec& spec = job.record.spec;
+  return job.known && !job.record.cancelled && !spec.is_gang() && !spec.one_zone && !spec.spread &&
+         job.done_tasks() + job.placed_tasks() < spec.tasks && job.whole() &&
+         failure_tracker_.next_attempt_at(id) <= now;
+}
+
+bool WorkStealing::has_waited(Ms now, const RangeId& id, const wire::RangeRecord& range) {
+  RangeState& state = ranges_[id];
+  if (state.first_seen == 0) state.first_seen = now;
+  if (state.busy || !state.released.empty() || now < state.retry_at) return false;
+  // Over the limit on values: its owner splits it first.
+  if (range.placed.size() > planner_.max_placements(range.end - range.begin)) return false;
+  // A few tasks are left to their owner for longer: each steal makes one more record.
+  const std::size_t waits = (range.end - range.begin) - range.placed.size() - range.done_count();
+  const Ms patience = waits < kStealAtLeastTasks ? kStealFewAfterMs : kStealAfterMs;
+  if (now - state.first_seen >= patience) return true;
+  pass_trigger_.request();
+  return false;
+}
+
+std::optional<WorkStealing::Offer> WorkStealing::find_offer(SchedulingPass& pass,
+                                                            const std::string& id,
+                                                            const Job& job) {
+  const wire::JobSpec& spec = job.record.spec;
+  // Guards against work that stays for ever with a shard that has no machine for it: a job that
+  // cannot be divided further is still taken over by whole ranges, which makes no new record.
+  const bool whole_only = job.ranges.size() >= planner_.max_ranges();
+  double capacity = -1;
+  for (const auto& [number, range] : job.ranges) {
+    if (range.placed.size() + range.done_count() >= range.end - range.begin) continue;
+    const RangeId range_id{id, number};
+    const std::string key = wire::range_key(id, number);
+    if (context_.cluster_view.range_owner(key, range.owner) == context_.settings.name) continue;
+    if (!has_waited(pass.now, range_id, range)) continue;
+    if (capacity < 0) capacity = free_capacity_for(pass, spec);
+    if (capacity < 1) return std::nullopt;
+    std::uint32_t first = range.end;
+    std::uint32_t open = 0;
+    while (first > range.begin && !range.placed.contains(first - 1) && open < capacity) {
+      --first;
+      if (!range.done[first - range.begin]) ++open;
+    }
+    if (whole_only && range.placed.empty()) first = range.begin;
+    if (open == 0 || (whole_only && first != range.begin)) continue;
+    if (!quota_.allows(pass.used, spec)) {
+      // Guards against work that only our machines may run staying with a shard that holds the
+      // quota leases but has no such machines.
+      quota_.add_demand(spec, open);
+      return std::nullopt;
+    }
+    return Offer{&job, range_id, first};
+  }
+  return std::nullopt;
+}
+
+void WorkStealing::steal_ranges(SchedulingPass& pass) {
+  if (pass.remaining_placements <= 0) return;
+  std::optional<Offer> best;
+  for (const auto& [id, job] : context_.replica.jobs()) {
+    if (!may_steal(pass.now, id, job)) continue;
+    if (best && job.record.spec.priority <= best->job->record.spec.priority) continue;
+    if (auto offer = find_offer(pass, id, job)) best = std::move(offer);
+  }
+  if (!best) return;
+  std::uint32_t number = random_();
+  while (number == 0 || best->job->ranges.contains(number)) number = random_();
+  write_stolen_range(best->range, best->first, {best->range.job, number});
+}
+
+double WorkStealing::free_capacity_for(SchedulingPass& pass, const wire::JobSpec& spec) const {
+  auto [at, fresh] = pass.free_capacity.try_emplace(
+      {spec.cpus, spec.gpus, spec.memory_gb, spec.spot, spec.types, spec.zone}, 0.0);
+  if (!fresh) return at->second;
+  for (const auto* c : pass.candidates) {
+    if (c->local && c->cpus > 0 && allowed(spec, c->type, c->zone, c->spot))
+      at->second += fit_count(spec, c->cpus, c->gpus, c->memory_gb);
+  }
+  return at->second;
+}
+
+void WorkStealing::write_stolen_range(const RangeId& from, std::uint32_t first, const RangeId& to) {
+  const auto* range = context_.replica.range(from);
+  if (!range) return;
+  wire::RangeRecord left = *range;
+  const std::string from_key = wire::range_key(from.job, from.number);
+  const std::string to_key = wire::range_key(to.job, to.number);
+  Transaction t;
+  t.conditions = {context_.view_unchanged(), context_.state_client.unchanged(wire::job_key(from.job)),
+                  context_.state_client.unchanged(from_key)};
+  if (first == left.begin) {
+    left.owner = context_.settings.name;
+  } else {
+    wire::RangeRecord right;
+    right.owner = context_.settings.name;
+    right.begin = first;
+    right.end = left.end;
+    right.done.assign(left.done.begin() + (first - left.begin), left.done.end());
+    right.next_attempt = left.next_attempt;
+    left.end = first;
+    left.done.resize(first - left.begin);
+    t.conditions.push_back({to_key, 0});
+    t.writes.push_back({to_key, encode(right), std::nullopt});
+  }
+  t.writes.push_back({from_key, encode(left), std::nullopt});
+  ranges_[from].busy = true;
+  t.done = [this, from](Ms at, TxnResult result, const auto&) {
+    auto release = [this, from](Ms) {
+      ranges_[from].busy = false;
+      pass_trigger_.request();
+    };
+    if (result == TxnResult::committed) {
+      release(at);
+    } else {
+      context_.state_client.wait_until_settled(at, release);
+    }
+  };
+  context_.state_client.submit(std::move(t));
+}
+
+}  // namespace scheduler
--- /dev/null
+++ b/src/workers/command_dispatcher.cpp
@@ -0,0 +1,280 @@
+#include "workers/command_dispatcher.h"
+#include <algorithm>
+#include <utility>
+#include "base/log_event.h"
+#include "base/resources.h"
+#include "state/job_revision.h"
+#include "workers/timing.h"
+
+namespace scheduler {
+
+namespace {
+
+// Milliseconds for which a recorded start may wait for room while nothing on its machine is being
+// stopped: reports of what ended come within one.
+constexpr std::int64_t kBlockedStartMs = 2500;
+// Commands in one message to a worker; keeps any body far below 64 KiB.
+constexpr std::size_t kCommandsPerMessage = 200;
+// Times that this interval doubles while a machine goes on not answering.
+constexpr int kCommandRetryDoublings = 3;
+
+}  // namespace
+
+bool CommandDispatcher::CommandPlan::fits(const wire::JobSpec& spec) const {
+  return cpus + kAmountSlack >= spec.cpus && gpus + kAmountSlack >= spec.gpus &&
+         memory_gb + kAmountSlack >= spec.memory_gb;
+}
+
+void CommandDispatcher::CommandPlan::take(const wire::JobSpec& spec) {
+  cpus -= spec.cpus;
+  gpus -= spec.gpus;
+  memory_gb -= spec.memory_gb;
+}
+
+void CommandDispatcher::add_commands_for_listed(const Machine& m, CommandPlan& plan) const {
+  for (const auto& [task, reported] : m.tasks) {
+    if (plan.commands.size() >= kCommandsPerMessage) break;
+    const ListedTask listed = find_listed(m, task, reported);
+    if (reported.state == wire::TaskState::exited) {
+      if (listed.placement) continue;
+      plan.commands.push_back({wire::CommandKind::forget, task, reported.attempt, 0});
+      plan.forgets = true;
+      continue;
+    }
+    const std::optional<double> grace_s = grace_to_stop(m, listed, task, reported);
+    const bool leaves = grace_s && add_stop(m, listed, task, reported, *grace_s, plan);
+    if (!leaves && listed.job) plan.take(listed.job->record.spec);
+  }
+}
+
+CommandDispatcher::ListedTask CommandDispatcher::find_listed(const Machine& m,
+                                                             const wire::TaskId& task,
+                                                             const ReportedTask& reported) const {
+  ListedTask listed;
+  const auto job = context_.replica.jobs().find(task.job);
+  if (job == context_.replica.jobs().end()) return listed;
+  listed.job = &job->second;
+  for (const auto& [number, range] : job->second.ranges) {
+    if (task.index < range.begin || task.index >= range.end) continue;
+    const auto placed = range.placed.find(task.index);
+    if (placed != range.placed.end() && placed->second.machine == m.id &&
+        placed->second.attempt == reported.attempt &&
+        placed->second.incarnation == m.incarnation) {
+      listed.placement = &placed->second;
+      listed.ref = {{task.job, number}, task.index};
+    }
+  }
+  return listed;
+}
+
+std::optional<double> CommandDispatcher::grace_to_stop(const Machine& m, const ListedTask& listed,
+                                                       const wire::TaskId& task,
+                                                       const ReportedTask& reported) const {
+  if (!listed.placement) return 0.0;  // not recorded: must not run
+  if (!reconciler_.must_not_run(m, listed.ref, *listed.placement)) return std::nullopt;
+  const Job& job = *listed.job;
+  if (!job.known || cancellations_.is_cancelled(task.job, job)) return 0.0;
+  if (m.stop_requested(task, reported.attempt)) return m.stop_requests.at(task).grace_s;
+  const wire::JobSpec& spec = job.record.spec;
+  // A gang stops as one, in time for all of it to write checkpoints.
+  if (spec.is_gang() && spec.checkpoint_interval_s > 0)
+    return spec.checkpoint_write_s + context_.settings.gang_peer_s;
+  return 0.0;
+}
+
+bool CommandDispatcher::add_stop(const Machine& m, const ListedTask& listed,
+                                 const wire::TaskId& task, const ReportedTask& reported,
+                                 double grace_s, CommandPlan& plan) const {
+  plan.stopping = true;
+  // A checkpoint is written undisturbed unless it is of no use any more.
+  if (reported.state != wire::TaskState::checkpointing || grace_s == 0) {
+    plan.commands.push_back({wire::CommandKind::stop, task, reported.attempt, grace_s});
+    const bool cancelled = listed.job && listed.job->known &&
+                           cancellations_.is_cancelled(task.job, *listed.job);
+    log_command(m, plan.commands.back(), listed.placement,
+                !listed.placement ? "not_recorded"
+                : cancelled       ? "cancelled"
+                                  : "must_not_run");
+  }
+  const bool checkpoints = listed.job && listed.job->known &&
+                           listed.job->record.spec.checkpoint_interval_s > 0;
+  return grace_s == 0 || !checkpoints || reported.state == wire::TaskState::fetching ||
+         reported.state == wire::TaskState::waiting;
+}
+
+void CommandDispatcher::add_starts(Ms now, Machine& m, CommandPlan& plan) {
+  for (const TaskRef& ref : context_.replica.placed_on(m.id)) {
+    if (plan.commands.size() >= kCommandsPerMessage) break;
+    const auto* placement = context_.replica.placement(ref);
+    const Job* job = context_.replica.job(ref.range.job);
+    if (!placement || !job || placement->incarnation != m.incarnation ||
+        reconciler_.must_not_run(m, ref, *placement))
+      continue;
+    const wire::TaskId task{ref.range.job, ref.index};
+    const auto reported = m.tasks.find(task);
+    if (reported != m.tasks.end() && reported->second.attempt == placement->attempt) continue;
+    if (ranges_.is_released(ref, placement->attempt)) continue;
+    const wire::JobSpec& spec = job->record.spec;
+    if (!plan.fits(spec)) {
+      if (!plan.stopping && !spec.is_gang())
+        abandon_blocked_start(now, m, task, placement->attempt);
+      continue;  // waits for what is being stopped
+    }
+    m.start_blocked_since.erase(task);
+    plan.take(spec);
+    plan.commands.push_back({wire::CommandKind::start, task, placement->attempt, 0});
+    log_command(m, plan.commands.back(), placement, "placed");
+    m.start_token = machines_.token(m);
+    m.unconfirmed_starts[task] = machines_.token(m);
+  }
+}
+
+std::vector<wire::Command> CommandDispatcher::commands_for(Ms now, Machine& m) {
+  CommandPlan plan;
+  if (const auto* type = context_.replica.type(m.type)) {
+    plan.cpus = type->cpus;
+    plan.gpus = type->gpus;
+    plan.memory_gb = type->memory_gb;
+  }
+  add_commands_for_listed(m, plan);
+  // A copy of a start for what is forgotten may still be on its way; the new token refuses it. A
+  // recorded task that must not run and is not listed: a higher token settles whether it can still
+  // start. Both before any start of this message is noted with the token that carries it.
+  if ((plan.forgets || reconciler_.has_unproven_absence(m)) &&
+      machines_.token(m) <= m.start_token)
+    ++m.fence;
+  // What is recorded and not listed. Nothing is started while the state service is silent.
+  if (context_.can_write(now) && m.sequence > 0) add_starts(now, m, plan);
+  return std::move(plan.commands);
+}
+
+void CommandDispatcher::log_command(const Machine& m, const wire::Command& command,
+                             const wire::Placement* placement, std::string_view reason) const {
+  if (!context_.logs_debug()) return;
+  LogEvent event(command.kind == wire::CommandKind::start ? "start" : "stop");
+  event.field("task", wire::task_name(command.task.job, command.task.index));
+  event.field("attempt", command.attempt).field("machine", m.id).field("token", machines_.token(m));
+  event.field("session", placement ? placement->incarnation : m.incarnation)
+      .field("reason", reason);
+  event.field("revision", newest_job_revision(context_.replica, context_.state_client, command.task.job))
+      .field("watched", context_.state_client.applied_revision());
+  context_.log(LogLevel::debug, event.text());
+}
+
+void CommandDispatcher::abandon_blocked_start(Ms now, Machine& m, const wire::TaskId& task,
+                                       std::uint64_t attempt) {
+  auto [since, fresh] = m.start_blocked_since.try_emplace(task, now);
+  if (fresh || now - since->second < kBlockedStartMs) return;
+  context_.log(LogLevel::info, "no room for " + wire::task_name(task.job, task.index) + " on " + m.id);
+  m.stop_requests[task] = {attempt, 0.0};
+  m.start_blocked_since.erase(since);
+  m.candidate_known = false;
+  m.resend_commands = true;
+}
+
+bool CommandDispatcher::needs_direct_command(const Machine& m,
+                                      const std::vector<wire::Command>& list) const {
+  if (!m.token_confirmed || m.unreachable_since != 0 || m.suspect) return true;
+  if (std::any_of(list.begin(), list.end(),
+                  [](const auto& c) { return c.kind != wire::CommandKind::forget; }))
+    return true;
+  return reconciler_.has_unproven_absence(m);
+}
+
+void CommandDispatcher::send(Ms now, Machine& m, bool probe) {
+  if (!status_.ready() || m.address.empty() || m.incarnation == 0 || status_.deposed(now) || status_.resynchronising(now))
+    return;
+  if (m.commands_in_flight) {
+    m.resend_commands = true;
+    return;
+  }
+  if (now < m.next_command_at) return;
+  const auto list = commands_for(now, m);
+  m.resend_commands = false;
+  if (!probe && !needs_direct_command(m, list)) return;
+  // Bounded, or a cut would take all sockets; those that do not answer must not be in the way.
+  const bool suspect = m.unanswered_commands > 0 || now - m.last_contact > machines_.unresponsive_after();
+  int& out = suspect ? probes_in_flight_ : direct_commands_in_flight_;
+  if (out >= (suspect ? context_.capacity.probes : context_.capacity.direct_messages)) {
+    m.resend_commands = true;
+    return;
+  }
+  ++out;
+  m.commands_in_flight = true;
+  m.resend_commands = false;
+  SentCommands sent{
+      m.id, m.owned_since_epoch, HeartbeatCounters{m.incarnation, m.sequence}, suspect, false, status_.pauses()};
+  std::string body = wire::commands_body(machines_.token(m), m.incarnation, list);
+  if (const auto peer = worker_links_.relay_for(now, m)) {
+    sent.relayed = true;
+    if (relay_.send_command(now, status_.wall(now), *peer, m.address, body,
+                            [this, sent](Ms at, const HttpResult& http_result) {
+                              on_command_result(at, sent, http_result);
+                            }))
+      return;
+    sent.relayed = false;
+  }
+  context_.call(Target::worker, m.address, "POST", wire::kCommandsPath, std::move(body), kCommandTimeoutMs,
+       [this, sent](Ms at, const HttpResult& http_result) {
+         on_command_result(at, sent, http_result);
+       });
+}
+
+void CommandDispatcher::on_command_result(Ms now, const SentCommands& sent,
+                                   const HttpResult& http_result) {
+  --(sent.suspect ? probes_in_flight_ : direct_commands_in_flight_);
+  auto it = machines_.find(sent.machine);
+  if (it == machines_.end()) return;
+  Machine& m = it->second;
+  m.commands_in_flight = false;
+  if (m.owned_since_epoch != sent.owned_since_epoch) return;
+  const bool current = sent.pauses == status_.pauses();
+  wire::Heartbeat heartbeat;
+  if ((http_result.status == 200 || http_result.status == 409) &&
+      wire::parse_heartbeat(http_result.body, heartbeat) && heartbeat.machine == m.id) {
+    const bool again = HeartbeatCounters{heartbeat.incarnation, heartbeat.sequence} <= sent.counters;
+    if (again) heartbeat_applier_.on_agent_restart(now, m, heartbeat);
+    heartbeat_applier_.apply(now, m, heartbeat);
+    m.suspect = false;
+    m.unanswered_commands = 0;
+    m.relayed_command_unanswered = false;
+    if (!sent.relayed) {
+      m.direct_command_failed_at = 0;
+      links_.zone(m.zone).answered(now);
+    }
+    // It has answered, so it is within reach. A restarted one shows our token first.
+    if (!again) m.unreachable_since = 0;
+    m.next_command_at = http_result.status == 200 ? now : now + kCommandRetryMs / 4;
+    // What was stopped may be gone, and what waits for its room can start.
+    m.next_command_check = std::min(m.next_command_check, now + kMachineCheckMs);
+  } else if (!current) {
+    // We were not there to hear it. It may have been executed, or may still be.
+    ++m.fence;
+    m.candidate_known = false;
+    m.resend_commands = true;
+    m.next_command_at = now;
+  } else {
+    on_commands_unanswered(now, m, sent);
+  }
+  if (m.resend_commands) send(now, m);
+}
+
+void CommandDispatcher::on_commands_unanswered(Ms now, Machine& m, const SentCommands& sent) {
+  heartbeat_applier_.mark_unreachable(now, m);
+  m.candidate_known = false;
+  m.resend_commands = true;
+  const bool first_of_service = m.unanswered_commands == 0 && machines_.probed_early(m);
+  m.next_command_at = now;
+  m.relayed_command_unanswered = sent.relayed;
+  if (!sent.relayed) {
+    m.direct_command_failed_at = now;
+    if (now - m.last_heartbeat <= machines_.overdue_after()) links_.zone(m.zone).suspect_commands();
+  }
+  // The next goes another way at once, if there is one.
+  const bool other_way = !sent.relayed && worker_links_.relay_for(now, m).has_value();
+  if (!first_of_service && !other_way)
+    m.next_command_at += kCommandRetryMs << std::min(m.unanswered_commands, kCommandRetryDoublings);
+  ++m.unanswered_commands;
+}
+
+}  // namespace scheduler
--- /dev/null
+++ b/src/workers/machine_table.h
@@ -0,0 +1,67 @@
+// The machines of this controller's shard.
+#pragma once
+
+#include <map>
+#include <string>
+#include <utility>
+
+#include "membership/context.h"
+#include "workers/machine.h"
+
+namespace scheduler {
+
+// Owns what this controller knows of each machine. Which machines are in it follows the view and
+// the records; the components of src/workers change single machines.
+class MachineTable {
+ public:
+  using Map = std::map<std::string, Machine>;
+
+  explicit MachineTable(const Context& context) : context_(context) {}
+
+  Map::iterator begin() { return machines_.begin(); }
+  Map::iterator end() { return machines_.end(); }
+  Map::const_iterator begin() const { return machines_.begin(); }
+  Map::const_iterator end() const { return machines_.end(); }
+  Map::iterator find(const std::string& id) { return machines_.find(id); }
+  Map::const_iterator find(const std::string& id) const { return machines_.find(id); }
+  bool contains(const std::string& id) const { return machines_.contains(id); }
+  Machine& at(const std::string& id) { return machines_.at(id); }
+  std::size_t size() const { return machines_.size(); }
+  Map::iterator erase(Map::iterator machine) { return machines_.erase(machine); }
+  template <typename Predicate>
+  void erase_if(Predicate&& predicate) {
+    std::erase_if(machines_, std::forward<Predicate>(predicate));
+  }
+
+  // Adds a machine that is of our shard now, or finds it.
+  Map::iterator add(Ms now, const std::string& id);
+  // Takes over what the records say of the machine.
+  void refresh_from_records(Machine& m) const;
+  // The fencing token of commands to the machine.
+  std::uint64_t token(const Machine& m) const {
+    return ClusterView::token(context_.cluster_view.epoch(), m.fence);
+  }
+
+  // ---- contact ----
+  // Milliseconds without contact after which a machine gets nothing new.
+  Ms unresponsive_after() const;
+  // Milliseconds without contact after which a heartbeat is overdue and the machine is asked.
+  Ms overdue_after() const;
+  // The same for this machine, which may be asked earlier.
+  Ms probe_after(const Machine& m) const;
+  // The machine is asked before its next heartbeat is overdue.
+  bool probed_early(const Machine& m) const { return probe_after(m) < overdue_after(); }
+  // It answers direct messages, but its heartbeats do not come, and only replies to those renew its
+  // lease. Guards against a machine that draws task after task and loses each with its lease.
+  bool heartbeats_missing(Ms now, const Machine& m) const;
+  // There was contact so lately that it is most likely alive.
+  bool contacted_recently(Ms now, const std::string& id) const;
+  // Tasks may be placed on it.
+  bool usable(Ms now, const Machine& m) const;
+
+ private:
+  const Context& context_;
+  Map machines_;
+};
+
+}  // namespace scheduler
--- /dev/null
+++ b/src/workers/shard_reachability.cpp
@@ -0,0 +1,83 @@
+#include "workers/shard_reachability.h"
+#include <utility>
+#include <vector>
+
+namespace scheduler {
+
+namespace {
+
+constexpr std::size_t kProbesGivenUp = 3;  // workers asked at once after the machines were given up
+
+}  // namespace
+
+void ShardReachability::tick(Ms now) {
+  if (write_in_flight_ || now < next_check_ || !context_.can_write(now)) return;
+  // Guards against taking workers that report to their new owner already for a link that is down.
+  if (status_.newest_epoch_seen() > context_.cluster_view.epoch()) return;
+  if (context_.replica.view().unreachable.contains(context_.settings.name)) {
+    reclaim_shard(now);
+    return;
+  }
+  std::vector<std::string> others = context_.cluster_view.owners();
+  std::erase(others, context_.settings.name);
+  const links::Decision decision = links_.may_keep_machines(status_.moment(now), others);
+  if (decision.allowed) return;
+  context_.log_decision("keep_machines", decision);
+  context_.log(LogLevel::info, "no machine reaches us; giving ours up");
+  links_.on_machines_given_up(now);
+  set_unreachable(true);
+}
+
+void ShardReachability::reclaim_shard(Ms now) {
+  next_check_ = now + links::kWorkerProbeMs;
+  std::vector<std::string> near, all;
+  for (const auto& [id, record] : context_.replica.machines()) {
+    if (record.incarnation == 0 || record.address.empty() ||
+        record.state != wire::MachineState::ready)
+      continue;
+    (record.zone == context_.settings.zone ? near : all).push_back(record.address);
+  }
+  auto& from = near.empty() ? all : near;
+  if (from.empty()) {
+    set_unreachable(false);
+    return;
+  }
+  std::vector<std::string> sample;
+  while (sample.size() < kProbesGivenUp && !from.empty()) {
+    const auto at = probe_random_(static_cast<std::uint32_t>(from.size()));
+    sample.push_back(std::move(from[at]));
+    from.erase(from.begin() + at);
+  }
+  worker_links_.probe_workers(sample, [this](Ms at, bool answered) {
+    links_.probed_while_given_up(at, answered);
+    const links::Decision decision = links_.may_reclaim_machines(at);
+    if (!answered || !decision.allowed || !status_.ready() ||
+        !context_.replica.view().unreachable.contains(context_.settings.name))
+      return;
+    context_.log_decision("take_machines_back", decision);
+    context_.log(LogLevel::info, "machines reach us again");
+    set_unreachable(false);
+  });
+}
+
+void ShardReachability::set_unreachable(bool unreachable) {
+  if (write_in_flight_) return;
+  write_in_flight_ = true;
+  wire::ViewRecord next = context_.replica.view();
+  ++next.epoch;
+  if (unreachable) {
+    next.unreachable.insert(context_.settings.name);
+  } else {
+    next.unreachable.erase(context_.settings.name);
+  }
+  Transaction t;
+  t.conditions = {context_.view_unchanged()};
+  t.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}};
+  t.urgent = true;
+  t.done = [this](Ms at, TxnResult, const auto&) {
+    context_.state_client.wait_until_settled(at, [this](Ms) { write_in_flight_ = false; });
+  };
+  context_.state_client.submit(std::move(t));
+}
+
+}  // namespace scheduler
--- /dev/null
+++ b/src/workers/shard_reachability.h
@@ -0,0 +1,45 @@
+// Gives up this controller's shard when its links to all of its machines are down and another
+// controller's are not, and reclaims it once they have been up for long enough.
+#pragma once
+
+#include <pcg_random.hpp>
+
+#include "links/monitor.h"
+#include "membership/context.h"
+#include "membership/controller_status.h"
+#include "workers/worker_links.h"
+
+namespace scheduler {
+
+// Changes this controller's entry among the unreachable ones of the view.
+class ShardReachability {
+ public:
+  ShardReachability(const Context& context, const ControllerStatus& status, links::Monitor& links,
+                    WorkerLinks& worker_links, pcg32& random)
+      : context_(context),
+        status_(status),
+        links_(links),
+        worker_links_(worker_links),
+        probe_random_(random) {}
+
+  void tick(Ms now);
+  // This process was paused: nothing is decided before machines had time to be heard.
+  void on_pause(Ms now, Ms unresponsive_after) {
+    next_check_ = std::max(next_check_, now + unresponsive_after);
+  }
+
+ private:
+  // Probes machines that would be ours, in our own zone if there are any.
+  void reclaim_shard(Ms now);
+  void set_unreachable(bool unreachable);
+
+  const Context& context_;
+  const ControllerStatus& status_;
+  links::Monitor& links_;
+  WorkerLinks& worker_links_;
+  pcg32& probe_random_;
+  bool write_in_flight_ = false;
+  Ms next_check_ = 0;
+};
+
+}  // namespace scheduler
--- a/src/workers/shard_records.cpp
+++ b/src/workers/shard_record_writer.cpp
@@ -1,10 +1,7 @@
-// What this controller heard from the machines of its part and decided on them. Many machines share
-// a record and each record has one writer, so that a wave of machines coming or going costs a few
-// writes and no conflicts: the fleet's coordinator writes which machines there are
-// (fleet_record_writer.h), each controller its own part's state.
+#include "workers/shard_record_writer.h"
 #include <algorithm>
-
-#include "controller/controller.h"
+#include <utility>
+#include <vector>
 #include "state/state_client.h"
 #include "workers/timing.h"
 
@@ -20,28 +17,8 @@
 
 }  // namespace
 
-void Controller::refresh_from_records(Machine& m) const {
-  const auto* record = replica_.machine(m.id);
-  m.recorded = record != nullptr;
-  if (!record) return;
-  m.state = std::max(m.state, record->state);
-  if (m.address.empty()) m.address = record->address;
-  if (m.type.empty()) {
-    m.type = record->type;
-    m.zone = record->zone;
-    m.spot = record->spot;
-  }
-  if (m.sequence > 0) return;
-  // Not heard yet: the newest session that anybody has recorded, or placed something in. Later ones
-  // can only mean that even more of its tasks are gone.
-  m.incarnation = std::max(m.incarnation, record->incarnation);
-  for (const TaskRef& ref : replica_.placed_on(m.id))
-    if (const auto* p = replica_.placement(ref))
-      m.incarnation = std::max(m.incarnation, p->incarnation);
-}
-
-void Controller::record_machine_state(Ms now, Machine& m, wire::MachineState state, Ms within) {
-  const auto group = replica_.group_of(m.id);
+void ShardRecordWriter::record_machine_state(Ms now, Machine& m, wire::MachineState state, Ms within) {
+  const auto group = context_.replica.group_of(m.id);
   m.state = std::max(m.state, state);
   if (!group) return;  // the fleet's coordinator records it first; then we are asked again
   ShardWrite& w = shard_writes_[*group];
@@ -52,54 +29,54 @@
   w.due = w.due == 0 ? now + within : std::min(w.due, now + within);
 }
 
-void Controller::regroup_pending() {
+void ShardRecordWriter::regroup_pending() {
   std::vector<std::pair<std::string, wire::ShardRecord::Contact>> moved;
   for (auto& [group, w] : shard_writes_) {
     if (w.busy) continue;
     std::erase_if(w.pending, [&, from = group](const auto& entry) {
-      const auto now_in = replica_.group_of(entry.first);
+      const auto now_in = context_.replica.group_of(entry.first);
       if (!now_in || *now_in == from) return false;
       moved.push_back(entry);
       return true;
     });
   }
   for (const auto& [id, heard] : moved) {
-    ShardWrite& target = shard_writes_[*replica_.group_of(id)];
+    ShardWrite& target = shard_writes_[*context_.replica.group_of(id)];
     target.pending[id] = heard;
     target.due = 1;  // at once: it has waited already
   }
 }
 
-bool Controller::has_strays(const wire::ShardRecord& record, std::uint32_t group) const {
+bool ShardRecordWriter::has_strays(const wire::ShardRecord& record, std::uint32_t group) const {
   return std::any_of(record.machines.begin(), record.machines.end(), [&](const auto& entry) {
-    const auto now_in = replica_.group_of(entry.first);
+    const auto now_in = context_.replica.group_of(entry.first);
     return now_in && *now_in != group;
   });
 }
 
-void Controller::move_strays(std::uint32_t group, const wire::ShardRecord& record) {
+void ShardRecordWriter::move_strays(std::uint32_t group, const wire::ShardRecord& record) {
   std::map<std::uint32_t, wire::ShardRecord> next;
   next[group];
-  const auto most = static_cast<std::size_t>(settings_.txn_ops);
+  const auto most = static_cast<std::size_t>(context_.settings.txn_ops);
   for (const auto& [id, heard] : record.machines) {
-    const auto now_in = replica_.group_of(id);
+    const auto now_in = context_.replica.group_of(id);
     if (!now_in) continue;  // no longer recorded
     const bool carried = next.contains(*now_in) || next.size() < most;
     const std::uint32_t target = carried ? *now_in : group;
     if (shard_writes_[target].busy) return;
     auto [to, fresh] = next.try_emplace(target);
     if (fresh) {
-      if (const auto* old = replica_.shard(settings_.name, target)) to->second = *old;
+      if (const auto* old = context_.replica.shard(context_.settings.name, target)) to->second = *old;
     }
     // What our record of that group says already is newer.
     to->second.machines.try_emplace(id, heard);
   }
   Transaction t;
-  t.conditions = {view_unchanged()};
+  t.conditions = {context_.view_unchanged()};
   std::vector<std::uint32_t> groups;
   for (const auto& [target, shard] : next) {
-    const std::string key = wire::shard_key(settings_.name, target);
-    t.conditions.push_back(state_client_.unchanged(key));
+    const std::string key = wire::shard_key(context_.settings.name, target);
+    t.conditions.push_back(context_.state_client.unchanged(key));
     t.writes.push_back({key, encode(shard), std::nullopt});
     shard_writes_[target].busy = true;
     groups.push_back(target);
@@ -108,35 +85,35 @@
     for (const std::uint32_t target : groups) shard_writes_[target].busy = false;
   };
   t.done = [this, release](Ms at, TxnResult result, const auto&) {
-    result == TxnResult::committed ? release(at) : state_client_.wait_until_settled(at, release);
+    result == TxnResult::committed ? release(at) : context_.state_client.wait_until_settled(at, release);
   };
-  state_client_.submit(std::move(t));
+  context_.state_client.submit(std::move(t));
 }
 
-void Controller::write_shard_records(Ms now) {
-  if (!can_write(now)) return;
+void ShardRecordWriter::write(Ms now) {
+  if (!context_.can_write(now)) return;
   regroup_pending();
-  if (services_enabled() && now >= next_stray_check_) {
+  if (context_.services_enabled() && now >= next_stray_check_) {
     next_stray_check_ = now + kStrayCheckMs;
-    for (const auto& [group, record] : replica_.shards_of(settings_.name)) {
+    for (const auto& [group, record] : context_.replica.shards_of(context_.settings.name)) {
       if (!shard_writes_[group].busy && has_strays(*record, group)) move_strays(group, *record);
     }
   }
   for (auto& [group, w] : shard_writes_) {
     if (w.busy || w.pending.empty() || now < w.due) continue;
     // Guards against dropping what we know of machines that have gone to another group.
-    const auto* mine = replica_.shard(settings_.name, group);
+    const auto* mine = context_.replica.shard(context_.settings.name, group);
     if (mine && has_strays(*mine, group)) continue;
     // Verdicts on machines that went to another part meanwhile are not ours to write.
     std::erase_if(w.pending, [this](const auto& p) { return !machines_.contains(p.first); });
-    const auto fleet = replica_.fleet().find(group);
-    if (w.pending.empty() || fleet == replica_.fleet().end()) {
+    const auto fleet = context_.replica.fleet().find(group);
+    if (w.pending.empty() || fleet == context_.replica.fleet().end()) {
       w.pending.clear();
       w.due = 0;
       continue;
     }
     wire::ShardRecord next;
-    if (const auto* record = replica_.shard(settings_.name, group)) {
+    if (const auto* record = context_.replica.shard(context_.settings.name, group)) {
       // What we knew of machines that are another's now stays until they are forgotten: the new
       // owner may not have written it yet.
       for (const auto& [id, heard] : record->machines)
@@ -155,8 +132,8 @@
     // Guards against a fleet of many groups that keeps placements waiting while it comes up.
     if (!changes_state && contact_writes_in_flight_ >= kContactWritesQueued) continue;
     Transaction t;
-    const std::string key = wire::shard_key(settings_.name, group);
-    t.conditions = {view_unchanged(), state_client_.unchanged(key)};
+    const std::string key = wire::shard_key(context_.settings.name, group);
+    t.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
     t.writes = {{key, encode(next), std::nullopt}};
     t.urgent = urgent;
     if (!changes_state) ++contact_writes_in_flight_;
@@ -174,13 +151,13 @@
         if (!written.pending.empty() && written.due == 0) written.due = at + kContactWriteDelayMs;
         return;
       }
-      state_client_.wait_until_settled(at, [this, group](Ms then) {
+      context_.state_client.wait_until_settled(at, [this, group](Ms then) {
         ShardWrite& again = shard_writes_[group];
         again.busy = false;
         again.due = then + kRefusedRetryMs;
       });
     };
-    state_client_.submit(std::move(t));
+    context_.state_client.submit(std::move(t));
   }
 }
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -4,11 +4,11 @@
 #include <cmath>
 #include <set>
 
+#include "allocation/placement.h"
 #include "fleet/fleet_sizer.h"
 #include "membership/cluster_view.h"
 #include "quota/quota_leases.h"
 #include "scheduling/pending_order.h"
-#include "scheduling/placement.h"
 #include "workers/failure_tracker.h"
 
 namespace scheduler {
