--- a/src/allocation/placement.cpp
+++ b/src/allocation/placement.cpp
@@ -16,25 +16,19 @@
 
 }  // namespace
 
-bool Candidate::fits(const wire::JobSpec& job) const {
-  return cpus + kAmountSlack >= job.cpus && gpus + kAmountSlack >= job.gpus &&
-         memory_gb + kAmountSlack >= job.memory_gb;
-}
+bool Candidate::fits(const wire::JobSpec& job) const { return free.fits(resources_of(job)); }
 
 bool Candidate::book(const wire::JobSpec& job, Ms ends_at) {
-  cpus -= job.cpus;
-  gpus -= job.gpus;
-  memory_gb -= job.memory_gb;
-  booked.push_back({job.cpus, job.gpus, job.memory_gb, ends_at});
+  const Resources taken = resources_of(job);
+  free -= taken;
+  booked.push_back({taken, ends_at});
   const bool fresh = std::find(images.begin(), images.end(), job.image) == images.end();
   if (fresh) images.push_back(job.image);
   return fresh;
 }
 
 void Candidate::unbook(const wire::JobSpec& job, bool image_was_new) {
-  cpus += job.cpus;
-  gpus += job.gpus;
-  memory_gb += job.memory_gb;
+  free += resources_of(job);
   booked.pop_back();
   if (image_was_new) images.pop_back();
 }
@@ -48,15 +42,7 @@
 }
 
 bool type_fits(const wire::JobSpec& job, const wire::MachineType& type) {
-  return fit_count(job, type.cpus, type.gpus, type.memory_gb) >= 1.0;
-}
-
-double fit_count(const wire::JobSpec& job, double cpus, double gpus, double memory_gb) {
-  double n = 1e6;
-  if (job.cpus > 0) n = std::min(n, std::floor((cpus + kAmountSlack) / job.cpus));
-  if (job.gpus > 0) n = std::min(n, std::floor((gpus + kAmountSlack) / job.gpus));
-  if (job.memory_gb > 0) n = std::min(n, std::floor((memory_gb + kAmountSlack) / job.memory_gb));
-  return std::max(0.0, n);
+  return fit_count(resources_of(job), resources_of(type)) >= 1.0;
 }
 
 Ms predicted_end(Ms from, const wire::JobSpec& spec) {
@@ -68,28 +54,27 @@
   return now < ends_at ? static_cast<double>(ends_at - now) / 1000.0 : kOverrunAllowanceS;
 }
 
-double predict_finish(Ms now, const Candidate& machine, const wire::JobSpec& job) {
-  double wait = 0;
-  if (!machine.fits(job)) {
-    std::vector<Booked> ends = machine.booked;
-    std::sort(ends.begin(), ends.end(), [now](const Booked& a, const Booked& b) {
-      return remaining_s(now, a.ends_at) < remaining_s(now, b.ends_at);
-    });
-    Candidate later;
-    later.cpus = machine.cpus;
-    later.gpus = machine.gpus;
-    later.memory_gb = machine.memory_gb;
-    wait = 1e9;  // never, unless the ends of booked tasks make room
-    for (const Booked& b : ends) {
-      later.cpus += b.cpus;
-      later.gpus += b.gpus;
-      later.memory_gb += b.memory_gb;
-      if (later.fits(job)) {
-        wait = remaining_s(now, b.ends_at);
-        break;
-      }
-    }
+namespace {
+
+// Seconds until the ends of booked tasks make enough free; very many if they never do.
+double wait_until_fits(Ms now, const Candidate& machine, const Resources& demand) {
+  constexpr double kNever = 1e9;
+  std::vector<Booked> ends = machine.booked;
+  std::sort(ends.begin(), ends.end(), [now](const Booked& a, const Booked& b) {
+    return remaining_s(now, a.ends_at) < remaining_s(now, b.ends_at);
+  });
+  Resources free = machine.free;
+  for (const Booked& booked : ends) {
+    free += booked.resources;
+    if (free.fits(demand)) return remaining_s(now, booked.ends_at);
   }
+  return kNever;
+}
+
+}  // namespace
+
+double predict_finish(Ms now, const Candidate& machine, const wire::JobSpec& job) {
+  const double wait = machine.fits(job) ? 0.0 : wait_until_fits(now, machine, resources_of(job));
   const bool has_image =
       std::find(machine.images.begin(), machine.images.end(), job.image) != machine.images.end();
   const double fetch = has_image ? 0.0 : job.image_gb / std::max(0.01, machine.fetch_gb_per_s);
@@ -109,8 +94,8 @@
     const double finish = predict_finish(now, c, job);
     if (best >= 0) {
       const bool equal = std::abs(finish - best_finish) <= 1e-9;
-      const bool better =
-          equal ? c.cpus < machines[static_cast<std::size_t>(best)]->cpus : finish < best_finish;
+      const bool better = equal ? c.free.cpus < machines[static_cast<std::size_t>(best)]->free.cpus
+                                : finish < best_finish;
       if (!better) return;
     }
     best = i;
--- a/src/allocation/placement.h
+++ b/src/allocation/placement.h
@@ -5,6 +5,7 @@
 #include <string>
 #include <vector>
 
+#include "base/resources.h"
 #include "base/types.h"
 #include "wire/messages.h"
 
@@ -17,7 +18,7 @@
 
 // What a booked task holds, and when it should be through by its estimate.
 struct Booked {
-  double cpus = 0, gpus = 0, memory_gb = 0;
+  Resources resources;
   Ms ends_at = 0;
 };
 
@@ -29,7 +30,7 @@
   bool spot = false;
   bool local = true;  // of this controller's part
   std::uint64_t incarnation = 0;
-  double cpus = 0, gpus = 0, memory_gb = 0;  // free
+  Resources free;
   double fetch_gb_per_s = 1;
   std::vector<std::string> images;  // known to be there or on their way
   std::vector<Booked> booked;
@@ -43,8 +44,6 @@
 
 bool allowed(const wire::JobSpec& job, const std::string& type, const std::string& zone, bool spot);
 bool type_fits(const wire::JobSpec& job, const wire::MachineType& type);
-// Tasks of the job that a machine with this much free can take at once.
-double fit_count(const wire::JobSpec& job, double cpus, double gpus, double memory_gb);
 
 // When a task that starts at `from` should end, by its estimate; far away for a service, which has
 // no end to predict.
--- a/src/allocation/range_table.h
+++ b/src/allocation/range_table.h
@@ -8,8 +8,9 @@
 #include <string_view>
 #include <utility>
 
-#include "membership/context.h"
 #include "allocation/pass_trigger.h"
+#include "base/resources.h"
+#include "membership/context.h"
 #include "wire/records.h"
 
 namespace scheduler {
@@ -23,9 +24,9 @@
 struct RangeState {
   bool busy = false;  // its record is being written
   Ms retry_at = 0;
-  Ms first_seen = 0;                               // with tasks to place
-  std::map<std::uint32_t, ReleasedTask> released;  // to be recorded
-  Ms released_since = 0;                           // the first of them
+  Ms first_seen = 0;                                            // with tasks to place
+  std::map<std::uint32_t, ReleasedTask> released;               // to be recorded
+  Ms released_since = 0;                                        // the first of them
   std::map<std::uint32_t, wire::Placement> pending_placements;  // being written
   std::uint32_t cursor = 0;                                     // no unstarted task before it
   bool stop_requested = false;                                  // gang to be stopped in good order
@@ -33,7 +34,7 @@
   // A write of `pending_placements` got no answer and may still be applied; until the record is
   // written again, which voids it, the placements count as made.
   bool write_uncertain = false;
-  double cpus = 0, gpus = 0, memory_gb = 0;  // of each task in `pending_placements`
+  Resources task_resources;  // of each task in `pending_placements`
 
   // The task can be placed: neither done nor placed nor being placed. What is proven gone, though
   // not recorded yet, is recorded together with its next placement.
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -278,7 +278,7 @@
     const auto* type = replica_.type(m.type);
     if (!type || !machines_.usable(now, m)) continue;
     cpus += type->cpus;
-    free += std::max(0.0, candidate_cache_.candidate(now, m).cpus);
+    free += std::max(0.0, candidate_cache_.candidate(now, m).free.cpus);
   }
   return "epoch " + std::to_string(cluster_view_.epoch()) + (ready() ? " ready" : " not ready") +
          (state_client_.answering(now) ? "" : ", state silent") + ", jobs " +
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -48,7 +48,7 @@
                           status_.resynchronised();
   for (const auto& [id, m] : machines_) {
     if (machines_.usable(now, m))
-      message.free_cpus += std::max(0.0, candidate_cache_.candidate(now, m).cpus);
+      message.free_cpus += std::max(0.0, candidate_cache_.candidate(now, m).free.cpus);
   }
   message.sent_ms = static_cast<std::uint64_t>(status_.wall(now));
   message.links = links_.rows_to_spread(status_.moment(now));
--- a/src/controller/health_endpoint.cpp
+++ b/src/controller/health_endpoint.cpp
@@ -1,4 +1,5 @@
 #include "controller/health_endpoint.h"
+
 #include "wire/json.h"
 
 namespace scheduler {
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -4,6 +4,7 @@
 #include <cmath>
 
 #include "allocation/placement.h"
+#include "base/resources.h"
 #include "base/types.h"
 
 namespace scheduler {
@@ -49,7 +50,7 @@
       continue;
     if (!job.zone.empty() && std::find(t.zones.begin(), t.zones.end(), job.zone) == t.zones.end())
       continue;
-    const double n = fit_count(job, t.cpus, t.gpus, t.memory_gb);
+    const double n = fit_count(resources_of(job), resources_of(t));
     if (n < 1) continue;
     const double price = t.price / n;
     if (!best || price < best_price) {
@@ -67,7 +68,7 @@
   for (const auto& d : demand) {
     const auto* t = type_for(*d.job, catalog);
     if (!t || d.tasks == 0) continue;
-    const double machines = parallel(d) / fit_count(*d.job, t->cpus, t->gpus, t->memory_gb);
+    const double machines = parallel(d) / fit_count(resources_of(*d.job), resources_of(*t));
     std::vector<std::string> zones{""};
     if (!d.job->zone.empty()) zones.push_back(d.job->zone);
     for (const auto& z : zones) {
--- a/src/jobs/job_cancellation.cpp
+++ b/src/jobs/job_cancellation.cpp
@@ -1,6 +1,8 @@
 #include "jobs/job_cancellation.h"
+
 #include <iterator>
 #include <utility>
+
 #include "jobs/timeouts.h"
 
 namespace scheduler {
@@ -16,27 +18,29 @@
   if (tries == 0) context_.log(LogLevel::debug, "cancellation of " + id + " asked");
   // A job that we know of is cancelled by one guarded write: its conditions are the question
   // whether that is still so. Everything else is looked up first.
-  if (tries == 0 && !context_.replica.final_state(id) && context_.replica.job(id) && context_.can_write(now)) {
+  if (tries == 0 && !context_.replica.final_state(id) && context_.replica.job(id) &&
+      context_.can_write(now)) {
     write_cancelled(now, request, id, tries);
     return;
   }
   reader_.read_job(now, request, id, now + kSubmitTimeoutMs,
-           [this, request, id, tries](Ms at, const JobStatus& status) {
-             const bool ended =
-                 status.state == wire::JobState::done || status.state == wire::JobState::cancelled;
-             if (!status.known) {
-               context_.reply(request, 404, wire::error_body("no such job"));
-             } else if (ended) {
-               context_.reply(request, 200, wire::job_state_body(id, status.state));
-             } else if (!context_.replica.job(id) || tries > kCancelTries) {
-               context_.reply_unavailable(request, kRetryAfterS);
-             } else {
-               write_cancelled(at, request, id, tries);
-             }
-           });
+                   [this, request, id, tries](Ms at, const JobStatus& status) {
+                     const bool ended = status.state == wire::JobState::done ||
+                                        status.state == wire::JobState::cancelled;
+                     if (!status.known) {
+                       context_.reply(request, 404, wire::error_body("no such job"));
+                     } else if (ended) {
+                       context_.reply(request, 200, wire::job_state_body(id, status.state));
+                     } else if (!context_.replica.job(id) || tries > kCancelTries) {
+                       context_.reply_unavailable(request, kRetryAfterS);
+                     } else {
+                       write_cancelled(at, request, id, tries);
+                     }
+                   });
 }
 
-void JobCancellation::write_cancelled(Ms now, std::uint64_t request, const std::string& id, int tries) {
+void JobCancellation::write_cancelled(Ms now, std::uint64_t request, const std::string& id,
+                                      int tries) {
   const Job* job = context_.replica.job(id);
   if (job->record.cancelled) {  // on its way: its tasks are being stopped
     wait_until_cancelled(now, request, id);
--- a/src/jobs/job_cancellation.h
+++ b/src/jobs/job_cancellation.h
@@ -20,7 +20,9 @@
                   const MachineTable& machines)
       : context_(context), reader_(reader), waiting_requests_(waiting), machines_(machines) {}
 
-  void on_cancel(Ms now, std::uint64_t request, const std::string& job) { cancel(now, request, job, 0); }
+  void on_cancel(Ms now, std::uint64_t request, const std::string& job) {
+    cancel(now, request, job, 0);
+  }
   // Replies to cancellations that are proven, or that can't be proven soon.
   void tick(Ms now);
   // Some request waits for the end of the job.
--- a/src/jobs/job_completion.cpp
+++ b/src/jobs/job_completion.cpp
@@ -1,4 +1,5 @@
 #include "jobs/job_completion.h"
+
 #include <algorithm>
 #include <utility>
 
@@ -42,7 +43,8 @@
   // range never changes, and once the watch has passed a cancellation nothing can be placed any
   // more, since every placement has the job's record as a condition.
   const bool compare_all = job.known && job.ranges.size() <= planner_.max_ranges();
-  if (job.known && !compare_all && job.record.cancelled && !context_.state_client.has_applied(key)) {
+  if (job.known && !compare_all && job.record.cancelled &&
+      !context_.state_client.has_applied(key)) {
     jobs_to_check_.insert(id);
     return;
   }
--- a/src/jobs/job_reader.cpp
+++ b/src/jobs/job_reader.cpp
@@ -1,6 +1,8 @@
 #include "jobs/job_reader.h"
+
 #include <algorithm>
 #include <utility>
+
 #include "base/log_event.h"
 #include "jobs/timeouts.h"
 #include "state/job_revision.h"
@@ -29,12 +31,13 @@
   if (!context_.logs_debug()) return;
   LogEvent event("answer");
   event.field("job", id).field("state", name_of(state));
-  event.field("revision", newest_job_revision(context_.replica, context_.state_client, id)).field("watched", context_.state_client.applied_revision());
+  event.field("revision", newest_job_revision(context_.replica, context_.state_client, id))
+      .field("watched", context_.state_client.applied_revision());
   context_.log(LogLevel::debug, event.text());
 }
 
 void JobReader::wait_until_job_settled(Ms now, std::uint64_t request, const std::string& id,
-                                        Ms deadline, const std::function<void(Ms now)>& then) {
+                                       Ms deadline, const std::function<void(Ms now)>& then) {
   const std::uint64_t newest = newest_job_revision(context_.replica, context_.state_client, id);
   if (newest <= context_.state_client.applied_revision()) {
     then(now);
@@ -61,7 +64,7 @@
 }
 
 void JobReader::read_job(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
-                          OnJobRead on_job_read) {
+                         OnJobRead on_job_read) {
   // Final states never change, so the first one known is the answer.
   if (const auto* final_state = context_.replica.final_state(id)) {
     on_job_read(now, final_status(*final_state));
@@ -88,7 +91,7 @@
 }
 
 void JobReader::read_settled_job(Ms now, std::uint64_t request, const std::string& id,
-                                  const OnJobRead& on_job_read) {
+                                 const OnJobRead& on_job_read) {
   if (const auto* final_state = context_.replica.final_state(id)) {
     on_job_read(now, final_status(*final_state));
     return;
@@ -100,15 +103,16 @@
     return;
   }
   waiting_requests_.add();
-  context_.state_client.read(now, wire::final_state_key(id),
-                     [this, request, id, on_job_read](Ms at, const HttpResult& http_result) {
-                       waiting_requests_.remove();
-                       on_final_state_read(at, request, id, http_result, on_job_read);
-                     });
+  context_.state_client.read(
+      now, wire::final_state_key(id),
+      [this, request, id, on_job_read](Ms at, const HttpResult& http_result) {
+        waiting_requests_.remove();
+        on_final_state_read(at, request, id, http_result, on_job_read);
+      });
 }
 
 void JobReader::on_final_state_read(Ms now, std::uint64_t request, const std::string& id,
-                                     const HttpResult& http_result, const OnJobRead& on_job_read) {
+                                    const HttpResult& http_result, const OnJobRead& on_job_read) {
   wire::StoredItem item;
   wire::FinalStateRecord final_state;
   if (http_result.status == 200 && wire::parse_item(http_result.body, item) && item.value &&
@@ -132,14 +136,15 @@
 }
 
 void JobReader::on_poll(Ms now, std::uint64_t request, const std::string& id) {
-  read_job(
-      now, request, id, now + kPollTimeoutMs, [this, request, id](Ms, const JobStatus& status) {
-        if (!status.known) {
-          context_.reply(request, 404, wire::error_body("no such job"));
-          return;
-        }
-        context_.reply(request, 200, wire::job_status_body(id, status.state, status.done, status.running));
-      });
+  read_job(now, request, id, now + kPollTimeoutMs,
+           [this, request, id](Ms, const JobStatus& status) {
+             if (!status.known) {
+               context_.reply(request, 404, wire::error_body("no such job"));
+               return;
+             }
+             context_.reply(request, 200,
+                            wire::job_status_body(id, status.state, status.done, status.running));
+           });
 }
 
 }  // namespace scheduler
--- a/src/jobs/job_submission.cpp
+++ b/src/jobs/job_submission.cpp
@@ -1,6 +1,8 @@
 #include "jobs/job_submission.h"
+
 #include <set>
 #include <utility>
+
 #include "allocation/placement.h"
 #include "jobs/timeouts.h"
 
--- a/src/membership/controller_status.cpp
+++ b/src/membership/controller_status.cpp
@@ -23,7 +23,8 @@
 }
 
 bool ControllerStatus::deposed(Ms now) const {
-  return newest_epoch_seen_ > context_.cluster_view.epoch() && !context_.state_client.answering(now);
+  return newest_epoch_seen_ > context_.cluster_view.epoch() &&
+         !context_.state_client.answering(now);
 }
 
 std::optional<Ms> ControllerStatus::observe_input(Ms now) {
--- a/src/membership/controller_status.h
+++ b/src/membership/controller_status.h
@@ -29,7 +29,8 @@
 
   // ---- process pauses ----
   // Takes note of an input. The milliseconds since the last one if they mean that the process had
-  // been paused: the processor was taken from it, or the whole machine stopped, while clocks ran on.
+  // been paused: the processor was taken from it, or the whole machine stopped, while clocks ran
+  // on.
   std::optional<Ms> observe_input(Ms now);
   // A pause has been found; its number.
   std::uint64_t begin_resynchronising(Ms now);
@@ -58,9 +59,7 @@
 
   // ---- epochs ----
   // Takes note of an epoch that a heartbeat or a gossip message names.
-  void see_epoch(std::uint64_t epoch) {
-    newest_epoch_seen_ = std::max(newest_epoch_seen_, epoch);
-  }
+  void see_epoch(std::uint64_t epoch) { newest_epoch_seen_ = std::max(newest_epoch_seen_, epoch); }
   std::uint64_t newest_epoch_seen() const { return newest_epoch_seen_; }
 
  private:
--- a/src/scheduling/array_placement.cpp
+++ b/src/scheduling/array_placement.cpp
@@ -1,7 +1,9 @@
 #include "scheduling/array_placement.h"
+
 #include <algorithm>
 #include <iterator>
 #include <utility>
+
 #include "scheduling/start_deadlines.h"
 
 namespace scheduler {
@@ -22,8 +24,7 @@
 bool ArrayPlacement::has_failed_already(const SchedulingPass& pass, const wire::JobSpec& spec) {
   // At least as large as something that found no capacity, and allowed nowhere else.
   return std::any_of(pass.failed.begin(), pass.failed.end(), [&spec](const auto* failed) {
-    return spec.cpus >= failed->cpus && spec.gpus >= failed->gpus &&
-           spec.memory_gb >= failed->memory_gb && spec.types == failed->types &&
+    return resources_of(spec).covers(resources_of(*failed)) && spec.types == failed->types &&
            spec.zone == failed->zone && (!spec.spot || failed->spot) &&
            spec.priority <= failed->priority;
   });
@@ -48,8 +49,8 @@
 }
 
 ArrayPlacement::PreferredMachines ArrayPlacement::find_preferred(const SchedulingPass& pass,
-                                                         const wire::JobSpec& spec,
-                                                         const std::vector<int>& eligible) {
+                                                                 const wire::JobSpec& spec,
+                                                                 const std::vector<int>& eligible) {
   PreferredMachines out;
   for (const int i : eligible) {
     const Candidate& c = pass.candidate(i);
@@ -65,7 +66,7 @@
 }
 
 int ArrayPlacement::pick_preferred(SchedulingPass& pass, const wire::JobSpec& spec,
-                               const std::vector<int>& eligible, PreferredMachines& preferred) {
+                                   const std::vector<int>& eligible, PreferredMachines& preferred) {
   for (const auto* some : {&preferred.with_image, &preferred.useless_to_gangs}) {
     const int machine = pick_of_two(pass.now, pass.candidates, spec, *some, random_);
     if (machine >= 0) return machine;
--- a/src/scheduling/array_placement.h
+++ b/src/scheduling/array_placement.h
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
+#include "allocation/range_table.h"
 #include "membership/context.h"
 #include "membership/controller_status.h"
 #include "quota/quota_manager.h"
 #include "scheduling/candidate_cache.h"
 #include "scheduling/preemption.h"
 #include "scheduling/range_planner.h"
-#include "allocation/range_table.h"
 #include "scheduling/scheduling_pass.h"
 #include "scheduling/scheduling_priority.h"
 #include "scheduling/task_assigner.h"
--- a/src/scheduling/candidate_cache.cpp
+++ b/src/scheduling/candidate_cache.cpp
@@ -1,7 +1,9 @@
 #include "scheduling/candidate_cache.h"
+
 #include <algorithm>
 #include <iterator>
 #include <utility>
+
 #include "base/resources.h"
 
 namespace scheduler {
@@ -13,8 +15,7 @@
     if (!placement || job == context_.replica.jobs().end()) continue;
     const wire::TaskId task{ref.range.job, ref.index};
     const auto reported = m.tasks.find(task);
-    const bool listed =
-        reported != m.tasks.end() && reported->second.attempt == placement->attempt;
+    const bool listed = reported != m.tasks.end() && reported->second.attempt == placement->attempt;
     if (listed && reported->second.state == wire::TaskState::exited) continue;
     if (ranges_.is_released(ref, placement->attempt)) continue;
     // What is being stopped to make capacity free counts as gone; starts wait until it is.
@@ -53,9 +54,7 @@
   candidate.images = m.images;
   const auto* type = context_.replica.type(m.type);
   if (!type) return candidate;
-  candidate.cpus = type->cpus - m.reserved_cpus;
-  candidate.gpus = type->gpus - m.reserved_gpus;
-  candidate.memory_gb = type->memory_gb - m.reserved_memory;
+  candidate.free = resources_of(*type) - m.reserved;
   candidate.fetch_gb_per_s = type->fetch_gb_per_s;
   book_recorded(now, m, candidate);
   book_unrecorded(now, m, candidate);
@@ -63,7 +62,7 @@
 }
 
 Candidate CandidateCache::remote_candidate(Ms now, const std::string& id,
-                                       const wire::MachineRecord& record) const {
+                                           const wire::MachineRecord& record) const {
   Candidate c;
   c.id = id;
   c.zone = record.zone;
@@ -74,10 +73,8 @@
   const auto* type = context_.replica.type(record.type);
   if (!type) return c;
   const auto found = remote_reservations_.find(id);
-  const Reservation unwritten = found == remote_reservations_.end() ? Reservation{} : found->second;
-  c.cpus = type->cpus - unwritten.cpus;
-  c.gpus = type->gpus - unwritten.gpus;
-  c.memory_gb = type->memory_gb - unwritten.memory_gb;
+  const Resources reserved = found == remote_reservations_.end() ? Resources{} : found->second;
+  c.free = resources_of(*type) - reserved;
   c.fetch_gb_per_s = type->fetch_gb_per_s;
   for (const TaskRef& ref : context_.replica.placed_on(id)) {
     auto job = context_.replica.jobs().find(ref.range.job);
@@ -102,16 +99,11 @@
   }
 }
 
-// Takes the last `count` choices back.
 void CandidateCache::drop_pending_placements(RangeState& range, std::size_t count) {
-  wire::JobSpec task;
-  task.cpus = range.cpus;
-  task.gpus = range.gpus;
-  task.memory_gb = range.memory_gb;
   while (count-- > 0 && !range.pending_placements.empty()) {
-    auto last = std::prev(range.pending_placements.end());
+    const auto last = std::prev(range.pending_placements.end());
     const std::string& id = last->second.machine;
-    adjust_reservation(id, task, -1);
+    release(id, range.task_resources);
     if (auto m = machines_.find(id); m != machines_.end()) m->second.candidate_known = false;
     remote_candidates_.erase(id);
     range.pending_placements.erase(last);
@@ -123,35 +115,30 @@
   range.write_uncertain = false;
 }
 
-void CandidateCache::adjust_reservation(const std::string& machine, const wire::JobSpec& spec,
-                                    int sign) {
-  const auto change = [sign](double& amount, double by) {
-    amount = std::max(0.0, amount + sign * by);
-  };
-  if (auto m = machines_.find(machine); m != machines_.end()) {
-    change(m->second.reserved_cpus, spec.cpus);
-    change(m->second.reserved_gpus, spec.gpus);
-    change(m->second.reserved_memory, spec.memory_gb);
+void CandidateCache::reserve(const std::string& machine, const Resources& resources) {
+  const auto local = machines_.find(machine);
+  Resources& reserved =
+      local != machines_.end() ? local->second.reserved : remote_reservations_[machine];
+  reserved = (reserved + resources).not_negative();
+}
+
+void CandidateCache::release(const std::string& machine, const Resources& resources) {
+  const auto local = machines_.find(machine);
+  if (local != machines_.end()) {
+    local->second.reserved = (local->second.reserved - resources).not_negative();
     return;
   }
-  const auto at = remote_reservations_.try_emplace(machine).first;
-  change(at->second.cpus, spec.cpus);
-  change(at->second.gpus, spec.gpus);
-  change(at->second.memory_gb, spec.memory_gb);
-  const bool none = at->second.cpus <= kAmountSlack && at->second.gpus <= kAmountSlack &&
-                    at->second.memory_gb <= kAmountSlack;
-  if (none) remote_reservations_.erase(at);
+  Resources& reserved = remote_reservations_[machine];
+  reserved = (reserved - resources).not_negative();
+  if (reserved.negligible()) remote_reservations_.erase(machine);
 }
 
 void CandidateCache::recount_remote_reservations() {
   remote_reservations_.clear();
-  for (const auto& [id, work] : ranges_) {
-    for (const auto& [task, placement] : work.pending_placements) {
-      if (machines_.contains(placement.machine)) continue;
-      Reservation& sum = remote_reservations_[placement.machine];
-      sum.cpus += work.cpus;
-      sum.gpus += work.gpus;
-      sum.memory_gb += work.memory_gb;
+  for (const auto& [id, range] : ranges_) {
+    for (const auto& [task, placement] : range.pending_placements) {
+      if (!machines_.contains(placement.machine))
+        remote_reservations_[placement.machine] += range.task_resources;
     }
   }
 }
--- a/src/scheduling/candidate_cache.h
+++ b/src/scheduling/candidate_cache.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "membership/context.h"
 #include "allocation/placement.h"
 #include "allocation/range_table.h"
+#include "membership/context.h"
 #include "scheduling/scheduling_pass.h"
 #include "workers/machine_table.h"
 
@@ -29,8 +29,9 @@
   void forget_remote(const std::string& machine) { remote_candidates_.erase(machine); }
   void forget_all_remote() { remote_candidates_.clear(); }
 
-  // Changes what is reserved on a machine for placements that are being written.
-  void adjust_reservation(const std::string& machine, const wire::JobSpec& spec, int sign);
+  // Reserves resources on a machine for a placement that is being written, or gives them back.
+  void reserve(const std::string& machine, const Resources& resources);
+  void release(const std::string& machine, const Resources& resources);
   // Counts them anew for machines of other shards: which machines these are has changed.
   void recount_remote_reservations();
   // Takes the last `count` choices back.
@@ -38,11 +39,6 @@
   void clear_pending_placements(RangeState& range);
 
  private:
-  // Taken by placements that are being written.
-  struct Reservation {
-    double cpus = 0, gpus = 0, memory_gb = 0;
-  };
-
   // Books the tasks that are recorded on the machine.
   void book_recorded(Ms now, const Machine& m, Candidate& candidate) const;
   // Books what it lists though no record says so: on its way out, yet still there.
@@ -54,7 +50,8 @@
   MachineTable& machines_;
   RangeTable& ranges_;
   std::unordered_map<std::string, Candidate> remote_candidates_;
-  std::unordered_map<std::string, Reservation> remote_reservations_;
+  // Taken by placements that are being written.
+  std::unordered_map<std::string, Resources> remote_reservations_;
 };
 
 }  // namespace scheduler
--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -1,7 +1,9 @@
 #include "scheduling/gang_placement.h"
+
 #include <algorithm>
 #include <map>
 #include <utility>
+
 #include "base/log_event.h"
 
 namespace scheduler {
@@ -11,9 +13,8 @@
 // Whether a gang that cannot be whole shows that another one cannot either: it needs at least as
 // much, and may go nowhere else.
 bool needs_as_much(const wire::JobSpec& gang, const wire::JobSpec& failed) {
-  return gang.tasks >= failed.tasks && gang.cpus >= failed.cpus && gang.gpus >= failed.gpus &&
-         gang.memory_gb >= failed.memory_gb && gang.types == failed.types &&
-         gang.zone == failed.zone && (!gang.spot || failed.spot) &&
+  return gang.tasks >= failed.tasks && resources_of(gang).covers(resources_of(failed)) &&
+         gang.types == failed.types && gang.zone == failed.zone && (!gang.spot || failed.spot) &&
          (gang.one_zone || !failed.one_zone) && gang.spread == failed.spread;
 }
 
@@ -23,12 +24,12 @@
                            const std::vector<wire::MachineType>& catalog) {
   if (!spec.is_gang()) return false;
   return std::all_of(catalog.begin(), catalog.end(), [&spec](const auto& type) {
-    return !type_fits(spec, type) || fit_count(spec, type.cpus, type.gpus, type.memory_gb) < 2;
+    return !type_fits(spec, type) || fit_count(resources_of(spec), resources_of(type)) < 2;
   });
 }
 
 void GangPlacement::log_gang_wait(Ms now, const RangeId& id, const Job& job, RangeState& range,
-                               std::string_view reason) {
+                                  std::string_view reason) {
   if (range.waits_for == reason) return;
   range.waits_for = reason;
   if (!context_.logs_debug()) return;
@@ -72,7 +73,8 @@
   }
 }
 
-std::vector<int> GangPlacement::find_gang_allocation(SchedulingPass& pass, const wire::JobSpec& spec) {
+std::vector<int> GangPlacement::find_gang_allocation(SchedulingPass& pass,
+                                                     const wire::JobSpec& spec) {
   for (const auto* failed : pass.failed_gangs)
     if (needs_as_much(spec, *failed)) return {};
   // Our own part first; if it cannot hold the gang, other parts' machines too.
@@ -94,12 +96,12 @@
 }
 
 std::vector<int> GangPlacement::allocate_gang(SchedulingPass& pass, const wire::JobSpec& spec,
-                                           bool remote, const std::string& only) {
+                                              bool remote, const std::string& only) {
   const std::vector<int>& machines = pass.machines_for(spec, only, remote);
   double room = 0;
   for (const int i : machines) {
     const Candidate& c = pass.candidate(i);
-    room += fit_count(spec, c.cpus, c.gpus, c.memory_gb);
+    room += fit_count(resources_of(spec), c.free);
     if (room >= spec.tasks) break;
   }
   if (room < spec.tasks) return {};
@@ -113,8 +115,7 @@
     booked.emplace_back(at, c.book(spec, predicted_end(pass.now, spec)));
     const std::string zone = c.zone;
     if (spec.spread && ++in_zone[zone] + 1 > (spec.tasks + 1) / 2)
-      std::erase_if(
-          open, [&](int i) { return pass.candidate(i).zone == zone; });
+      std::erase_if(open, [&](int i) { return pass.candidate(i).zone == zone; });
   }
   std::vector<int> chosen;
   if (booked.size() == spec.tasks) {
--- a/src/scheduling/gang_placement.h
+++ b/src/scheduling/gang_placement.h
@@ -6,11 +6,11 @@
 #include <string_view>
 #include <vector>
 
+#include "allocation/range_table.h"
 #include "membership/context.h"
 #include "membership/controller_status.h"
 #include "quota/quota_manager.h"
 #include "scheduling/candidate_cache.h"
-#include "allocation/range_table.h"
 #include "scheduling/scheduling_pass.h"
 #include "scheduling/task_assigner.h"
 
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -106,16 +106,14 @@
 std::vector<Preemption::Victim> Preemption::enough(const Candidate& candidate,
                                                    std::vector<Victim> victims,
                                                    const wire::JobSpec& spec) {
-  Candidate after = candidate;
+  const Resources demand = resources_of(spec);
+  Resources after = candidate.free;
   std::size_t count = 0;
-  while (count < victims.size() && !after.fits(spec)) {
-    const wire::JobSpec& stopped = *victims[count].spec;
-    after.cpus += stopped.cpus;
-    after.gpus += stopped.gpus;
-    after.memory_gb += stopped.memory_gb;
+  while (count < victims.size() && !after.fits(demand)) {
+    after += resources_of(*victims[count].spec);
     ++count;
   }
-  if (!after.fits(spec)) count = 0;
+  if (!after.fits(demand)) count = 0;
   victims.resize(count);
   return victims;
 }
@@ -127,9 +125,7 @@
     m.stop_requests[victim.task] = {victim.attempt, victim.grace_s};
     // The capacity counts as free below, in the candidate as it stands.
     m.resend_commands = true;
-    candidate.cpus += victim.spec->cpus;
-    candidate.gpus += victim.spec->gpus;
-    candidate.memory_gb += victim.spec->memory_gb;
+    candidate.free += resources_of(*victim.spec);
     context_.log(LogLevel::debug, "stopping " +
                                       wire::task_name(victim.task.job, victim.task.index) + " on " +
                                       candidate.id + " for " + spec.id);
--- a/src/scheduling/range_planner.cpp
+++ b/src/scheduling/range_planner.cpp
@@ -1,6 +1,8 @@
 #include "scheduling/range_planner.h"
+
 #include <algorithm>
 #include <cmath>
+
 #include "allocation/placement.h"
 #include "scheduling/range_split.h"
 #include "wire/state_service.h"
@@ -27,8 +29,8 @@
 }  // namespace
 
 std::size_t RangePlanner::max_placements(std::uint32_t tasks) const {
-  const double bytes =
-      context_.value_bytes() - static_cast<double>(kRangeOverheadBytes) - static_cast<double>(tasks) / 4;
+  const double bytes = context_.value_bytes() - static_cast<double>(kRangeOverheadBytes) -
+                       static_cast<double>(tasks) / 4;
   return static_cast<std::size_t>(std::max(1.0, bytes / kBytesPerPlacement));
 }
 
@@ -59,10 +61,9 @@
   for (const auto& [kind, machines] : shard_machines()) {
     const auto* type = context_.replica.type(kind.type);
     const auto shard = shards.find(kind.owner);
-    if (!type || shard == shards.end() || !allowed(spec, kind.type, kind.zone, kind.spot))
-      continue;
+    if (!type || shard == shards.end() || !allowed(spec, kind.type, kind.zone, kind.spot)) continue;
     const double tasks =
-        static_cast<double>(machines) * fit_count(spec, type->cpus, type->gpus, type->memory_gb);
+        static_cast<double>(machines) * fit_count(resources_of(spec), resources_of(*type));
     shard->second.free += tasks;
     shard->second.total += tasks;
   }
@@ -98,8 +99,7 @@
     const bool other_has_free = other.free >= 1;
     bool better = has_free;
     if (has_free && other_has_free) {
-      better = capacity.free > other.free ||
-               (capacity.free == other.free && shard->first == first);
+      better = capacity.free > other.free || (capacity.free == other.free && shard->first == first);
     } else if (!has_free && !other_has_free) {
       better = (capacity.load + 1) / capacity.total < (other.load + 1) / other.total;
     }
@@ -111,8 +111,7 @@
 std::vector<wire::JobRecord::Share> RangePlanner::split_into_ranges(const wire::JobSpec& spec) {
   ShardCapacities shards = shard_capacities(spec);
   const bool whole = spec.is_gang() || spec.one_zone || spec.spread;
-  const std::string first =
-      rendezvous(wire::job_key(spec.id), context_.cluster_view.owners());
+  const std::string first = rendezvous(wire::job_key(spec.id), context_.cluster_view.owners());
   // Step by step. A step is several tasks: each shard that takes some has records to write for as
   // long as they run.
   double held = 0;
@@ -138,7 +137,8 @@
   // Every replica of a service is placed at once, so that all placements of a range must fit.
   const auto all_placed = static_cast<std::uint32_t>(max_placements(0));
   const std::uint32_t most_tasks =
-      spec.is_service() ? all_placed : tasks_per_range(static_cast<std::size_t>(context_.value_bytes()));
+      spec.is_service() ? all_placed
+                        : tasks_per_range(static_cast<std::size_t>(context_.value_bytes()));
   std::vector<wire::JobRecord::Share> out;
   std::uint32_t begin = 0;
   for (const auto& [name, tasks] : given) {
--- a/src/scheduling/range_writer.cpp
+++ b/src/scheduling/range_writer.cpp
@@ -1,7 +1,9 @@
 #include "scheduling/range_writer.h"
+
 #include <algorithm>
 #include <utility>
 #include <vector>
+
 #include "base/resources.h"
 #include "scheduling/range_split.h"
 #include "state/state_client.h"
@@ -27,7 +29,7 @@
 }
 
 bool RangeWriter::must_write_now(Ms now, const RangeId& id, RangeState& w,
-                                bool may_queue_writes) const {
+                                 bool may_queue_writes) const {
   if (!w.pending_placements.empty() || w.stop_requested || w.write_uncertain) return true;
   if (w.released.empty()) {
     w.released_since = 0;
@@ -43,7 +45,7 @@
 
 // Puts the proven ends of tasks into the record. False when all of them are recorded already.
 bool RangeWriter::record_completions(const wire::JobSpec& spec, RangeState& work,
-                                    wire::RangeRecord& record) {
+                                     wire::RangeRecord& record) {
   bool changed = false;
   for (auto it = work.released.begin(); it != work.released.end();) {
     const auto placed = record.placed.find(it->first);
@@ -68,7 +70,7 @@
 
 // Takes over whether the gang is to be stopped in good order.
 bool RangeWriter::record_stop(const wire::JobSpec& spec, const RangeState& work,
-                             wire::RangeRecord& record) {
+                              wire::RangeRecord& record) {
   const bool stop = work.stop_requested && spec.is_gang() && !record.placed.empty() &&
                     record.done_count() == 0 && !record.stopping;
   if (stop) record.stopping = true;
@@ -79,7 +81,7 @@
 // Takes choices back until the record fits. Guards against a value over the service's limit, which
 // would be refused for ever: names may be longer than the rule of placed_most() counts with.
 void RangeWriter::fit_placements(const wire::JobSpec& spec, RangeState& work,
-                                const wire::RangeRecord& record) {
+                                 const wire::RangeRecord& record) {
   while (!spec.is_gang() && work.pending_placements.size() > 1) {
     wire::RangeRecord full = record;
     for (const auto& [task, placement] : work.pending_placements) full.placed[task] = placement;
@@ -90,7 +92,7 @@
 
 // Puts the chosen placements into the record, with the conditions that they rest on.
 void RangeWriter::record_placements(const Job& job, const RangeState& work,
-                                   wire::RangeRecord& record, Transaction& t) {
+                                    wire::RangeRecord& record, Transaction& t) {
   const wire::JobSpec& spec = job.record.spec;
   // A cancellation or a change of a machine's standing in between voids the placement.
   t.conditions.push_back(context_.state_client.unchanged(wire::job_key(spec.id)));
@@ -195,10 +197,10 @@
     state.retry_at = status_.last_input_at() + kRejectedPauseMs;
     return;
   }
-  context_.log(LogLevel::debug,
-               "writing " + key + " stamp " + std::to_string(context_.state_client.version(key)) +
-                   " placing " + std::to_string(state.pending_placements.size()) + " released " +
-                   std::to_string(state.released.size()));
+  context_.log(LogLevel::debug, "writing " + key + " stamp " +
+                                    std::to_string(context_.state_client.version(key)) +
+                                    " placing " + std::to_string(state.pending_placements.size()) +
+                                    " released " + std::to_string(state.released.size()));
   state.released_since = 0;
   // A user waits for the end of a cancelled job.
   transaction.urgent = spec.priority >= wire::Priority::high || job->record.cancelled;
--- a/src/scheduling/range_writer.h
+++ b/src/scheduling/range_writer.h
@@ -5,12 +5,12 @@
 #include <set>
 #include <string>
 
+#include "allocation/pass_trigger.h"
+#include "allocation/range_table.h"
 #include "membership/context.h"
 #include "membership/controller_status.h"
 #include "scheduling/candidate_cache.h"
-#include "allocation/pass_trigger.h"
 #include "scheduling/range_planner.h"
-#include "allocation/range_table.h"
 #include "wire/records.h"
 
 namespace scheduler {
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -6,6 +6,8 @@
 #include <string_view>
 #include <vector>
 
+#include "allocation/pass_trigger.h"
+#include "allocation/range_table.h"
 #include "membership/context.h"
 #include "membership/controller_status.h"
 #include "quota/quota_manager.h"
@@ -14,10 +16,8 @@
 #include "scheduling/candidate_cache.h"
 #include "scheduling/gang_placement.h"
 #include "scheduling/pending_order.h"
-#include "allocation/pass_trigger.h"
 #include "scheduling/preemption.h"
 #include "scheduling/range_planner.h"
-#include "allocation/range_table.h"
 #include "scheduling/range_writer.h"
 #include "scheduling/scheduling_pass.h"
 #include "scheduling/service_placement.h"
--- a/src/scheduling/scheduling_pass.cpp
+++ b/src/scheduling/scheduling_pass.cpp
@@ -25,8 +25,9 @@
   std::vector<int> open = machines_for(spec, "", false);
   const std::size_t count = std::min(tasks, open.size() / 4 + 1);
   const auto middle = open.begin() + static_cast<std::ptrdiff_t>(std::min(count, open.size()));
-  std::partial_sort(open.begin(), middle, open.end(),
-                    [this](int a, int b) { return candidate(a).cpus > candidate(b).cpus; });
+  std::partial_sort(open.begin(), middle, open.end(), [this](int a, int b) {
+    return candidate(a).free.cpus > candidate(b).free.cpus;
+  });
   reserved.insert(open.begin(), middle);
 }
 
--- a/src/scheduling/service_placement.cpp
+++ b/src/scheduling/service_placement.cpp
@@ -1,4 +1,5 @@
 #include "scheduling/service_placement.h"
+
 #include <algorithm>
 #include <utility>
 
@@ -16,7 +17,7 @@
 }  // namespace
 
 void ServicePlacement::place(SchedulingPass& pass, const RangeId& id, const Job& job,
-                               const wire::RangeRecord& range) {
+                             const wire::RangeRecord& range) {
   const wire::JobSpec& spec = job.record.spec;
   RangeState& state = ranges_[id];
   const std::size_t most = planner_.max_placements(range.end - range.begin);
@@ -67,7 +68,8 @@
   if (bound_to_zones) choice.zones = assigner_.zones_open(pass, job);
   const int local = pick_local_for_replica(pass, choice);
   if (local >= 0) return local;
-  const int preempted = preemption_.preempt_for(pass, spec, true, bound_to_zones ? &*choice.zones : nullptr);
+  const int preempted =
+      preemption_.preempt_for(pass, spec, true, bound_to_zones ? &*choice.zones : nullptr);
   if (preempted >= 0) return preempted;
   // Guards against a service whose zone has no machine of our part.
   candidate_cache_.add_remote_candidates(pass);
@@ -89,7 +91,8 @@
                      random_);
 }
 
-bool ServicePlacement::other_machine_left(const SchedulingPass& pass, const ReplicaChoice& choice) const {
+bool ServicePlacement::other_machine_left(const SchedulingPass& pass,
+                                          const ReplicaChoice& choice) const {
   const wire::JobSpec& spec = *choice.spec;
   return std::any_of(pass.candidates.begin(), pass.candidates.end(), [&](const Candidate* c) {
     return allowed(spec, c->type, c->zone, c->spot) &&
@@ -99,7 +102,8 @@
 }
 
 std::vector<int> ServicePlacement::replica_candidates(const SchedulingPass& pass,
-                                                const ReplicaChoice& choice, bool local) const {
+                                                      const ReplicaChoice& choice,
+                                                      bool local) const {
   const wire::JobSpec& spec = *choice.spec;
   std::vector<int> out;
   for (std::size_t i = 0; i < pass.candidates.size(); ++i) {
--- a/src/scheduling/service_placement.h
+++ b/src/scheduling/service_placement.h
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
+#include "allocation/range_table.h"
 #include "membership/context.h"
 #include "quota/quota_manager.h"
 #include "scheduling/candidate_cache.h"
 #include "scheduling/preemption.h"
 #include "scheduling/range_planner.h"
-#include "allocation/range_table.h"
 #include "scheduling/scheduling_pass.h"
 #include "scheduling/task_assigner.h"
 #include "workers/failure_tracker.h"
@@ -24,8 +24,8 @@
  public:
   ServicePlacement(const Context& context, const MachineTable& machines, RangeTable& ranges,
                    CandidateCache& candidates, TaskAssigner& assigner, Preemption& preemption,
-                   const RangePlanner& planner, QuotaManager& quota,
-                   const FailureTracker& failures, pcg32& random)
+                   const RangePlanner& planner, QuotaManager& quota, const FailureTracker& failures,
+                   pcg32& random)
       : context_(context),
         machines_(machines),
         ranges_(ranges),
@@ -46,11 +46,11 @@
   struct ReplicaChoice {
     const wire::JobSpec* spec = nullptr;
     wire::TaskId replica;
-    std::set<std::string> taken;                      // machines that have a replica
-    std::optional<std::set<std::string>> zones;       // none: any
+    std::set<std::string> taken;                          // machines that have a replica
+    std::optional<std::set<std::string>> zones;           // none: any
     std::optional<Ms> avoid_failures = kFailureMemoryMs;  // of the job, for so long
-    bool without_replica = false;                     // not where the job has a replica
-    bool contacted_recently = false;                  // only where there was contact lately
+    bool without_replica = false;                         // not where the job has a replica
+    bool contacted_recently = false;                      // only where there was contact lately
   };
 
   // The machine for one more replica, or -1. Each choice is by two samples (placement.h); what is
--- a/src/scheduling/task_assigner.cpp
+++ b/src/scheduling/task_assigner.cpp
@@ -1,4 +1,5 @@
 #include "scheduling/task_assigner.h"
+
 #include <map>
 #include <utility>
 
@@ -10,11 +11,9 @@
   RangeState& range = task.range;
   range.pending_placements[task.task] = {task.attempt, candidate.id, candidate.incarnation,
                                          context_.settings.name};
-  range.cpus = spec.cpus;
-  range.gpus = spec.gpus;
-  range.memory_gb = spec.memory_gb;
+  range.task_resources = resources_of(spec);
   if (!booked) candidate.book(spec, predicted_end(pass.now, spec));
-  candidate_cache_.adjust_reservation(candidate.id, spec, 1);
+  candidate_cache_.reserve(candidate.id, range.task_resources);
   auto& used = pass.used[spec.team];
   used.cpus += spec.cpus;
   used.gpus += spec.gpus;
--- a/src/scheduling/task_assigner.h
+++ b/src/scheduling/task_assigner.h
@@ -4,9 +4,9 @@
 #include <set>
 #include <string>
 
+#include "allocation/range_table.h"
 #include "membership/context.h"
 #include "scheduling/candidate_cache.h"
-#include "allocation/range_table.h"
 #include "scheduling/scheduling_pass.h"
 
 namespace scheduler {
--- a/src/scheduling/work_stealing.cpp
+++ b/src/scheduling/work_stealing.cpp
@@ -1,5 +1,7 @@
 #include "scheduling/work_stealing.h"
+
 #include <utility>
+
 #include "allocation/placement.h"
 
 namespace scheduler {
@@ -38,8 +40,7 @@
 }
 
 std::optional<WorkStealing::Offer> WorkStealing::find_offer(SchedulingPass& pass,
-                                                            const std::string& id,
-                                                            const Job& job) {
+                                                            const std::string& id, const Job& job) {
   const wire::JobSpec& spec = job.record.spec;
   // Guards against work that stays for ever with a shard that has no machine for it: a job that
   // cannot be divided further is still taken over by whole ranges, which makes no new record.
@@ -91,8 +92,8 @@
       {spec.cpus, spec.gpus, spec.memory_gb, spec.spot, spec.types, spec.zone}, 0.0);
   if (!fresh) return at->second;
   for (const auto* c : pass.candidates) {
-    if (c->local && c->cpus > 0 && allowed(spec, c->type, c->zone, c->spot))
-      at->second += fit_count(spec, c->cpus, c->gpus, c->memory_gb);
+    if (c->local && c->free.cpus > 0 && allowed(spec, c->type, c->zone, c->spot))
+      at->second += fit_count(resources_of(spec), c->free);
   }
   return at->second;
 }
@@ -104,7 +105,8 @@
   const std::string from_key = wire::range_key(from.job, from.number);
   const std::string to_key = wire::range_key(to.job, to.number);
   Transaction t;
-  t.conditions = {context_.view_unchanged(), context_.state_client.unchanged(wire::job_key(from.job)),
+  t.conditions = {context_.view_unchanged(),
+                  context_.state_client.unchanged(wire::job_key(from.job)),
                   context_.state_client.unchanged(from_key)};
   if (first == left.begin) {
     left.owner = context_.settings.name;
--- a/src/scheduling/work_stealing.h
+++ b/src/scheduling/work_stealing.h
@@ -5,11 +5,11 @@
 #include <pcg_random.hpp>
 #include <string>
 
+#include "allocation/pass_trigger.h"
+#include "allocation/range_table.h"
 #include "membership/context.h"
 #include "quota/quota_manager.h"
-#include "allocation/pass_trigger.h"
 #include "scheduling/range_planner.h"
-#include "allocation/range_table.h"
 #include "scheduling/scheduling_pass.h"
 #include "workers/failure_tracker.h"
 
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -1,6 +1,8 @@
 #include "workers/command_dispatcher.h"
+
 #include <algorithm>
 #include <utility>
+
 #include "base/log_event.h"
 #include "base/resources.h"
 #include "state/job_revision.h"
@@ -20,17 +22,6 @@
 
 }  // namespace
 
-bool CommandDispatcher::CommandPlan::fits(const wire::JobSpec& spec) const {
-  return cpus + kAmountSlack >= spec.cpus && gpus + kAmountSlack >= spec.gpus &&
-         memory_gb + kAmountSlack >= spec.memory_gb;
-}
-
-void CommandDispatcher::CommandPlan::take(const wire::JobSpec& spec) {
-  cpus -= spec.cpus;
-  gpus -= spec.gpus;
-  memory_gb -= spec.memory_gb;
-}
-
 void CommandDispatcher::add_commands_for_listed(const Machine& m, CommandPlan& plan) const {
   for (const auto& [task, reported] : m.tasks) {
     if (plan.commands.size() >= kCommandsPerMessage) break;
@@ -43,7 +34,7 @@
     }
     const std::optional<double> grace_s = grace_to_stop(m, listed, task, reported);
     const bool leaves = grace_s && add_stop(m, listed, task, reported, *grace_s, plan);
-    if (!leaves && listed.job) plan.take(listed.job->record.spec);
+    if (!leaves && listed.job) plan.free -= resources_of(listed.job->record.spec);
   }
 }
 
@@ -58,8 +49,7 @@
     if (task.index < range.begin || task.index >= range.end) continue;
     const auto placed = range.placed.find(task.index);
     if (placed != range.placed.end() && placed->second.machine == m.id &&
-        placed->second.attempt == reported.attempt &&
-        placed->second.incarnation == m.incarnation) {
+        placed->second.attempt == reported.attempt && placed->second.incarnation == m.incarnation) {
       listed.placement = &placed->second;
       listed.ref = {{task.job, number}, task.index};
     }
@@ -89,15 +79,15 @@
   // A checkpoint is written undisturbed unless it is of no use any more.
   if (reported.state != wire::TaskState::checkpointing || grace_s == 0) {
     plan.commands.push_back({wire::CommandKind::stop, task, reported.attempt, grace_s});
-    const bool cancelled = listed.job && listed.job->known &&
-                           cancellations_.is_cancelled(task.job, *listed.job);
+    const bool cancelled =
+        listed.job && listed.job->known && cancellations_.is_cancelled(task.job, *listed.job);
     log_command(m, plan.commands.back(), listed.placement,
                 !listed.placement ? "not_recorded"
                 : cancelled       ? "cancelled"
                                   : "must_not_run");
   }
-  const bool checkpoints = listed.job && listed.job->known &&
-                           listed.job->record.spec.checkpoint_interval_s > 0;
+  const bool checkpoints =
+      listed.job && listed.job->known && listed.job->record.spec.checkpoint_interval_s > 0;
   return grace_s == 0 || !checkpoints || reported.state == wire::TaskState::fetching ||
          reported.state == wire::TaskState::waiting;
 }
@@ -115,13 +105,13 @@
     if (reported != m.tasks.end() && reported->second.attempt == placement->attempt) continue;
     if (ranges_.is_released(ref, placement->attempt)) continue;
     const wire::JobSpec& spec = job->record.spec;
-    if (!plan.fits(spec)) {
+    if (!plan.free.fits(resources_of(spec))) {
       if (!plan.stopping && !spec.is_gang())
         abandon_blocked_start(now, m, task, placement->attempt);
       continue;  // waits for what is being stopped
     }
     m.start_blocked_since.erase(task);
-    plan.take(spec);
+    plan.free -= resources_of(spec);
     plan.commands.push_back({wire::CommandKind::start, task, placement->attempt, 0});
     log_command(m, plan.commands.back(), placement, "placed");
     m.start_token = machines_.token(m);
@@ -131,17 +121,12 @@
 
 std::vector<wire::Command> CommandDispatcher::commands_for(Ms now, Machine& m) {
   CommandPlan plan;
-  if (const auto* type = context_.replica.type(m.type)) {
-    plan.cpus = type->cpus;
-    plan.gpus = type->gpus;
-    plan.memory_gb = type->memory_gb;
-  }
+  if (const auto* type = context_.replica.type(m.type)) plan.free = resources_of(*type);
   add_commands_for_listed(m, plan);
   // A copy of a start for what is forgotten may still be on its way; the new token refuses it. A
   // recorded task that must not run and is not listed: a higher token settles whether it can still
   // start. Both before any start of this message is noted with the token that carries it.
-  if ((plan.forgets || reconciler_.has_unproven_absence(m)) &&
-      machines_.token(m) <= m.start_token)
+  if ((plan.forgets || reconciler_.has_unproven_absence(m)) && machines_.token(m) <= m.start_token)
     ++m.fence;
   // What is recorded and not listed. Nothing is started while the state service is silent.
   if (context_.can_write(now) && m.sequence > 0) add_starts(now, m, plan);
@@ -149,23 +134,27 @@
 }
 
 void CommandDispatcher::log_command(const Machine& m, const wire::Command& command,
-                             const wire::Placement* placement, std::string_view reason) const {
+                                    const wire::Placement* placement,
+                                    std::string_view reason) const {
   if (!context_.logs_debug()) return;
   LogEvent event(command.kind == wire::CommandKind::start ? "start" : "stop");
   event.field("task", wire::task_name(command.task.job, command.task.index));
   event.field("attempt", command.attempt).field("machine", m.id).field("token", machines_.token(m));
   event.field("session", placement ? placement->incarnation : m.incarnation)
       .field("reason", reason);
-  event.field("revision", newest_job_revision(context_.replica, context_.state_client, command.task.job))
+  event
+      .field("revision",
+             newest_job_revision(context_.replica, context_.state_client, command.task.job))
       .field("watched", context_.state_client.applied_revision());
   context_.log(LogLevel::debug, event.text());
 }
 
 void CommandDispatcher::abandon_blocked_start(Ms now, Machine& m, const wire::TaskId& task,
-                                       std::uint64_t attempt) {
+                                              std::uint64_t attempt) {
   auto [since, fresh] = m.start_blocked_since.try_emplace(task, now);
   if (fresh || now - since->second < kBlockedStartMs) return;
-  context_.log(LogLevel::info, "no room for " + wire::task_name(task.job, task.index) + " on " + m.id);
+  context_.log(LogLevel::info,
+               "no room for " + wire::task_name(task.job, task.index) + " on " + m.id);
   m.stop_requests[task] = {attempt, 0.0};
   m.start_blocked_since.erase(since);
   m.candidate_known = false;
@@ -173,7 +162,7 @@
 }
 
 bool CommandDispatcher::needs_direct_command(const Machine& m,
-                                      const std::vector<wire::Command>& list) const {
+                                             const std::vector<wire::Command>& list) const {
   if (!m.token_confirmed || m.unreachable_since != 0 || m.suspect) return true;
   if (std::any_of(list.begin(), list.end(),
                   [](const auto& c) { return c.kind != wire::CommandKind::forget; }))
@@ -182,7 +171,8 @@
 }
 
 void CommandDispatcher::send(Ms now, Machine& m, bool probe) {
-  if (!status_.ready() || m.address.empty() || m.incarnation == 0 || status_.deposed(now) || status_.resynchronising(now))
+  if (!status_.ready() || m.address.empty() || m.incarnation == 0 || status_.deposed(now) ||
+      status_.resynchronising(now))
     return;
   if (m.commands_in_flight) {
     m.resend_commands = true;
@@ -193,7 +183,8 @@
   m.resend_commands = false;
   if (!probe && !needs_direct_command(m, list)) return;
   // Bounded, or a cut would take all sockets; those that do not answer must not be in the way.
-  const bool suspect = m.unanswered_commands > 0 || now - m.last_contact > machines_.unresponsive_after();
+  const bool suspect =
+      m.unanswered_commands > 0 || now - m.last_contact > machines_.unresponsive_after();
   int& out = suspect ? probes_in_flight_ : direct_commands_in_flight_;
   if (out >= (suspect ? context_.capacity.probes : context_.capacity.direct_messages)) {
     m.resend_commands = true;
@@ -203,7 +194,8 @@
   m.commands_in_flight = true;
   m.resend_commands = false;
   SentCommands sent{
-      m.id, m.owned_since_epoch, HeartbeatCounters{m.incarnation, m.sequence}, suspect, false, status_.pauses()};
+      m.id,  m.owned_since_epoch, HeartbeatCounters{m.incarnation, m.sequence}, suspect,
+      false, status_.pauses()};
   std::string body = wire::commands_body(machines_.token(m), m.incarnation, list);
   if (const auto peer = worker_links_.relay_for(now, m)) {
     sent.relayed = true;
@@ -214,14 +206,14 @@
       return;
     sent.relayed = false;
   }
-  context_.call(Target::worker, m.address, "POST", wire::kCommandsPath, std::move(body), kCommandTimeoutMs,
-       [this, sent](Ms at, const HttpResult& http_result) {
-         on_command_result(at, sent, http_result);
-       });
+  context_.call(Target::worker, m.address, "POST", wire::kCommandsPath, std::move(body),
+                kCommandTimeoutMs, [this, sent](Ms at, const HttpResult& http_result) {
+                  on_command_result(at, sent, http_result);
+                });
 }
 
 void CommandDispatcher::on_command_result(Ms now, const SentCommands& sent,
-                                   const HttpResult& http_result) {
+                                          const HttpResult& http_result) {
   --(sent.suspect ? probes_in_flight_ : direct_commands_in_flight_);
   auto it = machines_.find(sent.machine);
   if (it == machines_.end()) return;
@@ -232,7 +224,8 @@
   wire::Heartbeat heartbeat;
   if ((http_result.status == 200 || http_result.status == 409) &&
       wire::parse_heartbeat(http_result.body, heartbeat) && heartbeat.machine == m.id) {
-    const bool again = HeartbeatCounters{heartbeat.incarnation, heartbeat.sequence} <= sent.counters;
+    const bool again =
+        HeartbeatCounters{heartbeat.incarnation, heartbeat.sequence} <= sent.counters;
     if (again) heartbeat_applier_.on_agent_restart(now, m, heartbeat);
     heartbeat_applier_.apply(now, m, heartbeat);
     m.suspect = false;
--- a/src/workers/command_dispatcher.h
+++ b/src/workers/command_dispatcher.h
@@ -7,10 +7,11 @@
 #include <string_view>
 #include <vector>
 
+#include "allocation/range_table.h"
+#include "base/resources.h"
 #include "links/monitor.h"
 #include "membership/context.h"
 #include "membership/controller_status.h"
-#include "allocation/range_table.h"
 #include "workers/heartbeat_applier.h"
 #include "workers/machine_table.h"
 #include "workers/reconciler.h"
@@ -58,12 +59,9 @@
   struct CommandPlan {
     std::vector<wire::Command> commands;
     // Free, as the worker counts; without a bound while its type is not known.
-    double cpus = kUnbounded, gpus = kUnbounded, memory_gb = kUnbounded;
+    Resources free{kUnbounded, kUnbounded, kUnbounded};
     bool forgets = false;   // some exited task is to be forgotten
     bool stopping = false;  // some task is being stopped
-
-    bool fits(const wire::JobSpec& spec) const;
-    void take(const wire::JobSpec& spec);
   };
   // A task that the worker lists, and what the records say of it.
   struct ListedTask {
@@ -77,8 +75,7 @@
                          const ReportedTask& reported) const;
   // Seconds that a listed task has to end; none: it may run on.
   std::optional<double> grace_to_stop(const Machine& m, const ListedTask& listed,
-                                      const wire::TaskId& task,
-                                      const ReportedTask& reported) const;
+                                      const wire::TaskId& task, const ReportedTask& reported) const;
   // Adds the command to stop a listed task. True if its capacity is free soon.
   bool add_stop(const Machine& m, const ListedTask& listed, const wire::TaskId& task,
                 const ReportedTask& reported, double grace_s, CommandPlan& plan) const;
--- a/src/workers/heartbeat_applier.cpp
+++ b/src/workers/heartbeat_applier.cpp
@@ -1,6 +1,8 @@
 #include "workers/heartbeat_applier.h"
+
 #include <algorithm>
 #include <utility>
+
 #include "workers/timing.h"
 
 namespace scheduler {
--- a/src/workers/heartbeat_applier.h
+++ b/src/workers/heartbeat_applier.h
@@ -1,8 +1,8 @@
 // Takes in what a machine says of itself, in a heartbeat or in the reply to a direct message.
 #pragma once
 
-#include "membership/context.h"
 #include "allocation/pass_trigger.h"
+#include "membership/context.h"
 #include "workers/machine_table.h"
 #include "workers/reconciler.h"
 #include "workers/shard_record_writer.h"
--- a/src/workers/heartbeat_endpoint.cpp
+++ b/src/workers/heartbeat_endpoint.cpp
@@ -1,5 +1,7 @@
 #include "workers/heartbeat_endpoint.h"
+
 #include <algorithm>
+
 #include "wire/messages.h"
 
 namespace scheduler {
@@ -17,8 +19,7 @@
     context_.reply_unavailable(request, kRetryAfterS);
     return false;
   }
-  const std::string& owner =
-      context_.cluster_view.machine_owner(heartbeat.machine, heartbeat.zone);
+  const std::string& owner = context_.cluster_view.machine_owner(heartbeat.machine, heartbeat.zone);
   if (owner != context_.settings.name) {
     if (owner.empty()) {
       context_.reply_unavailable(request, kRetryAfterS);
--- a/src/workers/machine.h
+++ b/src/workers/machine.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "base/types.h"
 #include "allocation/placement.h"
+#include "base/types.h"
 #include "wire/messages.h"
 #include "wire/records.h"
 
@@ -93,7 +93,7 @@
   mutable Candidate candidate;
   mutable bool candidate_known = false;
   // Taken by placements that are being written.
-  double reserved_cpus = 0, reserved_gpus = 0, reserved_memory = 0;
+  Resources reserved;
 
   HeartbeatCounters counters() const { return {incarnation, sequence}; }
   // Seconds for which the attempt has run; 0 if it is not known to run here.
--- a/src/workers/machine_monitor.cpp
+++ b/src/workers/machine_monitor.cpp
@@ -1,7 +1,9 @@
 #include "workers/machine_monitor.h"
+
 #include <algorithm>
 #include <string>
 #include <utility>
+
 #include "allocation/placement.h"
 #include "workers/timing.h"
 
@@ -51,8 +53,9 @@
 }
 
 bool MachineMonitor::lease_expired(Ms now, const Machine& m) const {
-  return m.lease_known && static_cast<double>(now - m.lease_granted_at) >
-                              context_.settings.lease_s * 1000.0 * (1.0 + kClockDrift) + kLeaseMarginMs;
+  return m.lease_known &&
+         static_cast<double>(now - m.lease_granted_at) >
+             context_.settings.lease_s * 1000.0 * (1.0 + kClockDrift) + kLeaseMarginMs;
 }
 
 void MachineMonitor::drain(Machine& m) {
@@ -73,8 +76,7 @@
     const double ran = m.run_time_s(now, task, seen.attempt);
     const double need = ran < spec.estimate_s ? spec.estimate_s - ran : kOverrunAllowanceS;
     if (spec.is_gang()) {
-      for (const auto& [number, r] : job->ranges)
-        ranges_[{task.job, number}].stop_requested = true;
+      for (const auto& [number, r] : job->ranges) ranges_[{task.job, number}].stop_requested = true;
       pass_trigger_.request();
       continue;
     }
@@ -98,13 +100,16 @@
   m.resend_commands = true;
 }
 
-bool MachineMonitor::presumed_dead(Ms now, const Machine& m, const links::ContactCount& early) const {
+bool MachineMonitor::presumed_dead(Ms now, const Machine& m,
+                                   const links::ContactCount& early) const {
   const Ms quiet = now - m.last_contact;
   // Guards against returning a machine for one lost message while its report waits for a controller
   // that it reported to before and that does not answer.
-  const Ms patience = machines_.unresponsive_after() + (m.heartbeat_answered ? 0 : kHeartbeatReplyMs);
+  const Ms patience =
+      machines_.unresponsive_after() + (m.heartbeat_answered ? 0 : kHeartbeatReplyMs);
   if (m.unanswered_commands > 0 && quiet > patience) return true;
-  if (m.unanswered_commands < kProbesBeforeReturn || quiet <= machines_.overdue_after()) return false;
+  if (m.unanswered_commands < kProbesBeforeReturn || quiet <= machines_.overdue_after())
+    return false;
   // Guards against returning all services of a zone in the first seconds of a cut: when the first
   // of their machines has left two messages unanswered, most others have not been asked yet.
   return !machines_.probed_early(m) || early.mostly_responsive() ||
@@ -198,8 +203,7 @@
   // goes.
   if (m.unreachable_since != 0 && now - m.unreachable_since > patience)
     mark_lost(now, m, " cannot be reached; returning it");
-  if (now - m.last_heartbeat > patience &&
-      now - m.last_contact <= machines_.unresponsive_after())
+  if (now - m.last_heartbeat > patience && now - m.last_contact <= machines_.unresponsive_after())
     mark_lost(now, m, " sends no heartbeats; returning it");
 }
 
@@ -217,8 +221,7 @@
 
 void MachineMonitor::send_commands_if_due(Ms now, Machine& m) {
   const bool idle_probe = now - m.last_contact > machines_.probe_after(m) &&
-                          now >= m.next_command_at &&
-                          !context_.replica.placed_on(m.id).empty();
+                          now >= m.next_command_at && !context_.replica.placed_on(m.id).empty();
   // What calls for a direct message sets resend_commands; the rest is looked at now and then.
   if (!m.resend_commands && !idle_probe && now < m.next_command_check) return;
   m.next_command_check = now + kCommandCheckMs;
--- a/src/workers/machine_monitor.h
+++ b/src/workers/machine_monitor.h
@@ -2,12 +2,12 @@
 // quarantined, about to be preempted or out of reach.
 #pragma once
 
+#include "allocation/pass_trigger.h"
+#include "allocation/range_table.h"
 #include "links/census.h"
 #include "links/monitor.h"
 #include "membership/context.h"
 #include "membership/controller_status.h"
-#include "allocation/pass_trigger.h"
-#include "allocation/range_table.h"
 #include "workers/command_dispatcher.h"
 #include "workers/machine_table.h"
 #include "workers/shard_record_writer.h"
--- a/src/workers/machine_table.cpp
+++ b/src/workers/machine_table.cpp
@@ -1,5 +1,7 @@
 #include "workers/machine_table.h"
+
 #include <algorithm>
+
 #include "workers/timing.h"
 
 namespace scheduler {
@@ -58,12 +60,13 @@
 
 Ms MachineTable::probe_after(const Machine& m) const {
   return context_.replica.hosts_service(m.id) ? std::min(overdue_after(), kServiceOverdueMs)
-                                      : overdue_after();
+                                              : overdue_after();
 }
 
 bool MachineTable::heartbeats_missing(Ms now, const Machine& m) const {
   return now - m.last_heartbeat >
-         std::max(unresponsive_after(), to_ms(context_.settings.lease_s * kHeartbeatsMissingLeaseShare));
+         std::max(unresponsive_after(),
+                  to_ms(context_.settings.lease_s * kHeartbeatsMissingLeaseShare));
 }
 
 bool MachineTable::contacted_recently(Ms now, const std::string& machine) const {
--- a/src/workers/reconciler.cpp
+++ b/src/workers/reconciler.cpp
@@ -1,5 +1,7 @@
 #include "workers/reconciler.h"
+
 #include <algorithm>
+
 #include "workers/timing.h"
 
 namespace scheduler {
@@ -85,7 +87,7 @@
       break;
     case wire::ExitCause::error:
       context_.log(LogLevel::info,
-          "task " + wire::task_name(ref.range.job, ref.index) + " failed on " + m.id);
+                   "task " + wire::task_name(ref.range.job, ref.index) + " failed on " + m.id);
       if (failure_tracker_.failed(now, m.id, ref.range.job)) {
         if (m.recorded && m.state == wire::MachineState::ready) {
           context_.log(LogLevel::info, "machine " + m.id + " is sick");
@@ -97,7 +99,7 @@
     case wire::ExitCause::busy:
     case wire::ExitCause::unknown:
       context_.log(LogLevel::info,
-          "start of " + wire::task_name(ref.range.job, ref.index) + " refused by " + m.id);
+                   "start of " + wire::task_name(ref.range.job, ref.index) + " refused by " + m.id);
       m.full_until = now + kNoRoomPauseMs;
       break;
     default:
--- a/src/workers/reconciler.h
+++ b/src/workers/reconciler.h
@@ -1,8 +1,8 @@
 // Reconciliation: what the heartbeats of a machine prove about the tasks recorded on it.
 #pragma once
 
-#include "membership/context.h"
 #include "allocation/range_table.h"
+#include "membership/context.h"
 #include "workers/failure_tracker.h"
 #include "workers/gossiped_cancellations.h"
 #include "workers/machine_table.h"
--- a/src/workers/shard_reachability.cpp
+++ b/src/workers/shard_reachability.cpp
@@ -1,4 +1,5 @@
 #include "workers/shard_reachability.h"
+
 #include <utility>
 #include <vector>
 
--- a/src/workers/shard_record_writer.cpp
+++ b/src/workers/shard_record_writer.cpp
@@ -1,7 +1,9 @@
 #include "workers/shard_record_writer.h"
+
 #include <algorithm>
 #include <utility>
 #include <vector>
+
 #include "state/state_client.h"
 #include "workers/timing.h"
 
@@ -17,7 +19,8 @@
 
 }  // namespace
 
-void ShardRecordWriter::record_machine_state(Ms now, Machine& m, wire::MachineState state, Ms within) {
+void ShardRecordWriter::record_machine_state(Ms now, Machine& m, wire::MachineState state,
+                                             Ms within) {
   const auto group = context_.replica.group_of(m.id);
   m.state = std::max(m.state, state);
   if (!group) return;  // the fleet's coordinator records it first; then we are asked again
@@ -66,7 +69,8 @@
     if (shard_writes_[target].busy) return;
     auto [to, fresh] = next.try_emplace(target);
     if (fresh) {
-      if (const auto* old = context_.replica.shard(context_.settings.name, target)) to->second = *old;
+      if (const auto* old = context_.replica.shard(context_.settings.name, target))
+        to->second = *old;
     }
     // What our record of that group says already is newer.
     to->second.machines.try_emplace(id, heard);
@@ -85,7 +89,8 @@
     for (const std::uint32_t target : groups) shard_writes_[target].busy = false;
   };
   t.done = [this, release](Ms at, TxnResult result, const auto&) {
-    result == TxnResult::committed ? release(at) : context_.state_client.wait_until_settled(at, release);
+    result == TxnResult::committed ? release(at)
+                                   : context_.state_client.wait_until_settled(at, release);
   };
   context_.state_client.submit(std::move(t));
 }
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -31,8 +31,8 @@
 Candidate machine(const std::string& id, double cpus, double free) {
   Candidate c;
   c.id = id;
-  c.cpus = free;
-  c.memory_gb = 64;
+  c.free.cpus = free;
+  c.free.memory_gb = 64;
   c.fetch_gb_per_s = 1;
   if (cpus > free) c.booked.push_back({cpus - free, 0, 0, kNow + 30'000});
   return c;
@@ -64,7 +64,7 @@
   }
   for (auto& m : machines) pool.push_back(&m);
   for (int n = 0; n < 50; ++n) EXPECT_EQ(pick_of_two(kNow, pool, spec(4), all, random), 13);
-  machines[13].cpus = 0;
+  machines[13].free.cpus = 0;
   EXPECT_EQ(pick_of_two(kNow, pool, spec(4), all, random), -1);
   EXPECT_EQ(pick_of_two(kNow, pool, spec(4), {}, random), -1);
 }
