--- a/src/allocation/placement.h
+++ b/src/allocation/placement.h
@@ -22,13 +22,13 @@
   Ms ends_at = 0;
 };
 
-// A machine as placement sees it: the last report plus starts since.
+// A machine as placement sees it: the last heartbeat plus starts since.
 struct Candidate {
   std::string id;
   std::string zone;
   std::string type;
   bool spot = false;
-  bool local = true;  // of this controller's part
+  bool local = true;  // of this controller's shard
   std::uint64_t incarnation = 0;
   Resources free;
   double fetch_gb_per_s = 1;
@@ -53,11 +53,12 @@
 // within the allowance.
 double remaining_s(Ms now, Ms ends_at);
 
-// Predicted finish, seconds from now: the wait until room frees, the image fetch, the estimate.
+// Predicted finish, seconds from now: the wait until capacity is free, the image fetch, the
+// estimate.
 double predict_finish(Ms now, const Candidate& machine, const wire::JobSpec& job);
 
 // Index of the machine that takes the task now, or -1 when it has to wait: the lower prediction of
-// two sampled machines; if neither has room, the lowest of one scan.
+// two sampled machines; if neither has capacity, the lowest of one scan.
 int pick_of_two(Ms now, const std::vector<Candidate*>& machines, const wire::JobSpec& job,
                 const std::vector<int>& eligible, pcg32& random);
 
--- a/src/base/capacity.cpp
+++ b/src/base/capacity.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Share of the cloud's rate in a second that rental requests under way may take.
+// Share of the cloud's rate in a second that scale-out requests under way may take.
 constexpr double kScaleOutRateShare = 0.5;
 // Bytes of memory that an unfinished job takes with its records and indexes, and the share of the
 // process's memory that jobs may take (docs/scale.md has the measurement).
@@ -31,13 +31,14 @@
 constexpr int kSocketsPerProbe = 64;
 constexpr int kProbesLeast = 8;
 constexpr int kProbesMost = 64;
-// Connections that a reporting machine takes on average while they are closed after each answer: a
-// report every five seconds, answered within a quarter of a second even by a busy controller.
+// Connections that a machine that sends heartbeats takes on average while they are closed after
+// each answer: a heartbeat every five seconds, answered within a quarter of a second even by a busy
+// controller.
 constexpr double kConnectionsPerMachine = 0.05;
 // Sockets for users, direct messages, links and the two outside services.
 constexpr int kSocketsBesideWorkers = 300;
 // Bytes of a response that is taken in, by the process's memory: decoding takes about four times as
-// much besides. The least holds any page (512 KiB) and any report.
+// much besides. The least holds any page (512 KiB) and any heartbeat.
 constexpr double kResponseMemoryShare = 1.0 / 16;
 constexpr std::size_t kResponseBytesLeast = 1024 * 1024;
 constexpr std::size_t kResponseBytesMost = 8 * 1024 * 1024;
--- a/src/base/capacity.h
+++ b/src/base/capacity.h
@@ -22,7 +22,8 @@
   int probes = 0;
   // Rental requests under way. Beyond it they wait for their turn.
   std::size_t scale_out_requests = 0;
-  // Groups of machines in one transaction of the fleet's coordinator; the rest go with the next.
+  // Groups of machines in one transaction of the fleet leader; the rest go with the
+  // next.
   std::size_t machine_groups_at_once = 0;
   // Bytes of one response that is taken in. A longer answer of a watch counts as a watch that fell
   // behind: the state is read again in pages, which are short.
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -10,7 +10,7 @@
 
 namespace scheduler {
 
-// Seconds in which a job without any aim should be through.
+// Seconds in which a job without any objective should be through.
 constexpr double kDefaultHorizonS = 600.0;
 // Seconds named in Retry-After.
 constexpr int kRetryAfterS = 1;
@@ -65,7 +65,7 @@
   int sockets = 0;
   // Machines that the operators expect at most; 0: not stated. Only checks of the settings use it.
   int expected_machines = 0;
-  // Whether this controller passes commands and reports on for others, and has its own passed on
+  // Whether this controller passes commands and heartbeats on for others, and has its own passed on
   // (workers/relay.h).
   bool relays = false;
   // Whether lines of level debug are wanted; building them costs time.
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -10,9 +10,10 @@
 namespace {
 
 // Milliseconds for which jobs whose cancellation is recorded are named to controllers that can't
-// read the records: about as long as such a cut lasts before their workers have gone elsewhere.
+// read the records: about as long as such a partition lasts before their workers have gone
+// elsewhere.
 constexpr std::int64_t kGossipCancellationMs = 60'000;
-// Such jobs named in one hint, and jobs stopped on such a word.
+// Such jobs named in one gossip message, and jobs stopped on such a word.
 constexpr std::size_t kGossipedCancellations = 32;
 constexpr std::size_t kGossipedCancellationsMost = 1000;
 
--- a/src/fleet/cloud_inventory.cpp
+++ b/src/fleet/cloud_inventory.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Share of the cloud's rate that reading its list may take, page after page: rentals and returns
+// Share of the cloud's rate that reading its list may take, page after page: scale-out and scale-in
 // need the rest.
 constexpr double kListRateShare = 0.4;
 // Times that a page of the list is asked for again before the list is begun anew, and milliseconds
--- a/src/fleet/cloud_inventory.h
+++ b/src/fleet/cloud_inventory.h
@@ -29,10 +29,10 @@
   CloudInventory(const Context& context, std::function<void(Ms now)> complete);
 
   void tick(Ms now);
-  // Forgets the list: this controller doesn't coordinate the fleet, or can't write.
+  // Forgets the list: this controller isn't the fleet leader, or can't write.
   void clear();
-  // This controller stood still: a list that was asked for before is as old as that, on top of its
-  // own lag, and is asked for anew.
+  // This process was paused: a list that was asked for before is as old as that, on top of its own
+  // lag, and is asked for anew.
   void on_pause(Ms now);
   // Whether a whole list has come since it was last forgotten.
   bool known() const { return listed_at_ != 0; }
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -25,7 +25,7 @@
 constexpr double kStuckBootS = 30.0;
 // Seconds that a machine of a type that the catalog doesn't name is taken to need to boot.
 constexpr double kUnknownBootS = 60.0;
-// Milliseconds between looks for machines to return.
+// Milliseconds between checks for machines to return.
 constexpr std::int64_t kScaleInCheckMs = 500;
 // Milliseconds that the record of a machine that is gone is kept beyond what old lists may show.
 constexpr std::int64_t kGoneKeptMs = 60'000;
--- a/src/fleet/fleet_coordinator.h
+++ b/src/fleet/fleet_coordinator.h
@@ -1,5 +1,5 @@
-// The coordinator of the fleet: which machines there are to be. One controller of the view does
-// this, the one that the duty is hashed to.
+// The fleet leader decides which machines there are to be. One controller of the view
+// does this, the one that the duty is hashed to.
 #pragma once
 
 #include <map>
@@ -23,15 +23,15 @@
 constexpr std::int64_t kScaleInIdleAfterMs = 30'000;
 
 // Rents what the unfinished work needs, adopts machines that nobody expected, and returns those
-// that are lost, sick, drained or not needed.
+// that are lost, quarantined, drained or not needed.
 class FleetCoordinator {
  public:
   explicit FleetCoordinator(const Context& context);
 
   void tick(Ms now);
-  // This controller stood still for `gap`.
+  // This process was paused for `gap` milliseconds.
   void on_pause(Ms now, Ms gap);
-  // The link to the cloud; known only while this controller coordinates the fleet.
+  // The link to the cloud; known only while this controller is the fleet leader.
   const links::RequestLink& cloud_link() const { return list_.link(); }
 
  private:
--- a/src/fleet/fleet_record_writer.cpp
+++ b/src/fleet/fleet_record_writer.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Bytes that a machine takes of a shared record, with room for longer names than usual.
+// Bytes that a machine takes of a shared record, with space for longer names than usual.
 constexpr std::size_t kBytesPerMachine = 112;
 
 }  // namespace
@@ -47,7 +47,7 @@
     return;
   }
   // Whatever was not written is found again: in the list, in the records, or by repeating the
-  // rental request under its name.
+  // scale-out request under its name.
   submit(std::move(transaction), [this, batch = std::move(batch)](Ms) { on_settled(batch); });
 }
 
@@ -56,7 +56,7 @@
       std::max(1.0, context_.value_bytes() / static_cast<double>(kBytesPerMachine)));
 }
 
-// Cuts the first group over the limit. True when a write is under way.
+// Splits the first group over the limit. True when a write is under way.
 bool FleetRecordWriter::split_large_group() {
   GroupLimits limits;
   limits.machines = machines_per_group();
@@ -105,7 +105,7 @@
   return group;
 }
 
-// Puts the changes that wait into the batch, new machines into groups that have room.
+// Puts the changes that wait into the batch, new machines into groups that have capacity.
 void FleetRecordWriter::add_machines(Batch& batch) const {
   std::uint32_t open = 0;  // groups before it are full
   for (const auto& [id, record] : pending_) {
@@ -130,7 +130,7 @@
   }
 }
 
-// The transaction that writes the batch, with the rental requests that can be forgotten with it.
+// The transaction that writes the batch, with the scale-out requests that can be forgotten with it.
 Transaction FleetRecordWriter::transaction_of(Batch& batch) const {
   Transaction transaction;
   transaction.conditions = {context_.view_unchanged()};
--- a/src/fleet/fleet_record_writer.h
+++ b/src/fleet/fleet_record_writer.h
@@ -1,4 +1,4 @@
-// The records of which machines there are. Only the fleet's coordinator writes them.
+// The records of which machines there are. Only the fleet leader writes them.
 #pragma once
 
 #include <cstdint>
@@ -16,12 +16,12 @@
 
 namespace scheduler {
 
-// Gathers changes of machines and of settled rental requests, and writes them: one transaction at a
-// time carries as much as fits. A change whose write did not succeed is dropped once the replica
-// holds what was written instead; whoever asked for it finds its cause again.
+// Gathers changes of machines and of settled scale-out requests, and writes them: one transaction
+// at a time carries as much as fits. A change whose write did not succeed is dropped once the
+// replica holds what was written instead; whoever asked for it finds its cause again.
 class FleetRecordWriter {
  public:
-  // Called with the names of rental requests that are forgotten, after each write.
+  // Called with the names of scale-out requests that are forgotten, after each write.
   using Written = std::function<void(const std::vector<std::string>& forgotten_scale_outs)>;
   FleetRecordWriter(const Context& context, Written written);
 
@@ -31,12 +31,12 @@
   void forget(const std::string& id);
   // Whether a change of the machine waits to be written.
   bool pending(const std::string& id) const { return pending_.contains(id); }
-  // The cloud has answered a rental request; it is forgotten together with, or after, the recording
-  // of the machines that it brought.
+  // The cloud has answered a scale-out request; it is forgotten together with, or after, the
+  // recording of the machines that it brought.
   void settle_scale_out(const std::string& name, std::set<std::string> machines);
-  // Forgets what waits: another controller coordinates the fleet now.
+  // Forgets what waits: another controller is the fleet leader now.
   void clear();
-  // Writes what waits, or cuts a group of machines that is over the limit.
+  // Writes what waits, or splits a group of machines that is over the limit.
   void write(Ms now);
 
  private:
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Share of the demand held beyond it, so that a burst finds room while others boot.
+// Share of the demand held beyond it, so that a burst finds capacity while others boot.
 constexpr double kHeadroom = 0.5;
 // Whole machines held free beyond the demand, if there is any.
 constexpr double kSpareMachines = 2.0;
@@ -116,7 +116,7 @@
     }
     int missing = static_cast<int>(std::ceil(need.machines - have));
     while (missing-- > 0) {
-      // Ordinary machines first: they are not taken back. Then the zone with the fewest.
+      // Ordinary machines first: they are not preempted. Then the zone with the fewest.
       const MachineKind* best = nullptr;
       MachineKind found;
       for (const bool spot : {false, true}) {
--- a/src/fleet/fleet_sizer.h
+++ b/src/fleet/fleet_sizer.h
@@ -15,7 +15,7 @@
 // Milliseconds for which a refused kind of machine is not asked for again.
 constexpr std::int64_t kRefusedPauseMs = 15'000;
 
-// The duty of the fleet's coordinator. Its name decides which controller that is, so that the
+// The duty of running the fleet. Its name decides which controller that is, so that the
 // production version and this one must hash the same one.
 constexpr std::string_view kFleetDuty = "cloud";
 
@@ -35,7 +35,7 @@
  public:
   explicit FleetSizer(const Settings& settings) : settings_(settings) {}
 
-  // Tasks of the job that have to run side by side for its aim.
+  // Tasks of the job that have to run side by side for its objective.
   double parallel(const Demand& demand) const;
   // The cheapest allowed type that a task fits on; nullptr if none.
   const wire::MachineType* type_for(const wire::JobSpec& job,
--- a/src/fleet/machine_groups.h
+++ b/src/fleet/machine_groups.h
@@ -1,7 +1,7 @@
 // Cutting groups of machines whose records have grown over the state service's limit on values.
 //
 // Machines share records by groups (wire/records.h). A lowered limit leaves groups that can be read
-// but no longer written. A group is cut by one transaction, so that every machine is in just one
+// but no longer written. A group is split by one transaction, so that every machine is in just one
 // group at any moment; what controllers have recorded of its machines follows in transactions of
 // their own, and counts wherever it stands until then.
 #pragma once
--- a/src/fleet/scale_out_requests.cpp
+++ b/src/fleet/scale_out_requests.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Milliseconds between looks for rental requests to send, and before an unanswered one is repeated.
+// Milliseconds between checks for scale-out requests to send, and before an unanswered one is
+// repeated.
 constexpr std::int64_t kScaleOutCheckMs = 250;
 constexpr std::int64_t kScaleOutRetryMs = 2000;
 
--- a/src/fleet/scale_out_requests.h
+++ b/src/fleet/scale_out_requests.h
@@ -1,4 +1,4 @@
-// Requests to the cloud to rent machines.
+// Requests to the cloud to scale out.
 #pragma once
 
 #include <cstdint>
@@ -34,7 +34,7 @@
   }
   // The records of these requests have been removed.
   void forget(const std::vector<std::string>& names);
-  // Another controller coordinates the fleet now.
+  // Another controller is the fleet leader now.
   void clear() { under_way_.clear(); }
 
  private:
--- a/src/jobs/job_reader.h
+++ b/src/jobs/job_reader.h
@@ -50,7 +50,7 @@
   void wait_until_job_settled(Ms now, std::uint64_t request, const std::string& job, Ms deadline,
                               const std::function<void(Ms now)>& then);
   // A cancellation is told once nothing of the job is left on any machine, by the records. Guards
-  // against tasks that run on in a zone cut off together with a controller, which renews their
+  // against tasks that run on in a zone partitioned together with a controller, which renews their
   // leases and cannot know: nobody was told that they are gone.
   static wire::JobState state_of(const Job& job);
   static JobStatus final_status(const wire::FinalStateRecord& record);
--- a/src/jobs/timeouts.h
+++ b/src/jobs/timeouts.h
@@ -11,7 +11,7 @@
 constexpr std::int64_t kPollTimeoutMs = 1500;
 constexpr std::int64_t kSubmitTimeoutMs = 2500;
 // Milliseconds for which a cancellation that is recorded waits for the proof that nothing is left:
-// a halt and a write take about 100, more on a busy controller.
+// a stop and a write take about 100, more on a busy controller.
 constexpr std::int64_t kCancelTimeoutMs = 1000;
 
 }  // namespace scheduler
--- a/src/membership/cluster_view.h
+++ b/src/membership/cluster_view.h
@@ -31,9 +31,9 @@
   const std::vector<std::string>& owners() const { return owners_; }
   bool is_live(const std::string& name) const;
 
-  // Machines go to live controllers of their own zone, if there are any: when zones are cut from
-  // each other, only a controller on the same side can keep a machine's lease. Those of other zones
-  // go to all, more of them to whom its own zone leaves more time.
+  // Machines go to live controllers of their own zone, if there are any: when zones are partitioned
+  // from each other, only a controller on the same side can keep a machine's lease. Those of other
+  // zones go to all, more of them to whom its own zone leaves more time.
   const std::string& machine_owner(const std::string& machine, const std::string& zone) const;
   // A range stays with the controller it was given to while that is live.
   std::string range_owner(const std::string& key, const std::string& recorded) const;
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Milliseconds that a member's hold must have been gone before others remove it.
+// Milliseconds that a member's session lease must have been missing before others remove it.
 constexpr std::int64_t kMemberRemovalDelayMs = 400;
 // Further milliseconds for each live controller before us in order, so that one of them writes.
 constexpr std::int64_t kMemberRemovalStaggerMs = 300;
--- a/src/membership/membership_manager.h
+++ b/src/membership/membership_manager.h
@@ -22,7 +22,7 @@
                     std::function<void(Ms now)> joined);
 
   void tick(Ms now);
-  // This controller stood still: how long others' leases have been missing counts anew.
+  // This process was paused: how long others' leases have been missing counts anew.
   void on_pause() { lease_missing_since_.clear(); }
 
  private:
--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -39,8 +39,8 @@
     auto it = in.used.find(who);
     return it == in.used.end() ? 0.0 : it->second.*field;
   };
-  // Grants of controllers that are not live shrink to what their placements still use; the view
-  // guard of the write keeps them from using more.
+  // Quota leases of controllers that are not live shrink to what their placements still use; the
+  // view guard of the write keeps them from using more.
   for (auto& [who, grant] : r.leases) {
     if (std::find(in.live.begin(), in.live.end(), who) != in.live.end()) continue;
     if (grant.*field > used(who) + kAmountSlack) {
@@ -61,7 +61,7 @@
   const double free = in.leave_to_collector ? 0.0 : std::max(0.0, limit - granted);
   double& demand = r.demand[in.self].*field;
   if (in.yield) {
-    // Guards against gangs in several parts that each keep a remainder too small to start, for
+    // Guards against gangs in several shards that each keep a remainder too small to start, for
     // ever.
     if (own > own_used + kAmountSlack) {
       own = own_used;
@@ -88,7 +88,7 @@
     const double needed =
         std::min(free, service_lack) + std::min(rest, std::max(0.0, target - own - service_lack));
     // While nobody else asks, some of what is free comes along, so that the next gang or array does
-    // not wait for a write; it is given back as soon as another part wants it.
+    // not wait for a write; it is given back as soon as another shard wants it.
     const bool alone = others_want <= kAmountSlack;
     const double spare = alone ? (free - needed) / static_cast<double>(in.live.size() + 1) : 0.0;
     const double take = needed + spare;
--- a/src/quota/quota_leases.h
+++ b/src/quota/quota_leases.h
@@ -1,5 +1,5 @@
 // Shares of a team's limit, granted to controllers in a record of the state service. A controller
-// starts tasks only from its own grant, so the limit holds over all parts without asking anyone.
+// starts tasks only from its own lease, so the limit holds over all shards without asking anyone.
 #pragma once
 
 #include <optional>
@@ -11,9 +11,9 @@
 
 namespace scheduler {
 
-// Milliseconds between looks at the grants of teams' limits.
+// Milliseconds between checks of the quota leases.
 constexpr std::int64_t kQuotaCheckMs = 100;
-// Milliseconds for which a part must have had a grant too small for all that waits before it gives
+// Milliseconds for which a shard must have had a lease too small for all that waits before it gives
 // it to whose turn it is, and milliseconds of a turn: long enough to collect and to start.
 constexpr std::int64_t kQuotaStuckMs = 2000;
 constexpr std::int64_t kQuotaTurnMs = 8000;
@@ -22,7 +22,7 @@
   const Team* team = nullptr;
   std::string self;
   std::vector<std::string> live;
-  // Used per grant: recorded placements and, for our own, those being written.
+  // Used per lease: recorded placements and, for our own, those being written.
   std::map<std::string, wire::QuotaRecord::Amount> used;
   wire::QuotaRecord::Amount need;  // what our waiting tasks would take beyond what we use
   // What our replicas that are on no machine need; part of what we use, since it is kept for them.
@@ -33,23 +33,23 @@
   bool leave_to_collector = false;
 };
 
-// Remembers for whom a grant was given up.
+// Remembers for whom a lease was given up.
 class YieldMemory {
  public:
-  // At a look at the grants: whether we give ours up now, and whose turn it is. True as long as
-  // what we gave up is to be left to that controller.
+  // At a look at the quota leases: whether we give ours up now, and whose turn it is. True as long
+  // as what we gave up is to be left to that controller.
   bool leave_to_collector(bool yields, const std::string& turn);
 
  private:
   std::string yielded_to_;
 };
 
-// Whose turn it is to collect grants, of the live controllers that want more; all know it alike,
-// give or take the difference of their clocks. Empty: nobody wants any.
+// Whose turn it is to collect quota leases, of the live controllers that want more; all know it
+// alike, give or take the difference of their clocks. Empty: nobody wants any.
 std::string quota_collector(const wire::QuotaRecord& record, const std::vector<std::string>& live,
                             Ms wall);
 bool limited(const Team& team);
-// Room left in our grant.
+// Free capacity of our lease.
 bool within_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
                   const wire::QuotaRecord::Amount& used, double cpus, double gpus);
 // What the services of other live controllers lack: it goes before all other work of the team.
--- a/src/quota/quota_manager.h
+++ b/src/quota/quota_manager.h
@@ -29,8 +29,8 @@
         service_reserve_(service_reserve),
         pass_trigger_(pass_trigger) {}
 
-  // Whether our lease has room for one more such task. `used`: what is used of our leases, by team;
-  // counted at the first question of a pass and kept up to date by the caller.
+  // Whether our lease has capacity for one more such task. `used`: what is used of our leases, by
+  // team; counted at the first question of a pass and kept up to date by the caller.
   bool allows(std::map<std::string, wire::QuotaRecord::Amount>& used, const wire::JobSpec& spec);
   // So many tasks wait for a larger lease.
   void add_demand(const wire::JobSpec& spec, std::uint32_t tasks);
--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -77,7 +77,7 @@
                                                      const wire::JobSpec& spec) {
   for (const auto* failed : pass.failed_gangs)
     if (needs_as_much(spec, *failed)) return {};
-  // Our own part first; if it cannot hold the gang, other parts' machines too.
+  // Our own shard first; if it cannot hold the gang, other shards' machines too.
   for (const bool remote : {false, true}) {
     if (remote) candidate_cache_.add_remote_candidates(pass);
     std::vector<std::string> tries;
--- a/src/scheduling/pending_order.cpp
+++ b/src/scheduling/pending_order.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Rounds in which it is settled which of its class's aims each waiting job is to meet; classes have
-// two to four.
+// Rounds in which it is settled which of its class's objectives each waiting job is to meet;
+// classes have two to four.
 constexpr int kOrderRounds = 4;
 
 }  // namespace
@@ -17,14 +17,14 @@
   enum Class : int { in_time, late, misses_every_objective };
   const std::size_t n = jobs.size();
   std::vector<int> kind(n, in_time);
-  std::vector<std::size_t> aim(n, 0);  // the aim that the job is to meet
+  std::vector<std::size_t> objective(n, 0);  // the objective that the job is to meet
   std::vector<std::size_t> order(n);
   std::iota(order.begin(), order.end(), 0);
   for (std::size_t i = 0; i < n; ++i)
     if (jobs[i].latest_starts.empty()) kind[i] = misses_every_objective;
-  auto due = [&](std::size_t i) { return jobs[i].latest_starts[aim[i]]; };
+  auto due = [&](std::size_t i) { return jobs[i].latest_starts[objective[i]]; };
   const double rate = std::max(cpus * kForecastShare, 1.0);
-  // A job that misses an aim may still meet the next; each round settles who does.
+  // A job that misses an objective may still meet the next; each round settles who does.
   for (int round = 0; round < kOrderRounds; ++round) {
     std::vector<std::size_t> open;
     for (std::size_t i = 0; i < n; ++i)
@@ -55,8 +55,8 @@
       chosen.pop_back();
       busy_s -= jobs[worst].work / rate;
       put_off = true;
-      if (++aim[worst] >= jobs[worst].latest_starts.size()) {
-        aim[worst] = 0;
+      if (++objective[worst] >= jobs[worst].latest_starts.size()) {
+        objective[worst] = 0;
         kind[worst] = late;
       }
     }
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -12,7 +12,7 @@
 
 // Seconds of work that are little to lose at any time.
 constexpr double kNegligibleLossS = 5.0;
-// Machines drawn to find the one where making room loses least.
+// Machines drawn to find the one where preemption loses least.
 constexpr int kPreemptionSamples = 20;
 // Seconds that a low-priority task must still have ahead for standard work to stop it; high and
 // production work stops any. Below it waiting is cheaper than saving, fetching and repeating.
--- a/src/scheduling/range_split.cpp
+++ b/src/scheduling/range_split.cpp
@@ -34,7 +34,7 @@
   return piece;
 }
 
-// Where to cut: so that both sides have as many placements, or as many tasks if there are none.
+// Where to split: so that both sides have as many placements, or as many tasks if there are none.
 std::uint32_t middle(const wire::RangeRecord& range) {
   if (range.placed.size() < 2) return range.begin + (range.end - range.begin) / 2;
   const auto half = static_cast<std::ptrdiff_t>(range.placed.size() / 2);
--- a/src/scheduling/range_writer.cpp
+++ b/src/scheduling/range_writer.cpp
@@ -105,10 +105,10 @@
     owners.insert(machine ? context_.cluster_view.machine_owner(placement.machine, machine->zone)
                           : context_.settings.name);
   }
-  // One stamp stands for all machines of a part: whoever places on another part's machines
-  // changes its claim, and so makes placements of its controller that do not know of these fail.
-  // A condition for each machine would not fit into a transaction for an array spread over
-  // hundreds.
+  // One stamp stands for all machines of a shard: whoever places on another shard's machines
+  // changes its shard write guard, and so makes placements of its controller that do not know of
+  // these fail. A condition for each machine would not fit into a transaction for an array spread
+  // over hundreds.
   for (const auto& owner : owners) {
     const std::string guard_key = wire::shard_guard_key(owner);
     t.conditions.push_back(context_.state_client.unchanged(guard_key));
@@ -123,7 +123,7 @@
       t.conditions.push_back(context_.state_client.unchanged(wire::range_key(spec.id, number)));
 }
 
-// Adds the writes of the record, cut into several where it would not fit. False when it cannot be
+// Adds the writes of the record, split into several where it would not fit. False when it cannot be
 // written within the limits: it can once more of its tasks have ended.
 bool RangeWriter::write_pieces(const Job& job, const wire::RangeRecord& record, Transaction& t) {
   const auto limit = static_cast<std::size_t>(context_.value_bytes());
@@ -218,7 +218,7 @@
   pass_trigger_.request();
   const bool not_executed = result == TxnResult::refused || result == TxnResult::rejected;
   if (result == TxnResult::unknown) {
-    // Guards against a late write that fills a grant or a machine a second time.
+    // Guards against a late write that fills a lease or a machine a second time.
     work.write_uncertain = true;
   } else if (result == TxnResult::committed || (not_executed && !work.write_uncertain)) {
     candidate_cache_.clear_pending_placements(work);
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -19,8 +19,8 @@
 // Writes that may wait for the state service before scheduling asks for more (high work excepted):
 // about a second's share of the rate.
 constexpr int kWritesQueued = 16;
-// Seconds from which on a job is old, whatever its aims, and the share of a part's CPUs that old
-// jobs have before all others.
+// Seconds from which on a job is old, whatever its objectives, and the share of a shard's CPUs that
+// old jobs have before all others.
 constexpr double kOldJobS = 180.0;
 constexpr double kOldShare = 0.2;
 // Seconds after which a job that has nothing started goes before all others with its first tasks,
--- a/src/scheduling/service_placement.cpp
+++ b/src/scheduling/service_placement.cpp
@@ -8,10 +8,12 @@
 namespace {
 
 // Replicas of one range that find no machine in a pass before the rest of it waits for the next:
-// one may be kept from the only machine with room by its own result there, while another is not.
+// one may be kept from the only machine with capacity by its own result there, while another is
+// not.
 constexpr std::uint32_t kReplicasWithoutMachine = 4;
 // Milliseconds after which a replica is tried again on a machine that failed it, if only such
-// machines have room: enough for a sick machine to have failed another job and to be returned.
+// machines have capacity: enough for a failing machine to have failed another job and to be
+// returned.
 constexpr std::int64_t kRetryFailedMachineMs = 10'000;
 
 }  // namespace
@@ -55,7 +57,7 @@
 }
 
 // The machine for one more replica, or -1. Each choice is by two samples (placement.cpp); what is
-// sampled is narrowed step by step. Our own machines come first: a replica on another part's
+// sampled is narrowed step by step. Our own machines come first: a replica on another shard's
 // machine makes placements of its owner fail and starts later. Machines where the job failed come
 // last, and only if it has failed on several or no other is left.
 int ServicePlacement::pick_for_replica(SchedulingPass& pass, const Job& job, std::uint32_t task) {
@@ -71,19 +73,19 @@
   const int preempted =
       preemption_.preempt_for(pass, spec, true, bound_to_zones ? &*choice.zones : nullptr);
   if (preempted >= 0) return preempted;
-  // Guards against a service whose zone has no machine of our part.
+  // Guards against a service whose zone has no machine of our shard.
   candidate_cache_.add_remote_candidates(pass);
   if (bound_to_zones) choice.zones = assigner_.zones_open(pass, job);
-  // Guards against a service bound to a zone of another part that waits because each machine with
-  // room there has a replica already.
+  // Guards against a service bound to a zone of another shard that waits because each machine with
+  // capacity there has a replica already.
   for (const bool without_replica : {true, false}) {
     choice.without_replica = without_replica;
     const int remote = pick_of_two(pass.now, pass.candidates, spec,
                                    replica_candidates(pass, choice, false), random_);
     if (remote >= 0) return remote;
   }
-  // Guards against a replica that waits for as long as errors are remembered because the only room
-  // is on a machine that has failed it once.
+  // Guards against a replica that waits for as long as errors are remembered because the only free
+  // capacity is on a machine that has failed it once.
   const bool others = !failure_tracker_.is_faulty_job(spec.id) && other_machine_left(pass, choice);
   choice.avoid_failures.reset();
   if (others) choice.avoid_failures = kRetryFailedMachineMs;
--- a/src/scheduling/work_stealing.cpp
+++ b/src/scheduling/work_stealing.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Unstarted tasks from which on another part takes a range soon, and milliseconds after which it
+// Unstarted tasks from which on another shard takes a range soon, and milliseconds after which it
 // takes fewer.
 constexpr std::size_t kStealAtLeastTasks = 8;
 constexpr std::int64_t kStealFewAfterMs = 3000;
-// Milliseconds that a range must have waited unstarted before another part may take from it: its
+// Milliseconds that a range must have waited unstarted before another shard may take from it: its
 // owner, which sees it first, gets the first try.
 constexpr std::int64_t kStealAfterMs = 400;
 
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Milliseconds for which a recorded start may wait for room while nothing on its machine is being
-// stopped: reports of what ended come within one.
+// Milliseconds for which a recorded start may wait for capacity while nothing on its machine is
+// being stopped: heartbeats of what ended come within one.
 constexpr std::int64_t kBlockedStartMs = 2500;
 // Commands in one message to a worker; keeps any body far below 64 KiB.
 constexpr std::size_t kCommandsPerMessage = 200;
@@ -182,7 +182,8 @@
   const auto list = commands_for(now, m);
   m.resend_commands = false;
   if (!probe && !needs_direct_command(m, list)) return;
-  // Bounded, or a cut would take all sockets; those that do not answer must not be in the way.
+  // Bounded, or a partition would take all sockets; those that do not answer must not be in the
+  // way.
   const bool suspect =
       m.unanswered_commands > 0 || now - m.last_contact > machines_.unresponsive_after();
   int& out = suspect ? probes_in_flight_ : direct_commands_in_flight_;
@@ -238,7 +239,7 @@
     // It has answered, so it is within reach. A restarted one shows our token first.
     if (!again) m.unreachable_since = 0;
     m.next_command_at = http_result.status == 200 ? now : now + kCommandRetryMs / 4;
-    // What was stopped may be gone, and what waits for its room can start.
+    // What was stopped may be gone, and what waits for its capacity can start.
     m.next_command_check = std::min(m.next_command_check, now + kMachineCheckMs);
   } else if (!current) {
     // We were not there to hear it. It may have been executed, or may still be.
--- a/src/workers/failure_tracker.cpp
+++ b/src/workers/failure_tracker.cpp
@@ -9,7 +9,7 @@
 // Milliseconds for which a machine that has a replica's result is avoided for its job: the worker
 // keeps the result for good, and would end each further attempt at once.
 constexpr std::int64_t kKeptResultMemoryMs = 3'600'000;
-// Jobs whose tasks must have failed on a machine before it counts as sick.
+// Jobs whose tasks must have failed on a machine before it is quarantined.
 constexpr std::size_t kQuarantineJobs = 2;
 // Machines on which tasks of a job must have failed before the job counts as faulty itself.
 constexpr std::size_t kFaultyJobMachines = 2;
--- a/src/workers/failure_tracker.h
+++ b/src/workers/failure_tracker.h
@@ -1,4 +1,4 @@
-// Tells sick machines from faulty jobs.
+// Tells failing machines from faulty jobs.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
 
 class FailureTracker {
  public:
-  // A task of `job` failed on `machine`. True when the machine now counts as sick.
+  // A task of `job` failed on `machine`. True when the machine is quarantined now.
   bool failed(Ms now, const std::string& machine, const std::string& job);
   // A replica of a service ended at once without being stopped. Says nothing against the machine;
   // the job is backed off if it goes on.
--- a/src/workers/gossiped_cancellations.cpp
+++ b/src/workers/gossiped_cancellations.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Such jobs named in one hint, and jobs stopped on such a word.
+// Such jobs named in one gossip message, and jobs stopped on such a word.
 constexpr std::size_t kGossipedCancellations = 32;
 constexpr std::size_t kGossipedCancellationsMost = 1000;
 
--- a/src/workers/machine_monitor.cpp
+++ b/src/workers/machine_monitor.cpp
@@ -12,24 +12,25 @@
 namespace {
 
 // Estimated seconds of high-priority tasks that are begun again rather than waited for when their
-// zone is cut off; cuts last about a minute.
+// zone is partitioned; partitions last about a minute.
 constexpr double kRestartElsewhereS = 30.0;
 // Relative drift of steady clocks (PROTOCOL: 0.05%), doubled for both ends being off.
 constexpr double kClockDrift = 0.001;
 // Milliseconds added to a lease before it counts as run out: timers fire late by a few.
 constexpr std::int64_t kLeaseMarginMs = 250;
-// Seconds before its machine is taken at which a replica is stopped to be moved: a halt and the
+// Seconds before its machine is preempted at which a replica is stopped to be moved: a stop and the
 // proof of it take about one, and until then it serves.
 constexpr double kServiceMoveS = 3.0;
-// Direct messages that a machine without reports leaves unanswered before it is returned; one is
+// Direct messages that a machine without heartbeats leaves unanswered before it is returned; one is
 // enough once it counts as silent.
 constexpr int kProbesBeforeReturn = 2;
-// Milliseconds between looks whether a machine needs a direct message, if nothing calls for one.
+// Milliseconds between checks whether a machine needs a direct message, if nothing calls for one.
 constexpr std::int64_t kCommandCheckMs = 1000;
-// Machines looked at in a second at most, so that the looks of a large part stay below a hundredth
-// of a core: each takes about a microsecond. A part of 4,000 is then looked at every 0.8 s.
+// Machines checked in a second at most, so that the checks of a large shard stay below a hundredth
+// of a core: each takes about a microsecond. A shard of 4,000 is then checked every 0.8 s.
 constexpr std::int64_t kMachineChecksPerS = 5000;
-// Worker leases for which a machine may be out of reach, though it reports, before it is returned.
+// Worker leases for which a machine may be out of reach, though its heartbeats come, before it is
+// returned.
 constexpr double kUnreachableLeases = 2.0;
 
 }  // namespace
@@ -103,15 +104,15 @@
 bool MachineMonitor::presumed_dead(Ms now, const Machine& m,
                                    const links::ContactCount& early) const {
   const Ms quiet = now - m.last_contact;
-  // Guards against returning a machine for one lost message while its report waits for a controller
-  // that it reported to before and that does not answer.
+  // Guards against returning a machine for one lost message while its heartbeat waits for a
+  // controller that it was sent to before and that does not answer.
   const Ms patience =
       machines_.unresponsive_after() + (m.heartbeat_answered ? 0 : kHeartbeatReplyMs);
   if (m.unanswered_commands > 0 && quiet > patience) return true;
   if (m.unanswered_commands < kProbesBeforeReturn || quiet <= machines_.overdue_after())
     return false;
-  // Guards against returning all services of a zone in the first seconds of a cut: when the first
-  // of their machines has left two messages unanswered, most others have not been asked yet.
+  // Guards against returning all services of a zone in the first seconds of a partition: when the
+  // first of their machines has left two messages unanswered, most others have not been asked yet.
   return !machines_.probed_early(m) || early.mostly_responsive() ||
          quiet > machines_.overdue_after() + kTwoUnansweredCommandsMs;
 }
--- a/src/workers/machine_table.cpp
+++ b/src/workers/machine_table.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-// Report intervals without a report after which a machine gets nothing new; reports come at up to
-// 1.25 intervals, so this allows one to be lost.
+// Heartbeat intervals without a heartbeat after which a machine gets nothing new; heartbeats come
+// at up to 1.25 intervals, so this allows one to be lost.
 constexpr double kUnresponsiveIntervals = 2.6;
-// Report intervals without a report after which it is asked directly; just above the longest.
+// Heartbeat intervals without a heartbeat after which it is asked directly; just above the longest.
 constexpr double kOverdueIntervals = 1.4;
-// Share of a worker lease without a report after which a machine gets nothing new though it answers
-// direct messages: its lease is about to end. After a crash of its controller it finds the next in
-// 5 s as a rule, well within.
+// Share of a worker lease without a heartbeat after which a machine gets nothing new though it
+// answers direct messages: its lease is about to end. After a crash of its controller it finds the
+// next in 5 s as a rule, well within.
 constexpr double kHeartbeatsMissingLeaseShare = 0.6;
 
 }  // namespace
@@ -42,8 +42,8 @@
     m.spot = record->spot;
   }
   if (m.sequence > 0) return;
-  // Not heard yet: the newest session that anybody has recorded, or placed something in. Later ones
-  // can only mean that even more of its tasks are gone.
+  // Not heard yet: the newest incarnation that anybody has recorded, or placed something in. Later
+  // ones can only mean that even more of its tasks are gone.
   m.incarnation = std::max(m.incarnation, record->incarnation);
   for (const TaskRef& ref : context_.replica.placed_on(m.id))
     if (const auto* p = context_.replica.placement(ref))
--- a/src/workers/reconciler.cpp
+++ b/src/workers/reconciler.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Milliseconds for which a machine that refused a start for lack of room is passed over.
+// Milliseconds for which a machine that refused a start for lack of capacity is passed over.
 constexpr std::int64_t kNoRoomPauseMs = 1500;
 
 }  // namespace
@@ -47,7 +47,7 @@
       cancellations_.is_cancelled(ref.range.job, job->second))
     return true;
   const auto& spec = job->second.record.spec;
-  // Placed in a session that is over with the machine's former life (restarted).
+  // Placed in an incarnation of the machine's life before it restarted.
   if (m.sequence > 0 && p.incarnation > m.incarnation) return true;
   if (m.stop_requested({ref.range.job, ref.index}, p.attempt)) return true;
   if (!spec.is_gang()) return false;
--- a/src/workers/relay.h
+++ b/src/workers/relay.h
@@ -13,15 +13,15 @@
 
 namespace scheduler {
 
-// A command goes to its worker through a peer under the same token and session, and a report to its
-// owner, whose answer the worker takes since any controller may give it under an equal token
+// A command goes to its worker through a peer under the same token and incarnation, and a heartbeat
+// to its owner, whose answer the worker takes since any controller may give it under an equal token
 // (PROTOCOL, "Tokens"). So nothing that holds for a direct message is different for one that is
 // passed on: it may be lost, late or carried out twice. Who passes on decides nothing and keeps
 // nothing but the request that waits for its answer.
 class Relay {
  public:
   using Send = std::function<void(const std::string& peer, std::string bytes)>;
-  // Hands a report that a peer has passed on to the controller; its answer comes by
+  // Hands a heartbeat that a peer has passed on to the controller; its answer comes by
   // `answer_report` with the same number.
   using TakeHeartbeat = std::function<void(Ms now, std::uint64_t request, const std::string& body)>;
 
@@ -36,7 +36,7 @@
                       std::string body, ResultHandler done);
   // One worker of a zone in a while is sent to its owner although that doesn't hear the zone, so
   // that it is found out when it does again. True if that is to be this one; never one whose last
-  // report was not passed on here, since its lease may be about to end.
+  // heartbeat was not passed on here, since its lease may be about to end.
   bool direct_attempt_due(Ms now, const std::string& owner, const std::string& zone,
                           const std::string& worker);
 
@@ -44,7 +44,7 @@
   void on_reply(Ms now, const wire::RelayReply& reply);
   void tick(Ms now);
 
-  // Whether a request of the controller is a report that a peer has passed on.
+  // Whether a request of the controller is a heartbeat that a peer has passed on.
   static bool is_relayed(std::uint64_t request) { return (request & kRelayedBit) != 0; }
   void reply_to_heartbeat(std::uint64_t request, int status, const std::string& body);
 
--- a/src/workers/shard_reachability.cpp
+++ b/src/workers/shard_reachability.cpp
@@ -13,7 +13,8 @@
 
 void ShardReachability::tick(Ms now) {
   if (write_in_flight_ || now < next_check_ || !context_.can_write(now)) return;
-  // Guards against taking workers that report to their new owner already for a link that is down.
+  // Guards against taking workers that already send heartbeats to their new owner for a link that
+  // is down.
   if (status_.newest_epoch_seen() > context_.cluster_view.epoch()) return;
   if (context_.replica.view().unreachable.contains(context_.settings.name)) {
     reclaim_shard(now);
--- a/src/workers/shard_record_writer.cpp
+++ b/src/workers/shard_record_writer.cpp
@@ -14,7 +14,7 @@
 // Writes that only say which machines were heard may wait at once: placements go before them, and a
 // fleet of thousands has more such records than a second has writes.
 constexpr std::size_t kContactWritesQueued = 4;
-// Milliseconds between looks for entries that stand in the record of another group.
+// Milliseconds between checks for entries that stand in the record of another group.
 constexpr std::int64_t kStrayCheckMs = 1000;
 
 }  // namespace
@@ -23,7 +23,7 @@
                                              Ms within) {
   const auto group = context_.replica.group_of(m.id);
   m.state = std::max(m.state, state);
-  if (!group) return;  // the fleet's coordinator records it first; then we are asked again
+  if (!group) return;  // the fleet leader records it first; then we are asked again
   ShardWrite& w = shard_writes_[*group];
   const wire::ShardRecord::Contact heard{m.address, m.incarnation, m.state, m.owned_since_epoch};
   auto [at, fresh] = w.pending.try_emplace(m.id, heard);
@@ -109,7 +109,7 @@
     // Guards against dropping what we know of machines that have gone to another group.
     const auto* mine = context_.replica.shard(context_.settings.name, group);
     if (mine && has_strays(*mine, group)) continue;
-    // Verdicts on machines that went to another part meanwhile are not ours to write.
+    // States of machines that went to another shard meanwhile are not ours to write.
     std::erase_if(w.pending, [this](const auto& p) { return !machines_.contains(p.first); });
     const auto fleet = context_.replica.fleet().find(group);
     if (w.pending.empty() || fleet == context_.replica.fleet().end()) {
@@ -126,7 +126,7 @@
     }
     for (const auto& [id, heard] : w.pending)
       if (fleet->second.machines.contains(id)) next.machines[id] = heard;
-    // Guards against verdicts that are lost with the controller that found them, again and again:
+    // Guards against decisions that are lost with the controller that found them, again and again:
     // on them wait users whose cancelled jobs run on a machine that does not answer.
     const bool urgent = std::any_of(w.pending.begin(), w.pending.end(), [](const auto& p) {
       return p.second.state == wire::MachineState::lost;
--- a/src/workers/shard_record_writer.h
+++ b/src/workers/shard_record_writer.h
@@ -13,7 +13,7 @@
 
 // The one writer of `part/NAME/G` for its own NAME. Many machines share a record and each record
 // has one writer, so that a wave of machines coming or going costs a few writes and no conflicts:
-// the fleet's coordinator writes which machines there are (fleet/fleet_record_writer.h), each
+// the fleet leader writes which machines there are (fleet/fleet_record_writer.h), each
 // controller its own shard's state.
 class ShardRecordWriter {
  public:
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -22,7 +22,7 @@
   for (const auto& [id, m] : machines_) {
     if (m.incarnation == 0 || m.state != wire::MachineState::ready) continue;
     // Guards against taking machines that are on their way out, or that have not found us yet, for
-    // a sign that we are cut off.
+    // a sign that we are partitioned.
     if (m.recorded && m.heartbeat_answered) ++reporting[m.zone];
     const bool silent =
         now - m.last_contact > machines_.overdue_after() || machines_.heartbeats_missing(now, m) ||
