--- a/src/allocation/placement.cpp
+++ b/src/allocation/placement.cpp
@@ -89,13 +89,14 @@
   // Equal predictions go to the machine that the task fills more: large tasks then still find
   // whole machines.
   auto consider = [&](int i) {
-    const Candidate& c = *machines[static_cast<std::size_t>(i)];
-    if (!c.fits(job)) return;
-    const double finish = predict_finish(now, c, job);
+    const Candidate& candidate = *machines[static_cast<std::size_t>(i)];
+    if (!candidate.fits(job)) return;
+    const double finish = predict_finish(now, candidate, job);
     if (best >= 0) {
       const bool equal = std::abs(finish - best_finish) <= 1e-9;
-      const bool better = equal ? c.free.cpus < machines[static_cast<std::size_t>(best)]->free.cpus
-                                : finish < best_finish;
+      const bool better =
+          equal ? candidate.free.cpus < machines[static_cast<std::size_t>(best)]->free.cpus
+                : finish < best_finish;
       if (!better) return;
     }
     best = i;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -273,12 +273,12 @@
   std::size_t placed = 0;
   double cpus = 0;
   double free = 0;
-  for (const auto& [id, m] : machines_) {
+  for (const auto& [id, machine] : machines_) {
     placed += replica_.placed_on(id).size();
-    const auto* type = replica_.type(m.type);
-    if (!type || !machines_.usable(now, m)) continue;
+    const auto* type = replica_.type(machine.type);
+    if (!type || !machines_.usable(now, machine)) continue;
     cpus += type->cpus;
-    free += std::max(0.0, candidate_cache_.candidate(now, m).free.cpus);
+    free += std::max(0.0, candidate_cache_.candidate(now, machine).free.cpus);
   }
   return "epoch " + std::to_string(cluster_view_.epoch()) + (ready() ? " ready" : " not ready") +
          (state_client_.answering(now) ? "" : ", state silent") + ", jobs " +
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -47,9 +47,9 @@
   message.epoch = std::max(context_.cluster_view.epoch(), status_.newest_epoch_seen());
   message.state_answers = context_.state_client.loaded() && context_.state_client.answering(now) &&
                           status_.resynchronised();
-  for (const auto& [id, m] : machines_) {
-    if (machines_.usable(now, m))
-      message.free_cpus += std::max(0.0, candidate_cache_.candidate(now, m).free.cpus);
+  for (const auto& [id, machine] : machines_) {
+    if (machines_.usable(now, machine))
+      message.free_cpus += std::max(0.0, candidate_cache_.candidate(now, machine).free.cpus);
   }
   message.sent_ms = static_cast<std::uint64_t>(status_.wall(now));
   message.links = links_.rows_to_spread(status_.moment(now));
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -22,18 +22,18 @@
 
 }  // namespace
 
-double FleetSizer::parallel(const Demand& d) const {
-  const wire::JobSpec& job = *d.job;
-  const auto tasks = static_cast<double>(d.tasks);
+double FleetSizer::parallel(const Demand& demand) const {
+  const wire::JobSpec& job = *demand.job;
+  const auto tasks = static_cast<double>(demand.tasks);
   if (job.is_gang() || job.is_service()) return job.tasks;
   double horizon = kDefaultHorizonS;
-  for (const auto& o : settings_.objectives) {
-    if (o.job_class != job.job_class) continue;
-    if (o.kind == ObjectiveKind::deadline && job.deadline_s)
-      horizon = std::min(horizon, *job.deadline_s * std::max(1.0, o.times));
-    if (o.kind == ObjectiveKind::finished && o.within_s > 0)
-      horizon = std::min(horizon, o.within_s);
-    if (o.kind == ObjectiveKind::wait) horizon = 0;
+  for (const auto& objective : settings_.objectives) {
+    if (objective.job_class != job.job_class) continue;
+    if (objective.kind == ObjectiveKind::deadline && job.deadline_s)
+      horizon = std::min(horizon, *job.deadline_s * std::max(1.0, objective.times));
+    if (objective.kind == ObjectiveKind::finished && objective.within_s > 0)
+      horizon = std::min(horizon, objective.within_s);
+    if (objective.kind == ObjectiveKind::wait) horizon = 0;
   }
   // Half of the horizon: boots, fetches and wrong estimates take the rest.
   const double rounds = std::max(1.0, std::floor(horizon / 2 / std::max(1.0, job.estimate_s)));
@@ -44,17 +44,18 @@
                                               const std::vector<wire::MachineType>& catalog) const {
   const wire::MachineType* best = nullptr;
   double best_price = 0;
-  for (const auto& t : catalog) {
+  for (const auto& type : catalog) {
     if (!job.types.empty() &&
-        std::find(job.types.begin(), job.types.end(), t.name) == job.types.end())
+        std::find(job.types.begin(), job.types.end(), type.name) == job.types.end())
       continue;
-    if (!job.zone.empty() && std::find(t.zones.begin(), t.zones.end(), job.zone) == t.zones.end())
+    if (!job.zone.empty() &&
+        std::find(type.zones.begin(), type.zones.end(), job.zone) == type.zones.end())
       continue;
-    const double n = fit_count(resources_of(job), resources_of(t));
+    const double n = fit_count(resources_of(job), resources_of(type));
     if (n < 1) continue;
-    const double price = t.price / n;
+    const double price = type.price / n;
     if (!best || price < best_price) {
-      best = &t;
+      best = &type;
       best_price = price;
     }
   }
@@ -65,15 +66,15 @@
     const std::vector<Demand>& demand, const std::vector<wire::MachineType>& catalog) const {
   // By type, whether for any zone, zone, whether for any kind: specific before general.
   std::map<std::tuple<std::string, bool, std::string, bool>, double> sums;
-  for (const auto& d : demand) {
-    const auto* t = type_for(*d.job, catalog);
-    if (!t || d.tasks == 0) continue;
-    const double machines = parallel(d) / fit_count(resources_of(*d.job), resources_of(*t));
+  for (const auto& work : demand) {
+    const auto* t = type_for(*work.job, catalog);
+    if (!t || work.tasks == 0) continue;
+    const double machines = parallel(work) / fit_count(resources_of(*work.job), resources_of(*t));
     std::vector<std::string> zones{""};
-    if (!d.job->zone.empty()) zones.push_back(d.job->zone);
+    if (!work.job->zone.empty()) zones.push_back(work.job->zone);
     for (const auto& z : zones) {
       sums[{t->name, z.empty(), z, true}] += machines;
-      if (!d.job->spot) sums[{t->name, z.empty(), z, false}] += machines;
+      if (!work.job->spot) sums[{t->name, z.empty(), z, false}] += machines;
     }
   }
   std::vector<Need> out;
@@ -98,8 +99,8 @@
     Ms now, const std::vector<Demand>& demand, const std::vector<wire::MachineType>& catalog,
     const std::map<MachineKind, int>& held) const {
   std::map<std::string, bool> spot_ok;  // some work of this type may use spot machines
-  for (const auto& d : demand) {
-    if (const auto* t = type_for(*d.job, catalog)) spot_ok[t->name] |= d.job->spot;
+  for (const auto& work : demand) {
+    if (const auto* t = type_for(*work.job, catalog)) spot_ok[t->name] |= work.job->spot;
   }
   std::map<MachineKind, int> counts = held;
   std::map<MachineKind, int> rent;
--- a/src/jobs/job_cancellation.cpp
+++ b/src/jobs/job_cancellation.cpp
@@ -49,14 +49,14 @@
   if (waiting_requests_.shed_load(request)) return;
   wire::JobRecord record = job->record;
   record.cancelled = true;
-  Transaction t;
+  Transaction transaction;
   const std::string key = wire::job_key(id);
-  t.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
-  t.writes = {{key, encode(record), std::nullopt}};
-  t.urgent = true;
-  t.deadline = now + kSubmitTimeoutMs;
+  transaction.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
+  transaction.writes = {{key, encode(record), std::nullopt}};
+  transaction.urgent = true;
+  transaction.deadline = now + kSubmitTimeoutMs;
   waiting_requests_.add();
-  t.done = [this, request, id, tries](Ms at, TxnResult result, const auto&) {
+  transaction.done = [this, request, id, tries](Ms at, TxnResult result, const auto&) {
     waiting_requests_.remove();
     if (result == TxnResult::committed) {
       context_.log(LogLevel::info, "cancellation of " + id + " recorded");
@@ -67,7 +67,7 @@
       context_.reply_unavailable(request, kRetryAfterS);
     }
   };
-  context_.state_client.submit(std::move(t));
+  context_.state_client.submit(std::move(transaction));
   context_.state_client.tick(now);
 }
 
@@ -109,9 +109,9 @@
 bool JobCancellation::can_be_proven_soon(Ms now, const std::string& id) const {
   const Job* job = context_.replica.job(id);
   if (!job || !context_.can_write(now)) return false;
-  for (const auto& [number, r] : job->ranges) {
-    for (const auto& [task, p] : r.placed) {
-      auto m = machines_.find(p.machine);
+  for (const auto& [number, range] : job->ranges) {
+    for (const auto& [task, placement] : range.placed) {
+      auto m = machines_.find(placement.machine);
       if (m != machines_.end() &&
           (m->second.unanswered_commands > 0 || m->second.unreachable_since != 0 ||
            now - m->second.last_contact > machines_.unresponsive_after()))
--- a/src/jobs/job_completion.cpp
+++ b/src/jobs/job_completion.cpp
@@ -35,8 +35,8 @@
 }
 
 void JobCompletion::write_final_state(const std::string& id, const Job& job) {
-  Transaction t;
-  t.conditions = {context_.view_unchanged()};
+  Transaction transaction;
+  transaction.conditions = {context_.view_unchanged()};
   const std::string final_key = wire::final_state_key(id);
   const std::string key = wire::job_key(id);
   // Each range is a condition as far as conditions go. Beyond that they are not needed: a finished
@@ -52,23 +52,25 @@
     wire::FinalStateRecord record;
     record.done = !job.record.cancelled;
     record.tasks = job.record.spec.tasks;
-    t.conditions.push_back({final_key, 0});
-    t.conditions.push_back(context_.state_client.unchanged(key));
-    t.writes.push_back({final_key, encode(record), std::nullopt});
-    t.writes.push_back({key, std::nullopt, std::nullopt});
+    transaction.conditions.push_back({final_key, 0});
+    transaction.conditions.push_back(context_.state_client.unchanged(key));
+    transaction.writes.push_back({final_key, encode(record), std::nullopt});
+    transaction.writes.push_back({key, std::nullopt, std::nullopt});
   } else {
-    t.conditions.push_back({key, 0});  // that there is no such job is the store's word, not ours
+    transaction.conditions.push_back(
+        {key, 0});  // that there is no such job is the store's word, not ours
   }
   for (const auto& [number, r] : job.ranges) {
     const std::string range = wire::range_key(id, number);
     // Those beyond one transaction are removed by a later one.
-    const bool remove = static_cast<int>(t.writes.size()) < context_.settings.txn_ops &&
+    const bool remove = static_cast<int>(transaction.writes.size()) < context_.settings.txn_ops &&
                         !job.unrecorded_ranges.contains(number);
-    if (compare_all || remove) t.conditions.push_back(context_.state_client.unchanged(range));
-    if (remove) t.writes.push_back({range, std::nullopt, std::nullopt});
+    if (compare_all || remove)
+      transaction.conditions.push_back(context_.state_client.unchanged(range));
+    if (remove) transaction.writes.push_back({range, std::nullopt, std::nullopt});
   }
   finishing_.insert(id);
-  t.done = [this, id](Ms at, TxnResult result, const auto&) {
+  transaction.done = [this, id](Ms at, TxnResult result, const auto&) {
     if (result == TxnResult::committed) {
       finishing_.erase(id);
       jobs_to_check_.insert(id);
@@ -79,7 +81,7 @@
       jobs_to_check_.insert(id);
     });
   };
-  context_.state_client.submit(std::move(t));
+  context_.state_client.submit(std::move(transaction));
 }
 
 }  // namespace scheduler
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -68,11 +68,12 @@
   next.live[name] = context_.incarnation;
   next.departing.erase(name);
   next.unreachable.erase(name);
-  Transaction t;
-  t.conditions = {context_.view_unchanged(), state_client.unchanged(live_key())};
-  t.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}, live_record(next.epoch)};
-  t.urgent = true;
-  t.done = [this](Ms at, TxnResult result, const auto&) {
+  Transaction transaction;
+  transaction.conditions = {context_.view_unchanged(), state_client.unchanged(live_key())};
+  transaction.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt},
+                        live_record(next.epoch)};
+  transaction.urgent = true;
+  transaction.done = [this](Ms at, TxnResult result, const auto&) {
     join_after_ = at + kStateProbeMs / 4;
     if (result == TxnResult::committed) {
       joining_ = false;
@@ -81,7 +82,7 @@
     }
     context_.state_client.wait_until_settled(at, [this](Ms) { joining_ = false; });
   };
-  state_client.submit(std::move(t));
+  state_client.submit(std::move(transaction));
 }
 
 // Our own record tells the others that we act on this view, and so no longer answer workers that
@@ -95,17 +96,17 @@
       own->second.epoch == context_.cluster_view.epoch())
     return;
   acknowledging_ = true;
-  Transaction t;
-  t.conditions = {context_.view_unchanged(), state_client.unchanged(live_key())};
-  t.writes = {live_record(context_.cluster_view.epoch())};
-  t.done = [this](Ms at, TxnResult result, const auto&) {
+  Transaction transaction;
+  transaction.conditions = {context_.view_unchanged(), state_client.unchanged(live_key())};
+  transaction.writes = {live_record(context_.cluster_view.epoch())};
+  transaction.done = [this](Ms at, TxnResult result, const auto&) {
     if (result == TxnResult::committed) {
       acknowledging_ = false;
       return;
     }
     context_.state_client.wait_until_settled(at, [this](Ms) { acknowledging_ = false; });
   };
-  state_client.submit(std::move(t));
+  state_client.submit(std::move(transaction));
 }
 
 Ms MembershipManager::removal_delay() const {
@@ -144,14 +145,14 @@
   context_.log(LogLevel::info, "removing " + name + " from the view");
   removing_ = true;
   lease_missing_since_.erase(name);
-  Transaction t;
-  t.conditions = {context_.view_unchanged()};
-  t.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}};
-  t.urgent = true;
-  t.done = [this](Ms at, TxnResult, const auto&) {
+  Transaction transaction;
+  transaction.conditions = {context_.view_unchanged()};
+  transaction.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}};
+  transaction.urgent = true;
+  transaction.done = [this](Ms at, TxnResult, const auto&) {
     context_.state_client.wait_until_settled(at, [this](Ms) { removing_ = false; });
   };
-  context_.state_client.submit(std::move(t));
+  context_.state_client.submit(std::move(transaction));
 }
 
 }  // namespace scheduler
--- a/src/scheduling/candidate_cache.cpp
+++ b/src/scheduling/candidate_cache.cpp
@@ -8,18 +8,19 @@
 
 namespace scheduler {
 
-void CandidateCache::book_recorded(Ms now, const Machine& m, Candidate& candidate) const {
-  for (const TaskRef& ref : context_.replica.placed_on(m.id)) {
+void CandidateCache::book_recorded(Ms now, const Machine& machine, Candidate& candidate) const {
+  for (const TaskRef& ref : context_.replica.placed_on(machine.id)) {
     const auto* placement = context_.replica.placement(ref);
     const auto job = context_.replica.jobs().find(ref.range.job);
     if (!placement || job == context_.replica.jobs().end()) continue;
     const wire::TaskId task{ref.range.job, ref.index};
-    const auto reported = m.tasks.find(task);
-    const bool listed = reported != m.tasks.end() && reported->second.attempt == placement->attempt;
+    const auto reported = machine.tasks.find(task);
+    const bool listed =
+        reported != machine.tasks.end() && reported->second.attempt == placement->attempt;
     if (listed && reported->second.state == wire::TaskState::exited) continue;
     if (ranges_.is_released(ref, placement->attempt)) continue;
     // What is being stopped to make capacity free counts as gone; starts wait until it is.
-    if (m.stop_requested(task, placement->attempt)) continue;
+    if (machine.stop_requested(task, placement->attempt)) continue;
     const wire::JobSpec& spec = job->second.record.spec;
     const bool running = listed && reported->second.running_since != 0;
     candidate.book(spec, predicted_end(running ? reported->second.running_since : now, spec));
@@ -41,47 +42,47 @@
   }
 }
 
-Candidate& CandidateCache::candidate(Ms now, const Machine& m) const {
-  if (m.candidate_known) return m.candidate;
-  m.candidate_known = true;
-  Candidate& candidate = m.candidate;
+Candidate& CandidateCache::candidate(Ms now, const Machine& machine) const {
+  if (machine.candidate_known) return machine.candidate;
+  machine.candidate_known = true;
+  Candidate& candidate = machine.candidate;
   candidate = {};
-  candidate.id = m.id;
-  candidate.zone = m.zone;
-  candidate.type = m.type;
-  candidate.spot = m.spot;
-  candidate.incarnation = m.incarnation;
-  candidate.images = m.images;
-  const auto* type = context_.replica.type(m.type);
+  candidate.id = machine.id;
+  candidate.zone = machine.zone;
+  candidate.type = machine.type;
+  candidate.spot = machine.spot;
+  candidate.incarnation = machine.incarnation;
+  candidate.images = machine.images;
+  const auto* type = context_.replica.type(machine.type);
   if (!type) return candidate;
-  candidate.free = resources_of(*type) - m.reserved;
+  candidate.free = resources_of(*type) - machine.reserved;
   candidate.fetch_gb_per_s = type->fetch_gb_per_s;
-  book_recorded(now, m, candidate);
-  book_unrecorded(now, m, candidate);
+  book_recorded(now, machine, candidate);
+  book_unrecorded(now, machine, candidate);
   return candidate;
 }
 
 Candidate CandidateCache::remote_candidate(Ms now, const std::string& id,
                                            const wire::MachineRecord& record) const {
-  Candidate c;
-  c.id = id;
-  c.zone = record.zone;
-  c.type = record.type;
-  c.spot = record.spot;
-  c.incarnation = record.incarnation;
-  c.local = false;
+  Candidate candidate;
+  candidate.id = id;
+  candidate.zone = record.zone;
+  candidate.type = record.type;
+  candidate.spot = record.spot;
+  candidate.incarnation = record.incarnation;
+  candidate.local = false;
   const auto* type = context_.replica.type(record.type);
-  if (!type) return c;
+  if (!type) return candidate;
   const auto found = remote_reservations_.find(id);
   const Resources reserved = found == remote_reservations_.end() ? Resources{} : found->second;
-  c.free = resources_of(*type) - reserved;
-  c.fetch_gb_per_s = type->fetch_gb_per_s;
+  candidate.free = resources_of(*type) - reserved;
+  candidate.fetch_gb_per_s = type->fetch_gb_per_s;
   for (const TaskRef& ref : context_.replica.placed_on(id)) {
     auto job = context_.replica.jobs().find(ref.range.job);
     if (job != context_.replica.jobs().end())
-      c.book(job->second.record.spec, predicted_end(now, job->second.record.spec));
+      candidate.book(job->second.record.spec, predicted_end(now, job->second.record.spec));
   }
-  return c;
+  return candidate;
 }
 
 void CandidateCache::add_remote_candidates(SchedulingPass& pass) {
--- a/src/scheduling/candidate_cache.h
+++ b/src/scheduling/candidate_cache.h
@@ -21,7 +21,7 @@
       : context_(context), machines_(machines), ranges_(ranges) {}
 
   // A machine of our shard: its last heartbeat plus starts since.
-  Candidate& candidate(Ms now, const Machine& m) const;
+  Candidate& candidate(Ms now, const Machine& machine) const;
   // Adds other shards' machines to the pass. Only gangs and jobs that are bound to zones may need
   // them.
   void add_remote_candidates(SchedulingPass& pass);
@@ -40,9 +40,9 @@
 
  private:
   // Books the tasks that are recorded on the machine.
-  void book_recorded(Ms now, const Machine& m, Candidate& candidate) const;
+  void book_recorded(Ms now, const Machine& machine, Candidate& candidate) const;
   // Books what it lists though no record says so: on its way out, yet still there.
-  void book_unrecorded(Ms now, const Machine& m, Candidate& candidate) const;
+  void book_unrecorded(Ms now, const Machine& machine, Candidate& candidate) const;
   Candidate remote_candidate(Ms now, const std::string& id,
                              const wire::MachineRecord& record) const;
 
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -53,8 +53,8 @@
   return claim;
 }
 
-std::optional<Preemption::Victim> Preemption::judge(Ms now, const Machine& m, const TaskRef& ref,
-                                                    const Claim& claim) const {
+std::optional<Preemption::Victim> Preemption::judge(Ms now, const Machine& machine,
+                                                    const TaskRef& ref, const Claim& claim) const {
   const auto* placement = context_.replica.placement(ref);
   const Job* job = context_.replica.job(ref.range.job);
   if (!placement || !job || job->record.spec.is_gang()) return std::nullopt;
@@ -64,13 +64,13 @@
   const bool borrowed = claim.entitled && borrows != claim.borrows.end() && borrows->second;
   if (!lower && !borrowed) return std::nullopt;
   const wire::TaskId task{ref.range.job, ref.index};
-  const auto reported = m.tasks.find(task);
-  if (m.stop_requests.contains(task) || reported == m.tasks.end() ||
+  const auto reported = machine.tasks.find(task);
+  if (machine.stop_requests.contains(task) || reported == machine.tasks.end() ||
       reported->second.attempt != placement->attempt ||
       reported->second.state == wire::TaskState::exited ||
       reported->second.state == wire::TaskState::checkpointing)
     return std::nullopt;
-  const double ran_s = m.run_time_s(now, task, placement->attempt);
+  const double ran_s = machine.run_time_s(now, task, placement->attempt);
   // Work that can wait a little does not stop what will soon end by itself: measured, each stop
   // costs more than it brings (docs/design.md).
   if (claim.spec.priority < wire::Priority::high && spec.estimate_s - ran_s < kLongVictimS)
@@ -90,11 +90,11 @@
   return Victim{task, placement->attempt, grace_s, (lost_s + 1.0) * spec.cpus, &spec};
 }
 
-std::vector<Preemption::Victim> Preemption::victims_on(Ms now, const Machine& m,
+std::vector<Preemption::Victim> Preemption::victims_on(Ms now, const Machine& machine,
                                                        const Claim& claim) const {
   std::vector<Victim> victims;
-  for (const TaskRef& ref : context_.replica.placed_on(m.id)) {
-    if (const auto victim = judge(now, m, ref, claim)) victims.push_back(*victim);
+  for (const TaskRef& ref : context_.replica.placed_on(machine.id)) {
+    if (const auto victim = judge(now, machine, ref, claim)) victims.push_back(*victim);
   }
   std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
     if (a.spec->priority != b.spec->priority) return a.spec->priority < b.spec->priority;
--- a/src/scheduling/range_writer.cpp
+++ b/src/scheduling/range_writer.cpp
@@ -19,26 +19,27 @@
 
 }  // namespace
 
-bool RangeWriter::completes(const RangeId& id, const RangeState& w) const {
-  if (w.released.empty()) return false;
+bool RangeWriter::completes(const RangeId& id, const RangeState& state) const {
+  if (state.released.empty()) return false;
   const auto* range = context_.replica.range(id);
   if (!range) return false;
   const auto done = static_cast<std::size_t>(std::count_if(
-      w.released.begin(), w.released.end(), [](const auto& f) { return f.second.done; }));
+      state.released.begin(), state.released.end(), [](const auto& f) { return f.second.done; }));
   return range->done_count() + done >= range->end - range->begin;
 }
 
-bool RangeWriter::must_write_now(Ms now, const RangeId& id, RangeState& w,
+bool RangeWriter::must_write_now(Ms now, const RangeId& id, RangeState& state,
                                  bool may_queue_writes) const {
-  if (!w.pending_placements.empty() || w.stop_requested || w.write_uncertain) return true;
-  if (w.released.empty()) {
-    w.released_since = 0;
+  if (!state.pending_placements.empty() || state.stop_requested || state.write_uncertain)
+    return true;
+  if (state.released.empty()) {
+    state.released_since = 0;
     return false;
   }
-  if (w.released_since == 0) w.released_since = now;
+  if (state.released_since == 0) state.released_since = now;
   const Job* job = context_.replica.job(id.job);
   if (!job || job->record.cancelled || job->record.spec.is_gang()) return true;
-  const Ms waited = now - w.released_since;
+  const Ms waited = now - state.released_since;
   return (waited >= kCompletionWriteMs && may_queue_writes) || waited >= 3 * kCompletionWriteMs ||
          (waited >= kCompletionBatchMs && context_.state_client.has_write_headroom(now));
 }
@@ -92,10 +93,10 @@
 
 // Puts the chosen placements into the record, with the conditions that they rest on.
 void RangeWriter::record_placements(const Job& job, const RangeState& work,
-                                    wire::RangeRecord& record, Transaction& t) {
+                                    wire::RangeRecord& record, Transaction& transaction) {
   const wire::JobSpec& spec = job.record.spec;
   // A cancellation or a change of a machine's standing in between voids the placement.
-  t.conditions.push_back(context_.state_client.unchanged(wire::job_key(spec.id)));
+  transaction.conditions.push_back(context_.state_client.unchanged(wire::job_key(spec.id)));
   record.owner = context_.settings.name;
   std::set<std::string> owners;  // of the machines
   for (const auto& [task, placement] : work.pending_placements) {
@@ -111,21 +112,24 @@
   // over hundreds.
   for (const auto& owner : owners) {
     const std::string guard_key = wire::shard_guard_key(owner);
-    t.conditions.push_back(context_.state_client.unchanged(guard_key));
+    transaction.conditions.push_back(context_.state_client.unchanged(guard_key));
     if (owner != context_.settings.name)
-      t.writes.push_back({guard_key, wire::shard_guard_body(context_.settings.name), std::nullopt});
+      transaction.writes.push_back(
+          {guard_key, wire::shard_guard_body(context_.settings.name), std::nullopt});
   }
   // Guards against two controllers that place ranges of one job bound to zones at the same time:
   // what the zones may still take is counted over all of them.
   if (!spec.one_zone && !spec.spread) return;
   for (const auto& [number, other] : job.ranges)
     if (number != record.number)
-      t.conditions.push_back(context_.state_client.unchanged(wire::range_key(spec.id, number)));
+      transaction.conditions.push_back(
+          context_.state_client.unchanged(wire::range_key(spec.id, number)));
 }
 
 // Adds the writes of the record, split into several where it would not fit. False when it cannot be
 // written within the limits: it can once more of its tasks have ended.
-bool RangeWriter::write_pieces(const Job& job, const wire::RangeRecord& record, Transaction& t) {
+bool RangeWriter::write_pieces(const Job& job, const wire::RangeRecord& record,
+                               Transaction& transaction) {
   const auto limit = static_cast<std::size_t>(context_.value_bytes());
   const wire::JobSpec& spec = job.record.spec;
   const std::string key = wire::range_key(spec.id, record.number);
@@ -133,7 +137,7 @@
     // A gang is placed and ends as one. The production version may have written larger records.
     const std::string value = encode(record);
     if (static_cast<double>(value.size()) > context_.stored_value_bytes()) return false;
-    t.writes.push_back({key, value, std::nullopt});
+    transaction.writes.push_back({key, value, std::nullopt});
     return true;
   }
   std::set<std::uint32_t> numbers;
@@ -145,11 +149,11 @@
       do {
         number = random_();
       } while (number == 0 || job.ranges.contains(number) || !numbers.insert(number).second);
-      t.conditions.push_back({wire::range_key(spec.id, number), 0});
+      transaction.conditions.push_back({wire::range_key(spec.id, number), 0});
     }
-    t.writes.push_back({wire::range_key(spec.id, number), value, std::nullopt});
+    transaction.writes.push_back({wire::range_key(spec.id, number), value, std::nullopt});
   }
-  return static_cast<int>(t.writes.size()) <= context_.settings.txn_ops;
+  return static_cast<int>(transaction.writes.size()) <= context_.settings.txn_ops;
 }
 
 bool RangeWriter::add_placements(const Job& job, RangeState& state, wire::RangeRecord& record,
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -111,10 +111,10 @@
   // Few writes wait at once: which work goes next is decided when it can be written, not before a
   // queue of seconds, and what gathers meanwhile goes in one write.
   pass.remaining_writes = kWritesQueued - static_cast<int>(context_.state_client.queued());
-  for (const auto& [id, m] : machines_) {
-    if (!machines_.usable(now, m)) continue;
-    pass.candidates.push_back(&candidate_cache_.candidate(now, m));
-    pass.zones.insert(m.zone);
+  for (const auto& [id, machine] : machines_) {
+    if (!machines_.usable(now, machine)) continue;
+    pass.candidates.push_back(&candidate_cache_.candidate(now, machine));
+    pass.zones.insert(machine.zone);
   }
   pass.local_machines = pass.candidates.size();
   return pass;
--- a/src/scheduling/service_placement.cpp
+++ b/src/scheduling/service_placement.cpp
@@ -109,14 +109,17 @@
   const wire::JobSpec& spec = *choice.spec;
   std::vector<int> out;
   for (std::size_t i = 0; i < pass.candidates.size(); ++i) {
-    const Candidate& c = *pass.candidates[i];
-    if (c.local != local || !c.fits(spec) || !allowed(spec, c.type, c.zone, c.spot)) continue;
-    if (choice.zones && !choice.zones->contains(c.zone)) continue;
-    if (choice.without_replica && choice.taken.contains(c.id)) continue;
-    if (choice.contacted_recently && !machines_.contacted_recently(pass.now, c.id)) continue;
+    const Candidate& candidate = *pass.candidates[i];
+    if (candidate.local != local || !candidate.fits(spec) ||
+        !allowed(spec, candidate.type, candidate.zone, candidate.spot))
+      continue;
+    if (choice.zones && !choice.zones->contains(candidate.zone)) continue;
+    if (choice.without_replica && choice.taken.contains(candidate.id)) continue;
+    if (choice.contacted_recently && !machines_.contacted_recently(pass.now, candidate.id))
+      continue;
     if (choice.avoid_failures &&
-        (failure_tracker_.has_failed_on(pass.now, c.id, spec.id, *choice.avoid_failures) ||
-         failure_tracker_.has_kept_result(pass.now, c.id, choice.replica)))
+        (failure_tracker_.has_failed_on(pass.now, candidate.id, spec.id, *choice.avoid_failures) ||
+         failure_tracker_.has_kept_result(pass.now, candidate.id, choice.replica)))
       continue;
     out.push_back(static_cast<int>(i));
   }
--- a/src/scheduling/task_assigner.cpp
+++ b/src/scheduling/task_assigner.cpp
@@ -23,16 +23,16 @@
 std::set<std::string> TaskAssigner::zones_open(const SchedulingPass& pass, const Job& job) const {
   const auto& spec = job.record.spec;
   std::map<std::string, std::size_t> here;  // tasks by zone
-  auto count = [&](const wire::Placement& p) {
-    const auto* m = context_.replica.machine(p.machine);
+  auto count = [&](const wire::Placement& placement) {
+    const auto* m = context_.replica.machine(placement.machine);
     ++here[m ? m->zone : ""];
   };
-  for (const auto& [number, r] : job.ranges) {
+  for (const auto& [number, range] : job.ranges) {
     // What is proven gone though not yet recorded holds its zone no longer.
-    for (const auto& [task, p] : r.placed)
-      if (!ranges_.is_released({{spec.id, number}, task}, p.attempt)) count(p);
+    for (const auto& [task, placement] : range.placed)
+      if (!ranges_.is_released({{spec.id, number}, task}, placement.attempt)) count(placement);
     if (auto w = ranges_.find({spec.id, number}); w != ranges_.end())
-      for (const auto& [task, p] : w->second.pending_placements) count(p);
+      for (const auto& [task, placement] : w->second.pending_placements) count(placement);
   }
   std::set<std::string> out;
   for (const auto& zone : pass.zones) {
--- a/src/scheduling/work_stealing.cpp
+++ b/src/scheduling/work_stealing.cpp
@@ -104,10 +104,10 @@
   wire::RangeRecord left = *range;
   const std::string from_key = wire::range_key(from.job, from.number);
   const std::string to_key = wire::range_key(to.job, to.number);
-  Transaction t;
-  t.conditions = {context_.view_unchanged(),
-                  context_.state_client.unchanged(wire::job_key(from.job)),
-                  context_.state_client.unchanged(from_key)};
+  Transaction transaction;
+  transaction.conditions = {context_.view_unchanged(),
+                            context_.state_client.unchanged(wire::job_key(from.job)),
+                            context_.state_client.unchanged(from_key)};
   if (first == left.begin) {
     left.owner = context_.settings.name;
   } else {
@@ -119,12 +119,12 @@
     right.next_attempt = left.next_attempt;
     left.end = first;
     left.done.resize(first - left.begin);
-    t.conditions.push_back({to_key, 0});
-    t.writes.push_back({to_key, encode(right), std::nullopt});
+    transaction.conditions.push_back({to_key, 0});
+    transaction.writes.push_back({to_key, encode(right), std::nullopt});
   }
-  t.writes.push_back({from_key, encode(left), std::nullopt});
+  transaction.writes.push_back({from_key, encode(left), std::nullopt});
   ranges_[from].busy = true;
-  t.done = [this, from](Ms at, TxnResult result, const auto&) {
+  transaction.done = [this, from](Ms at, TxnResult result, const auto&) {
     auto release = [this, from](Ms) {
       ranges_[from].busy = false;
       pass_trigger_.request();
@@ -135,7 +135,7 @@
       context_.state_client.wait_until_settled(at, release);
     }
   };
-  context_.state_client.submit(std::move(t));
+  context_.state_client.submit(std::move(transaction));
 }
 
 }  // namespace scheduler
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -22,18 +22,18 @@
 
 }  // namespace
 
-void CommandDispatcher::add_commands_for_listed(const Machine& m, CommandPlan& plan) const {
-  for (const auto& [task, reported] : m.tasks) {
+void CommandDispatcher::add_commands_for_listed(const Machine& machine, CommandPlan& plan) const {
+  for (const auto& [task, reported] : machine.tasks) {
     if (plan.commands.size() >= kCommandsPerMessage) break;
-    const ListedTask listed = find_listed(m, task, reported);
+    const ListedTask listed = find_listed(machine, task, reported);
     if (reported.state == wire::TaskState::exited) {
       if (listed.placement) continue;
       plan.commands.push_back({wire::CommandKind::forget, task, reported.attempt, 0});
       plan.forgets = true;
       continue;
     }
-    const std::optional<double> grace_s = grace_to_stop(m, listed, task, reported);
-    const bool leaves = grace_s && add_stop(m, listed, task, reported, *grace_s, plan);
+    const std::optional<double> grace_s = grace_to_stop(machine, listed, task, reported);
+    const bool leaves = grace_s && add_stop(machine, listed, task, reported, *grace_s, plan);
     if (!leaves && listed.job) plan.free -= resources_of(listed.job->record.spec);
   }
 }
@@ -57,14 +57,15 @@
   return listed;
 }
 
-std::optional<double> CommandDispatcher::grace_to_stop(const Machine& m, const ListedTask& listed,
+std::optional<double> CommandDispatcher::grace_to_stop(const Machine& machine,
+                                                       const ListedTask& listed,
                                                        const wire::TaskId& task,
                                                        const ReportedTask& reported) const {
   if (!listed.placement) return 0.0;  // not recorded: must not run
-  if (!reconciler_.must_not_run(m, listed.ref, *listed.placement)) return std::nullopt;
+  if (!reconciler_.must_not_run(machine, listed.ref, *listed.placement)) return std::nullopt;
   const Job& job = *listed.job;
   if (!job.known || cancellations_.is_cancelled(task.job, job)) return 0.0;
-  if (m.stop_requested(task, reported.attempt)) return m.stop_requests.at(task).grace_s;
+  if (machine.stop_requested(task, reported.attempt)) return machine.stop_requests.at(task).grace_s;
   const wire::JobSpec& spec = job.record.spec;
   // A gang stops as one, in time for all of it to write checkpoints.
   if (spec.is_gang() && spec.checkpoint_interval_s > 0)
@@ -72,7 +73,7 @@
   return 0.0;
 }
 
-bool CommandDispatcher::add_stop(const Machine& m, const ListedTask& listed,
+bool CommandDispatcher::add_stop(const Machine& machine, const ListedTask& listed,
                                  const wire::TaskId& task, const ReportedTask& reported,
                                  double grace_s, CommandPlan& plan) const {
   plan.stopping = true;
@@ -81,7 +82,7 @@
     plan.commands.push_back({wire::CommandKind::stop, task, reported.attempt, grace_s});
     const bool cancelled =
         listed.job && listed.job->known && cancellations_.is_cancelled(task.job, *listed.job);
-    log_command(m, plan.commands.back(), listed.placement,
+    log_command(machine, plan.commands.back(), listed.placement,
                 !listed.placement ? "not_recorded"
                 : cancelled       ? "cancelled"
                                   : "must_not_run");
@@ -92,55 +93,58 @@
          reported.state == wire::TaskState::waiting;
 }
 
-void CommandDispatcher::add_starts(Ms now, Machine& m, CommandPlan& plan) {
-  for (const TaskRef& ref : context_.replica.placed_on(m.id)) {
+void CommandDispatcher::add_starts(Ms now, Machine& machine, CommandPlan& plan) {
+  for (const TaskRef& ref : context_.replica.placed_on(machine.id)) {
     if (plan.commands.size() >= kCommandsPerMessage) break;
     const auto* placement = context_.replica.placement(ref);
     const Job* job = context_.replica.job(ref.range.job);
-    if (!placement || !job || placement->incarnation != m.incarnation ||
-        reconciler_.must_not_run(m, ref, *placement))
+    if (!placement || !job || placement->incarnation != machine.incarnation ||
+        reconciler_.must_not_run(machine, ref, *placement))
       continue;
     const wire::TaskId task{ref.range.job, ref.index};
-    const auto reported = m.tasks.find(task);
-    if (reported != m.tasks.end() && reported->second.attempt == placement->attempt) continue;
+    const auto reported = machine.tasks.find(task);
+    if (reported != machine.tasks.end() && reported->second.attempt == placement->attempt) continue;
     if (ranges_.is_released(ref, placement->attempt)) continue;
     const wire::JobSpec& spec = job->record.spec;
     if (!plan.free.fits(resources_of(spec))) {
       if (!plan.stopping && !spec.is_gang())
-        abandon_blocked_start(now, m, task, placement->attempt);
+        abandon_blocked_start(now, machine, task, placement->attempt);
       continue;  // waits for what is being stopped
     }
-    m.start_blocked_since.erase(task);
+    machine.start_blocked_since.erase(task);
     plan.free -= resources_of(spec);
     plan.commands.push_back({wire::CommandKind::start, task, placement->attempt, 0});
-    log_command(m, plan.commands.back(), placement, "placed");
-    m.start_token = machines_.token(m);
-    m.unconfirmed_starts[task] = machines_.token(m);
+    log_command(machine, plan.commands.back(), placement, "placed");
+    machine.start_token = machines_.token(machine);
+    machine.unconfirmed_starts[task] = machines_.token(machine);
   }
 }
 
-std::vector<wire::Command> CommandDispatcher::commands_for(Ms now, Machine& m) {
+std::vector<wire::Command> CommandDispatcher::commands_for(Ms now, Machine& machine) {
   CommandPlan plan;
-  if (const auto* type = context_.replica.type(m.type)) plan.free = resources_of(*type);
-  add_commands_for_listed(m, plan);
+  if (const auto* type = context_.replica.type(machine.type)) plan.free = resources_of(*type);
+  add_commands_for_listed(machine, plan);
   // A copy of a start for what is forgotten may still be on its way; the new token refuses it. A
   // recorded task that must not run and is not listed: a higher token settles whether it can still
   // start. Both before any start of this message is noted with the token that carries it.
-  if ((plan.forgets || reconciler_.has_unproven_absence(m)) && machines_.token(m) <= m.start_token)
-    ++m.fence;
+  if ((plan.forgets || reconciler_.has_unproven_absence(machine)) &&
+      machines_.token(machine) <= machine.start_token)
+    ++machine.fence;
   // What is recorded and not listed. Nothing is started while the state service is silent.
-  if (context_.can_write(now) && m.sequence > 0) add_starts(now, m, plan);
+  if (context_.can_write(now) && machine.sequence > 0) add_starts(now, machine, plan);
   return std::move(plan.commands);
 }
 
-void CommandDispatcher::log_command(const Machine& m, const wire::Command& command,
+void CommandDispatcher::log_command(const Machine& machine, const wire::Command& command,
                                     const wire::Placement* placement,
                                     std::string_view reason) const {
   if (!context_.logs_debug()) return;
   LogEvent event(command.kind == wire::CommandKind::start ? "start" : "stop");
   event.field("task", wire::task_name(command.task.job, command.task.index));
-  event.field("attempt", command.attempt).field("machine", m.id).field("token", machines_.token(m));
-  event.field("session", placement ? placement->incarnation : m.incarnation)
+  event.field("attempt", command.attempt)
+      .field("machine", machine.id)
+      .field("token", machines_.token(machine));
+  event.field("session", placement ? placement->incarnation : machine.incarnation)
       .field("reason", reason);
   event
       .field("revision",
@@ -149,65 +153,68 @@
   context_.log(LogLevel::debug, event.text());
 }
 
-void CommandDispatcher::abandon_blocked_start(Ms now, Machine& m, const wire::TaskId& task,
+void CommandDispatcher::abandon_blocked_start(Ms now, Machine& machine, const wire::TaskId& task,
                                               std::uint64_t attempt) {
-  auto [since, fresh] = m.start_blocked_since.try_emplace(task, now);
+  auto [since, fresh] = machine.start_blocked_since.try_emplace(task, now);
   if (fresh || now - since->second < kBlockedStartMs) return;
   context_.log(LogLevel::info,
-               "no room for " + wire::task_name(task.job, task.index) + " on " + m.id);
-  m.stop_requests[task] = {attempt, 0.0};
-  m.start_blocked_since.erase(since);
-  m.candidate_known = false;
-  m.resend_commands = true;
+               "no room for " + wire::task_name(task.job, task.index) + " on " + machine.id);
+  machine.stop_requests[task] = {attempt, 0.0};
+  machine.start_blocked_since.erase(since);
+  machine.candidate_known = false;
+  machine.resend_commands = true;
 }
 
-bool CommandDispatcher::needs_direct_command(const Machine& m,
+bool CommandDispatcher::needs_direct_command(const Machine& machine,
                                              const std::vector<wire::Command>& list) const {
-  if (!m.token_confirmed || m.unreachable_since != 0 || m.suspect) return true;
+  if (!machine.token_confirmed || machine.unreachable_since != 0 || machine.suspect) return true;
   if (std::any_of(list.begin(), list.end(),
                   [](const auto& c) { return c.kind != wire::CommandKind::forget; }))
     return true;
-  return reconciler_.has_unproven_absence(m);
+  return reconciler_.has_unproven_absence(machine);
 }
 
-void CommandDispatcher::send(Ms now, Machine& m, bool probe) {
-  if (!status_.ready() || m.address.empty() || m.incarnation == 0 || status_.deposed(now) ||
-      status_.resynchronising(now))
+void CommandDispatcher::send(Ms now, Machine& machine, bool probe) {
+  if (!status_.ready() || machine.address.empty() || machine.incarnation == 0 ||
+      status_.deposed(now) || status_.resynchronising(now))
     return;
-  if (m.commands_in_flight) {
-    m.resend_commands = true;
+  if (machine.commands_in_flight) {
+    machine.resend_commands = true;
     return;
   }
-  if (now < m.next_command_at) return;
-  const auto list = commands_for(now, m);
-  m.resend_commands = false;
-  if (!probe && !needs_direct_command(m, list)) return;
+  if (now < machine.next_command_at) return;
+  const auto list = commands_for(now, machine);
+  machine.resend_commands = false;
+  if (!probe && !needs_direct_command(machine, list)) return;
   // Bounded, or a partition would take all sockets; those that do not answer must not be in the
   // way.
-  const bool suspect =
-      m.unanswered_commands > 0 || now - m.last_contact > machines_.unresponsive_after();
+  const bool suspect = machine.unanswered_commands > 0 ||
+                       now - machine.last_contact > machines_.unresponsive_after();
   int& out = suspect ? probes_in_flight_ : direct_commands_in_flight_;
   if (out >= (suspect ? context_.capacity.probes : context_.capacity.direct_messages)) {
-    m.resend_commands = true;
+    machine.resend_commands = true;
     return;
   }
   ++out;
-  m.commands_in_flight = true;
-  m.resend_commands = false;
-  SentCommands sent{
-      m.id,  m.owned_since_epoch, HeartbeatCounters{m.incarnation, m.sequence}, suspect,
-      false, status_.pauses()};
-  std::string body = wire::commands_body(machines_.token(m), m.incarnation, list);
-  if (const auto peer = worker_links_.relay_for(now, m)) {
+  machine.commands_in_flight = true;
+  machine.resend_commands = false;
+  SentCommands sent{machine.id,
+                    machine.owned_since_epoch,
+                    HeartbeatCounters{machine.incarnation, machine.sequence},
+                    suspect,
+                    false,
+                    status_.pauses()};
+  std::string body = wire::commands_body(machines_.token(machine), machine.incarnation, list);
+  if (const auto peer = worker_links_.relay_for(now, machine)) {
     sent.relayed = true;
-    if (relay_.send_command(now, status_.wall(now), *peer, m.address, body,
+    if (relay_.send_command(now, status_.wall(now), *peer, machine.address, body,
                             [this, sent](Ms at, const HttpResult& http_result) {
                               on_command_result(at, sent, http_result);
                             }))
       return;
     sent.relayed = false;
   }
-  context_.call(Target::worker, m.address, "POST", wire::kCommandsPath, std::move(body),
+  context_.call(Target::worker, machine.address, "POST", wire::kCommandsPath, std::move(body),
                 kCommandTimeoutMs, [this, sent](Ms at, const HttpResult& http_result) {
                   on_command_result(at, sent, http_result);
                 });
@@ -253,22 +260,24 @@
   if (m.resend_commands) send(now, m);
 }
 
-void CommandDispatcher::on_commands_unanswered(Ms now, Machine& m, const SentCommands& sent) {
-  heartbeat_applier_.mark_unreachable(now, m);
-  m.candidate_known = false;
-  m.resend_commands = true;
-  const bool first_of_service = m.unanswered_commands == 0 && machines_.probed_early(m);
-  m.next_command_at = now;
-  m.relayed_command_unanswered = sent.relayed;
+void CommandDispatcher::on_commands_unanswered(Ms now, Machine& machine, const SentCommands& sent) {
+  heartbeat_applier_.mark_unreachable(now, machine);
+  machine.candidate_known = false;
+  machine.resend_commands = true;
+  const bool first_of_service = machine.unanswered_commands == 0 && machines_.probed_early(machine);
+  machine.next_command_at = now;
+  machine.relayed_command_unanswered = sent.relayed;
   if (!sent.relayed) {
-    m.direct_command_failed_at = now;
-    if (now - m.last_heartbeat <= machines_.overdue_after()) links_.zone(m.zone).suspect_commands();
+    machine.direct_command_failed_at = now;
+    if (now - machine.last_heartbeat <= machines_.overdue_after())
+      links_.zone(machine.zone).suspect_commands();
   }
   // The next goes another way at once, if there is one.
-  const bool other_way = !sent.relayed && worker_links_.relay_for(now, m).has_value();
+  const bool other_way = !sent.relayed && worker_links_.relay_for(now, machine).has_value();
   if (!first_of_service && !other_way)
-    m.next_command_at += kCommandRetryMs << std::min(m.unanswered_commands, kCommandRetryDoublings);
-  ++m.unanswered_commands;
+    machine.next_command_at += kCommandRetryMs
+                               << std::min(machine.unanswered_commands, kCommandRetryDoublings);
+  ++machine.unanswered_commands;
 }
 
 }  // namespace scheduler
--- a/src/workers/command_dispatcher.h
+++ b/src/workers/command_dispatcher.h
@@ -41,9 +41,9 @@
         relay_(relay) {}
 
   // What the machine is to be told now. Raises its token where that is needed.
-  std::vector<wire::Command> commands_for(Ms now, Machine& m);
+  std::vector<wire::Command> commands_for(Ms now, Machine& machine);
   // Sends a direct message if one is needed, or in any case as a `probe`.
-  void send(Ms now, Machine& m, bool probe = false);
+  void send(Ms now, Machine& machine, bool probe = false);
 
  private:
   // What is known of a message when it is sent.
@@ -71,28 +71,29 @@
   };
   static constexpr double kUnbounded = 1e9;
 
-  ListedTask find_listed(const Machine& m, const wire::TaskId& task,
+  ListedTask find_listed(const Machine& machine, const wire::TaskId& task,
                          const ReportedTask& reported) const;
   // Seconds that a listed task has to end; none: it may run on.
-  std::optional<double> grace_to_stop(const Machine& m, const ListedTask& listed,
+  std::optional<double> grace_to_stop(const Machine& machine, const ListedTask& listed,
                                       const wire::TaskId& task, const ReportedTask& reported) const;
   // Adds the command to stop a listed task. True if its capacity is free soon.
-  bool add_stop(const Machine& m, const ListedTask& listed, const wire::TaskId& task,
+  bool add_stop(const Machine& machine, const ListedTask& listed, const wire::TaskId& task,
                 const ReportedTask& reported, double grace_s, CommandPlan& plan) const;
   // Stops and forgets what the worker lists and should not.
-  void add_commands_for_listed(const Machine& m, CommandPlan& plan) const;
+  void add_commands_for_listed(const Machine& machine, CommandPlan& plan) const;
   // Starts what is recorded and not listed.
-  void add_starts(Ms now, Machine& m, CommandPlan& plan);
-  void log_command(const Machine& m, const wire::Command& command, const wire::Placement* placement,
-                   std::string_view reason) const;
+  void add_starts(Ms now, Machine& machine, CommandPlan& plan);
+  void log_command(const Machine& machine, const wire::Command& command,
+                   const wire::Placement* placement, std::string_view reason) const;
   // Guards against a start that waits for ever: two controllers may have filled the same machine at
   // the same time, and what runs there may be a service, which does not end. The task is placed
   // anew once the machine has shown that it does not have it.
-  void abandon_blocked_start(Ms now, Machine& m, const wire::TaskId& task, std::uint64_t attempt);
-  bool needs_direct_command(const Machine& m, const std::vector<wire::Command>& list) const;
+  void abandon_blocked_start(Ms now, Machine& machine, const wire::TaskId& task,
+                             std::uint64_t attempt);
+  bool needs_direct_command(const Machine& machine, const std::vector<wire::Command>& list) const;
   void on_command_result(Ms now, const SentCommands& sent, const HttpResult& http_result);
   // May still be executed: everything sent from now on outruns it.
-  void on_commands_unanswered(Ms now, Machine& m, const SentCommands& sent);
+  void on_commands_unanswered(Ms now, Machine& machine, const SentCommands& sent);
 
   const Context& context_;
   const ControllerStatus& status_;
--- a/src/workers/heartbeat_applier.cpp
+++ b/src/workers/heartbeat_applier.cpp
@@ -14,88 +14,93 @@
 
 }  // namespace
 
-void HeartbeatApplier::mark_unreachable(Ms now, Machine& m) {
-  ++m.fence;
-  m.reachability_token = machines_.token(m);
-  if (m.unreachable_since == 0) m.unreachable_since = now;
+void HeartbeatApplier::mark_unreachable(Ms now, Machine& machine) {
+  ++machine.fence;
+  machine.reachability_token = machines_.token(machine);
+  if (machine.unreachable_since == 0) machine.unreachable_since = now;
 }
 
-void HeartbeatApplier::on_agent_restart(Ms now, Machine& m, const wire::Heartbeat& heartbeat) {
-  context_.log(LogLevel::info, "machine " + m.id + " has restarted");
-  m.tasks.clear();
-  m.images.clear();
-  m.stop_requests.clear();
-  m.unconfirmed_starts.clear();
-  m.incarnation = heartbeat.incarnation;
-  m.sequence = 0;
-  m.last_heartbeat_counters = {};
-  m.highest_token_seen = 0;
-  m.token_confirmed = false;
-  m.lease_granted_at = std::max(m.lease_granted_at, now);
-  m.start_token = machines_.token(m);
-  mark_unreachable(now, m);
-  for (const TaskRef& ref : context_.replica.placed_on(m.id)) {
+void HeartbeatApplier::on_agent_restart(Ms now, Machine& machine,
+                                        const wire::Heartbeat& heartbeat) {
+  context_.log(LogLevel::info, "machine " + machine.id + " has restarted");
+  machine.tasks.clear();
+  machine.images.clear();
+  machine.stop_requests.clear();
+  machine.unconfirmed_starts.clear();
+  machine.incarnation = heartbeat.incarnation;
+  machine.sequence = 0;
+  machine.last_heartbeat_counters = {};
+  machine.highest_token_seen = 0;
+  machine.token_confirmed = false;
+  machine.lease_granted_at = std::max(machine.lease_granted_at, now);
+  machine.start_token = machines_.token(machine);
+  mark_unreachable(now, machine);
+  for (const TaskRef& ref : context_.replica.placed_on(machine.id)) {
     const auto* p = context_.replica.placement(ref);
     const wire::TaskId task{ref.range.job, ref.index};
     const bool listed =
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                     [&](const auto& t) { return t.task == task && p && t.attempt == p->attempt; });
     if (!p || listed) continue;
-    m.stop_requests[task] = {p->attempt, 0.0};
-    m.unconfirmed_starts[task] = m.start_token;
+    machine.stop_requests[task] = {p->attempt, 0.0};
+    machine.unconfirmed_starts[task] = machine.start_token;
   }
 }
 
-void HeartbeatApplier::begin_incarnation(Ms now, Machine& m) {
-  m.tasks.clear();
-  m.stop_requests.clear();
-  m.unconfirmed_starts.clear();
-  m.start_blocked_since.clear();
-  m.images.clear();
+void HeartbeatApplier::begin_incarnation(Ms now, Machine& machine) {
+  machine.tasks.clear();
+  machine.stop_requests.clear();
+  machine.unconfirmed_starts.clear();
+  machine.start_blocked_since.clear();
+  machine.images.clear();
   // Guards against counting the former incarnation's lease on: heard by a direct command alone, a
   // new incarnation was taken for expired, and what had just started in it was started elsewhere.
-  m.lease_granted_at = std::max(m.lease_granted_at, now);
+  machine.lease_granted_at = std::max(machine.lease_granted_at, now);
   // Its lease has expired although its heartbeats come: perhaps no reply reaches it. Guards against
   // a machine that draws and loses task after task.
-  if (m.sequence > 0) mark_unreachable(now, m);
+  if (machine.sequence > 0) mark_unreachable(now, machine);
 }
 
-bool HeartbeatApplier::apply_attributes(Ms now, Machine& m, const wire::Heartbeat& heartbeat) {
+bool HeartbeatApplier::apply_attributes(Ms now, Machine& machine,
+                                        const wire::Heartbeat& heartbeat) {
   bool changed = false;
-  m.suspect = false;
-  m.incarnation = heartbeat.incarnation;
-  m.sequence = heartbeat.sequence;
-  m.address = heartbeat.address;
-  m.type = heartbeat.type;
-  m.zone = heartbeat.zone;
-  m.spot = heartbeat.spot;
-  m.last_contact = now;
-  m.highest_token_seen = std::max(m.highest_token_seen, heartbeat.token);
-  if (heartbeat.token >= ClusterView::token(m.owned_since_epoch, 0) && !m.token_confirmed)
-    m.token_confirmed = changed = true;
-  if (m.unreachable_since != 0 && heartbeat.token >= m.reachability_token) {
-    m.unreachable_since = 0;
-    m.unanswered_commands = 0;
+  machine.suspect = false;
+  machine.incarnation = heartbeat.incarnation;
+  machine.sequence = heartbeat.sequence;
+  machine.address = heartbeat.address;
+  machine.type = heartbeat.type;
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
+  machine.last_contact = now;
+  machine.highest_token_seen = std::max(machine.highest_token_seen, heartbeat.token);
+  if (heartbeat.token >= ClusterView::token(machine.owned_since_epoch, 0) &&
+      !machine.token_confirmed)
+    machine.token_confirmed = changed = true;
+  if (machine.unreachable_since != 0 && heartbeat.token >= machine.reachability_token) {
+    machine.unreachable_since = 0;
+    machine.unanswered_commands = 0;
     changed = true;
   }
-  changed = changed || m.preemption_notice != heartbeat.preemption_notice_s.has_value();
-  m.preemption_notice = heartbeat.preemption_notice_s.has_value();
-  if (m.preemption_notice) m.preemption_at = now + to_ms(*heartbeat.preemption_notice_s);
+  changed = changed || machine.preemption_notice != heartbeat.preemption_notice_s.has_value();
+  machine.preemption_notice = heartbeat.preemption_notice_s.has_value();
+  if (machine.preemption_notice)
+    machine.preemption_at = now + to_ms(*heartbeat.preemption_notice_s);
   return changed;
 }
 
-void HeartbeatApplier::remember_image(Machine& m, const wire::TaskStatus& task) const {
+void HeartbeatApplier::remember_image(Machine& machine, const wire::TaskStatus& task) const {
   const auto job = context_.replica.jobs().find(task.task.job);
   if (task.state == wire::TaskState::exited || task.state == wire::TaskState::fetching ||
       job == context_.replica.jobs().end())
     return;
   const std::string& image = job->second.record.spec.image;
-  if (std::find(m.images.begin(), m.images.end(), image) != m.images.end()) return;
-  m.images.push_back(image);
-  if (m.images.size() > kImagesRemembered) m.images.erase(m.images.begin());
+  if (std::find(machine.images.begin(), machine.images.end(), image) != machine.images.end())
+    return;
+  machine.images.push_back(image);
+  if (machine.images.size() > kImagesRemembered) machine.images.erase(machine.images.begin());
 }
 
-bool HeartbeatApplier::apply_tasks(Ms now, Machine& m, const wire::Heartbeat& heartbeat) {
+bool HeartbeatApplier::apply_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat) {
   bool changed = false;
   std::map<wire::TaskId, ReportedTask> tasks;
   for (const wire::TaskStatus& listed : heartbeat.tasks) {
@@ -104,8 +109,8 @@
     task.state = listed.state;
     task.cause = listed.cause;
     task.checkpointed = listed.checkpointed;
-    const auto before = m.tasks.find(listed.task);
-    const bool same = before != m.tasks.end() && before->second.attempt == listed.attempt;
+    const auto before = machine.tasks.find(listed.task);
+    const bool same = before != machine.tasks.end() && before->second.attempt == listed.attempt;
     changed = changed || !same || before->second.state != listed.state;
     if (listed.state == wire::TaskState::running) {
       const bool ran_before = same && before->second.running_since != 0;
@@ -114,14 +119,14 @@
     // How long it ran tells later whether it ended early.
     if (listed.state == wire::TaskState::exited && same)
       task.running_since = before->second.running_since;
-    remember_image(m, listed);
-    m.unconfirmed_starts.erase(listed.task);
+    remember_image(machine, listed);
+    machine.unconfirmed_starts.erase(listed.task);
     // The same task may be listed twice: an exited attempt and its successor.
     const auto [entry, fresh] = tasks.emplace(listed.task, task);
     if (!fresh && entry->second.state == wire::TaskState::exited) entry->second = task;
   }
-  changed = changed || tasks.size() != m.tasks.size();
-  m.tasks = std::move(tasks);
+  changed = changed || tasks.size() != machine.tasks.size();
+  machine.tasks = std::move(tasks);
   return changed;
 }
 
--- a/src/workers/heartbeat_endpoint.cpp
+++ b/src/workers/heartbeat_endpoint.cpp
@@ -50,47 +50,47 @@
   on_own_heartbeat(now, request, machine->second, heartbeat);
 }
 
-void HeartbeatEndpoint::on_own_heartbeat(Ms now, std::uint64_t request, Machine& m,
+void HeartbeatEndpoint::on_own_heartbeat(Ms now, std::uint64_t request, Machine& machine,
                                          const wire::Heartbeat& heartbeat) {
   // Guards against a machine that nobody can ask because its address was never recorded.
-  if (m.address.empty()) m.address = heartbeat.address;
+  if (machine.address.empty()) machine.address = heartbeat.address;
   // Guards against copies from a machine's life before it restarted, whose counters may well be the
   // higher ones: within a life its token never falls, and a later incarnation counts only once the
   // machine has said so in reply to a message of our own. Until then it gets no commands.
-  if (m.incarnation != 0 && heartbeat.incarnation > m.incarnation &&
-      heartbeat.token >= m.highest_token_seen) {
-    m.suspect = true;
-    commands_.send(now, m);
-    m.lease_granted_at = std::max(m.lease_granted_at, now);
-    context_.reply(request, 200, wire::heartbeat_reply(machines_.token(m), {}));
+  if (machine.incarnation != 0 && heartbeat.incarnation > machine.incarnation &&
+      heartbeat.token >= machine.highest_token_seen) {
+    machine.suspect = true;
+    commands_.send(now, machine);
+    machine.lease_granted_at = std::max(machine.lease_granted_at, now);
+    context_.reply(request, 200, wire::heartbeat_reply(machines_.token(machine), {}));
     return;
   }
   const HeartbeatCounters counters{heartbeat.incarnation, heartbeat.sequence};
-  const bool stale = heartbeat.token < m.highest_token_seen;
+  const bool stale = heartbeat.token < machine.highest_token_seen;
   // A heartbeat may be overtaken by the reply to a direct message; it is genuine all the same.
-  const bool fresh = !stale && counters > m.last_heartbeat_counters;
+  const bool fresh = !stale && counters > machine.last_heartbeat_counters;
   if (fresh) {
-    m.last_heartbeat_counters = counters;
-    m.last_heartbeat = now;
+    machine.last_heartbeat_counters = counters;
+    machine.last_heartbeat = now;
   }
   // Guards against replies that the machine drops for ever because this process has forgotten how
   // far it had raised the fence: only the owner of this epoch, ourselves, can have given it.
   if (fresh && ClusterView::epoch_of(heartbeat.token) == context_.cluster_view.epoch())
-    m.fence = std::max(m.fence, ClusterView::fence_of(heartbeat.token));
-  if ((stale || !heartbeat_applier_.apply(now, m, heartbeat)) &&
-      !(fresh && heartbeat.incarnation == m.incarnation)) {
+    machine.fence = std::max(machine.fence, ClusterView::fence_of(heartbeat.token));
+  if ((stale || !heartbeat_applier_.apply(now, machine, heartbeat)) &&
+      !(fresh && heartbeat.incarnation == machine.incarnation)) {
     // Guards against late copies: they renew nothing and get no commands. A machine that came back
     // with low counters looks the same; its reply to a message of our own tells
     // (CommandDispatcher).
-    m.suspect = true;
-    commands_.send(now, m);
+    machine.suspect = true;
+    commands_.send(now, machine);
     context_.reply_unavailable(request, kRetryAfterS);
     return;
   }
-  const auto list = commands_.commands_for(now, m);
-  const std::uint64_t given = machines_.token(m);
-  m.heartbeat_answered = true;
-  m.lease_granted_at = std::max(m.lease_granted_at, now);
+  const auto list = commands_.commands_for(now, machine);
+  const std::uint64_t given = machines_.token(machine);
+  machine.heartbeat_answered = true;
+  machine.lease_granted_at = std::max(machine.lease_granted_at, now);
   context_.reply(request, 200, wire::heartbeat_reply(given, list));
 }
 
--- a/src/workers/heartbeat_endpoint.h
+++ b/src/workers/heartbeat_endpoint.h
@@ -32,7 +32,7 @@
   // Whether this controller can speak for the machine now; replies otherwise.
   bool accepts(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat,
                const std::string& body);
-  void on_own_heartbeat(Ms now, std::uint64_t request, Machine& m,
+  void on_own_heartbeat(Ms now, std::uint64_t request, Machine& machine,
                         const wire::Heartbeat& heartbeat);
 
   const Context& context_;
--- a/src/workers/machine_monitor.h
+++ b/src/workers/machine_monitor.h
@@ -37,33 +37,33 @@
  private:
   // Forgets machines that are neither recorded nor heard.
   void forget_unknown(Ms now);
-  void check(Ms now, Machine& m, const links::Census& census);
+  void check(Ms now, Machine& machine, const links::Census& census);
   // Releases what the machine had, if its lease has expired or it is terminated. True if so.
-  bool release_after_end(Ms now, Machine& m, bool silence_of_few);
+  bool release_after_end(Ms now, Machine& machine, bool silence_of_few);
   // Marks a machine as lost that is there but of no use: nothing reaches it, or its heartbeats
   // don't come.
-  void check_reachability(Ms now, Machine& m);
-  void check_silence(Ms now, Machine& m, const links::Census& census, bool silence_of_few);
-  void send_commands_if_due(Ms now, Machine& m);
-  void mark_lost(Ms now, Machine& m, const char* reason);
+  void check_reachability(Ms now, Machine& machine);
+  void check_silence(Ms now, Machine& machine, const links::Census& census, bool silence_of_few);
+  void send_commands_if_due(Ms now, Machine& machine);
+  void mark_lost(Ms now, Machine& machine, const char* reason);
 
-  void learn_lease(Ms now, Machine& m) const;
-  bool lease_expired(Ms now, const Machine& m) const;
+  void learn_lease(Ms now, Machine& machine) const;
+  bool lease_expired(Ms now, const Machine& machine) const;
   // Every other member acts on a view of that epoch or later.
   bool peers_acknowledged_epoch(std::uint64_t epoch) const;
   // It has been asked and has not answered, for so long that it is most likely dead. `early`: of
   // the machines of its zone that are probed early.
-  bool presumed_dead(Ms now, const Machine& m, const links::ContactCount& early) const;
+  bool presumed_dead(Ms now, const Machine& machine, const links::ContactCount& early) const;
   // All that it runs is short and must be done soon: it is sooner begun again elsewhere than heard
   // of when a partition is over.
-  bool restart_elsewhere_first(const Machine& m) const;
+  bool restart_elsewhere_first(const Machine& machine) const;
 
   // What still runs on a quarantined machine is stopped; it is returned once it is empty.
-  void drain(Machine& m);
+  void drain(Machine& machine);
   // The cloud takes the machine away soon.
-  void drain_before_preemption(Ms now, Machine& m);
+  void drain_before_preemption(Ms now, Machine& machine);
   // Stops a replica whose machine is about to go, so that it starts elsewhere.
-  static void move_replica(Machine& m, const wire::TaskId& task, std::uint64_t attempt);
+  static void move_replica(Machine& machine, const wire::TaskId& task, std::uint64_t attempt);
 
   const Context& context_;
   const ControllerStatus& status_;
--- a/src/workers/machine_table.cpp
+++ b/src/workers/machine_table.cpp
@@ -22,11 +22,12 @@
 
 MachineTable::Map::iterator MachineTable::add(Ms now, const std::string& id) {
   const auto added = machines_.try_emplace(id).first;
-  Machine& m = added->second;
-  m.id = id;
-  m.owned_since_epoch = context_.cluster_view.epoch();
-  m.last_contact = m.last_heartbeat = now;  // no decision before it had time to reach us
-  refresh_from_records(m);
+  Machine& machine = added->second;
+  machine.id = id;
+  machine.owned_since_epoch = context_.cluster_view.epoch();
+  machine.last_contact = machine.last_heartbeat =
+      now;  // no decision before it had time to reach us
+  refresh_from_records(machine);
   return added;
 }
 
@@ -58,13 +59,13 @@
   return to_ms(context_.settings.heartbeat_interval_s * kOverdueIntervals);
 }
 
-Ms MachineTable::probe_after(const Machine& m) const {
-  return context_.replica.hosts_service(m.id) ? std::min(overdue_after(), kServiceOverdueMs)
-                                              : overdue_after();
+Ms MachineTable::probe_after(const Machine& machine) const {
+  return context_.replica.hosts_service(machine.id) ? std::min(overdue_after(), kServiceOverdueMs)
+                                                    : overdue_after();
 }
 
-bool MachineTable::heartbeats_missing(Ms now, const Machine& m) const {
-  return now - m.last_heartbeat >
+bool MachineTable::heartbeats_missing(Ms now, const Machine& machine) const {
+  return now - machine.last_heartbeat >
          std::max(unresponsive_after(),
                   to_ms(context_.settings.lease_s * kHeartbeatsMissingLeaseShare));
 }
@@ -75,11 +76,11 @@
          now - known->second.last_contact <= std::min(overdue_after(), kServiceOverdueMs);
 }
 
-bool MachineTable::usable(Ms now, const Machine& m) const {
-  return m.recorded && m.state == wire::MachineState::ready && m.sequence > 0 &&
-         m.token_confirmed && m.unreachable_since == 0 && !m.preemption_notice &&
-         now - m.last_contact < unresponsive_after() && !heartbeats_missing(now, m) &&
-         now >= m.full_until;
+bool MachineTable::usable(Ms now, const Machine& machine) const {
+  return machine.recorded && machine.state == wire::MachineState::ready && machine.sequence > 0 &&
+         machine.token_confirmed && machine.unreachable_since == 0 && !machine.preemption_notice &&
+         now - machine.last_contact < unresponsive_after() && !heartbeats_missing(now, machine) &&
+         now >= machine.full_until;
 }
 
 }  // namespace scheduler
--- a/src/workers/machine_table.h
+++ b/src/workers/machine_table.h
@@ -36,10 +36,10 @@
   // Adds a machine that is of our shard now, or finds it.
   Map::iterator add(Ms now, const std::string& id);
   // Takes over what the records say of the machine.
-  void refresh_from_records(Machine& m) const;
+  void refresh_from_records(Machine& machine) const;
   // The fencing token of commands to the machine.
-  std::uint64_t token(const Machine& m) const {
-    return ClusterView::token(context_.cluster_view.epoch(), m.fence);
+  std::uint64_t token(const Machine& machine) const {
+    return ClusterView::token(context_.cluster_view.epoch(), machine.fence);
   }
 
   // ---- contact ----
@@ -48,16 +48,16 @@
   // Milliseconds without contact after which a heartbeat is overdue and the machine is asked.
   Ms overdue_after() const;
   // The same for this machine, which may be asked earlier.
-  Ms probe_after(const Machine& m) const;
+  Ms probe_after(const Machine& machine) const;
   // The machine is asked before its next heartbeat is overdue.
-  bool probed_early(const Machine& m) const { return probe_after(m) < overdue_after(); }
+  bool probed_early(const Machine& machine) const { return probe_after(machine) < overdue_after(); }
   // It answers direct messages, but its heartbeats do not come, and only replies to those renew its
   // lease. Guards against a machine that draws task after task and loses each with its lease.
-  bool heartbeats_missing(Ms now, const Machine& m) const;
+  bool heartbeats_missing(Ms now, const Machine& machine) const;
   // There was contact so lately that it is most likely alive.
   bool contacted_recently(Ms now, const std::string& id) const;
   // Tasks may be placed on it.
-  bool usable(Ms now, const Machine& m) const;
+  bool usable(Ms now, const Machine& machine) const;
 
  private:
   const Context& context_;
--- a/src/workers/reconciler.h
+++ b/src/workers/reconciler.h
@@ -23,16 +23,17 @@
 
   // A recorded task is gone when its machine, under a token that outruns every start sent for it,
   // no longer lists it, or lists it as exited, or has moved to a later incarnation.
-  void reconcile(Ms now, Machine& m);
+  void reconcile(Ms now, Machine& machine);
   // The task is not to be on any machine: cancelled, being stopped, or of a gang that failed.
-  bool must_not_run(const Machine& m, const TaskRef& ref, const wire::Placement& p) const;
+  bool must_not_run(const Machine& machine, const TaskRef& ref,
+                    const wire::Placement& placement) const;
   // A task that must not run is not listed, and it is not proven yet that it can't start.
-  bool has_unproven_absence(const Machine& m) const;
+  bool has_unproven_absence(const Machine& machine) const;
 
  private:
-  void on_exit(Ms now, Machine& m, const TaskRef& ref, const ReportedTask& seen);
+  void on_exit(Ms now, Machine& machine, const TaskRef& ref, const ReportedTask& seen);
   // What a replica's end says about its job.
-  void on_replica_end(Ms now, const Machine& m, const TaskRef& ref, const ReportedTask& seen);
+  void on_replica_end(Ms now, const Machine& machine, const TaskRef& ref, const ReportedTask& seen);
 
   const Context& context_;
   RangeTable& ranges_;
--- a/src/workers/shard_reachability.cpp
+++ b/src/workers/shard_reachability.cpp
@@ -72,14 +72,14 @@
   } else {
     next.unreachable.erase(context_.settings.name);
   }
-  Transaction t;
-  t.conditions = {context_.view_unchanged()};
-  t.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}};
-  t.urgent = true;
-  t.done = [this](Ms at, TxnResult, const auto&) {
+  Transaction transaction;
+  transaction.conditions = {context_.view_unchanged()};
+  transaction.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}};
+  transaction.urgent = true;
+  transaction.done = [this](Ms at, TxnResult, const auto&) {
     context_.state_client.wait_until_settled(at, [this](Ms) { write_in_flight_ = false; });
   };
-  context_.state_client.submit(std::move(t));
+  context_.state_client.submit(std::move(transaction));
 }
 
 }  // namespace scheduler
--- a/src/workers/shard_record_writer.cpp
+++ b/src/workers/shard_record_writer.cpp
@@ -19,24 +19,25 @@
 
 }  // namespace
 
-void ShardRecordWriter::record_machine_state(Ms now, Machine& m, wire::MachineState state,
+void ShardRecordWriter::record_machine_state(Ms now, Machine& machine, wire::MachineState state,
                                              Ms within) {
-  const auto group = context_.replica.group_of(m.id);
-  m.state = std::max(m.state, state);
+  const auto group = context_.replica.group_of(machine.id);
+  machine.state = std::max(machine.state, state);
   if (!group) return;  // the fleet leader records it first; then we are asked again
-  ShardWrite& w = shard_writes_[*group];
-  const wire::ShardRecord::Contact heard{m.address, m.incarnation, m.state, m.owned_since_epoch};
-  auto [at, fresh] = w.pending.try_emplace(m.id, heard);
-  if (!fresh && at->second == heard && w.due <= now + within) return;
+  ShardWrite& write = shard_writes_[*group];
+  const wire::ShardRecord::Contact heard{machine.address, machine.incarnation, machine.state,
+                                         machine.owned_since_epoch};
+  auto [at, fresh] = write.pending.try_emplace(machine.id, heard);
+  if (!fresh && at->second == heard && write.due <= now + within) return;
   at->second = heard;
-  w.due = w.due == 0 ? now + within : std::min(w.due, now + within);
+  write.due = write.due == 0 ? now + within : std::min(write.due, now + within);
 }
 
 void ShardRecordWriter::regroup_pending() {
   std::vector<std::pair<std::string, wire::ShardRecord::Contact>> moved;
-  for (auto& [group, w] : shard_writes_) {
-    if (w.busy) continue;
-    std::erase_if(w.pending, [&, from = group](const auto& entry) {
+  for (auto& [group, write] : shard_writes_) {
+    if (write.busy) continue;
+    std::erase_if(write.pending, [&, from = group](const auto& entry) {
       const auto now_in = context_.replica.group_of(entry.first);
       if (!now_in || *now_in == from) return false;
       moved.push_back(entry);
@@ -75,24 +76,24 @@
     // What our record of that group says already is newer.
     to->second.machines.try_emplace(id, heard);
   }
-  Transaction t;
-  t.conditions = {context_.view_unchanged()};
+  Transaction transaction;
+  transaction.conditions = {context_.view_unchanged()};
   std::vector<std::uint32_t> groups;
   for (const auto& [target, shard] : next) {
     const std::string key = wire::shard_key(context_.settings.name, target);
-    t.conditions.push_back(context_.state_client.unchanged(key));
-    t.writes.push_back({key, encode(shard), std::nullopt});
+    transaction.conditions.push_back(context_.state_client.unchanged(key));
+    transaction.writes.push_back({key, encode(shard), std::nullopt});
     shard_writes_[target].busy = true;
     groups.push_back(target);
   }
   auto release = [this, groups](Ms) {
     for (const std::uint32_t target : groups) shard_writes_[target].busy = false;
   };
-  t.done = [this, release](Ms at, TxnResult result, const auto&) {
+  transaction.done = [this, release](Ms at, TxnResult result, const auto&) {
     result == TxnResult::committed ? release(at)
                                    : context_.state_client.wait_until_settled(at, release);
   };
-  context_.state_client.submit(std::move(t));
+  context_.state_client.submit(std::move(transaction));
 }
 
 void ShardRecordWriter::write(Ms now) {
@@ -136,15 +137,16 @@
     });
     // Guards against a fleet of many groups that keeps placements waiting while it comes up.
     if (!changes_state && contact_writes_in_flight_ >= kContactWritesQueued) continue;
-    Transaction t;
+    Transaction transaction;
     const std::string key = wire::shard_key(context_.settings.name, group);
-    t.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
-    t.writes = {{key, encode(next), std::nullopt}};
-    t.urgent = urgent;
+    transaction.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
+    transaction.writes = {{key, encode(next), std::nullopt}};
+    transaction.urgent = urgent;
     if (!changes_state) ++contact_writes_in_flight_;
     w.busy = true;
     w.due = 0;
-    t.done = [this, group, changes_state, sent = w.pending](Ms at, TxnResult result, const auto&) {
+    transaction.done = [this, group, changes_state, sent = w.pending](Ms at, TxnResult result,
+                                                                      const auto&) {
       if (!changes_state) --contact_writes_in_flight_;
       ShardWrite& written = shard_writes_[group];
       if (result == TxnResult::committed) {
@@ -162,7 +164,7 @@
         again.due = then + kRefusedRetryMs;
       });
     };
-    context_.state_client.submit(std::move(t));
+    context_.state_client.submit(std::move(transaction));
   }
 }
 
--- a/src/workers/shard_record_writer.h
+++ b/src/workers/shard_record_writer.h
@@ -22,7 +22,7 @@
 
   // Asks for the machine's address, incarnation and state to be recorded within so many
   // milliseconds. States are never taken back.
-  void record_machine_state(Ms now, Machine& m, wire::MachineState state, Ms within);
+  void record_machine_state(Ms now, Machine& machine, wire::MachineState state, Ms within);
   // Writes what is due.
   void write(Ms now);
 
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -19,18 +19,20 @@
 links::Census WorkerLinks::take_census(Ms now) {
   links::Census census;
   std::map<std::string, std::size_t> reporting;
-  for (const auto& [id, m] : machines_) {
-    if (m.incarnation == 0 || m.state != wire::MachineState::ready) continue;
+  for (const auto& [id, machine] : machines_) {
+    if (machine.incarnation == 0 || machine.state != wire::MachineState::ready) continue;
     // Guards against taking machines that are on their way out, or that have not found us yet, for
     // a sign that we are partitioned.
-    if (m.recorded && m.heartbeat_answered) ++reporting[m.zone];
-    const bool silent =
-        now - m.last_contact > machines_.overdue_after() || machines_.heartbeats_missing(now, m) ||
-        (m.unreachable_since != 0 && now - m.unreachable_since > machines_.unresponsive_after());
+    if (machine.recorded && machine.heartbeat_answered) ++reporting[machine.zone];
+    const bool silent = now - machine.last_contact > machines_.overdue_after() ||
+                        machines_.heartbeats_missing(now, machine) ||
+                        (machine.unreachable_since != 0 &&
+                         now - machine.unreachable_since > machines_.unresponsive_after());
     census.all.add(!silent);
-    census.zones[m.zone].add(!silent);
-    if (machines_.probed_early(m))
-      census.probed_early[m.zone].add(now - m.last_contact <= machines_.probe_after(m));
+    census.zones[machine.zone].add(!silent);
+    if (machines_.probed_early(machine))
+      census.probed_early[machine.zone].add(now - machine.last_contact <=
+                                            machines_.probe_after(machine));
   }
   links_.expect_workers(now, reporting);
   links_.note_census(now, census);
@@ -63,16 +65,16 @@
 std::vector<std::string> WorkerLinks::sample_zone(const std::string& zone) {
   std::vector<std::string> sample;
   std::size_t seen = 0;
-  for (const auto& [id, m] : machines_) {
-    if (m.zone != zone || m.incarnation == 0 || m.address.empty() || !m.recorded ||
-        m.state != wire::MachineState::ready)
+  for (const auto& [id, machine] : machines_) {
+    if (machine.zone != zone || machine.incarnation == 0 || machine.address.empty() ||
+        !machine.recorded || machine.state != wire::MachineState::ready)
       continue;
     ++seen;
     if (sample.size() < links::kProbedAtOnce) {
-      sample.push_back(m.address);
+      sample.push_back(machine.address);
     } else if (const auto at = probe_random_(static_cast<std::uint32_t>(seen));
                at < sample.size()) {
-      sample[at] = m.address;
+      sample[at] = machine.address;
     }
   }
   return sample;
@@ -92,19 +94,19 @@
   }
 }
 
-std::optional<std::string> WorkerLinks::relay_for(Ms now, const Machine& m) const {
+std::optional<std::string> WorkerLinks::relay_for(Ms now, const Machine& machine) const {
   if (!context_.settings.relays) return std::nullopt;
   const bool failed =
-      m.direct_command_failed_at != 0 && now - m.direct_command_failed_at < kRelayForMs;
-  const auto zone = links_.zones().find(m.zone);
+      machine.direct_command_failed_at != 0 && now - machine.direct_command_failed_at < kRelayForMs;
+  const auto zone = links_.zones().find(machine.zone);
   const bool zone_down =
       zone != links_.zones().end() && zone->second.commands(now) == links::Status::down;
   if (!failed && !zone_down) return std::nullopt;
-  return links_.relay_to(status_.moment(now), m.zone);
+  return links_.relay_to(status_.moment(now), machine.zone);
 }
 
-bool WorkerLinks::may_be_reached(Ms now, const Machine& m) const {
-  return !m.relayed_command_unanswered && relay_for(now, m).has_value();
+bool WorkerLinks::may_be_reached(Ms now, const Machine& machine) const {
+  return !machine.relayed_command_unanswered && relay_for(now, machine).has_value();
 }
 
 void WorkerLinks::redirect_heartbeat(Ms now, std::uint64_t request, const std::string& owner,
