--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -80,8 +80,8 @@
   std::vector<Need> out;
   for (const auto& [key, n] : sums) {
     const auto& [type, any_zone, zone, any_kind] = key;
-    const double has_write_headroom = any_zone && any_kind ? kSpareMachines : 0;
-    out.push_back({type, zone, !any_kind, n * (1.0 + kHeadroom) + has_write_headroom});
+    const double spare = any_zone && any_kind ? kSpareMachines : 0;
+    out.push_back({type, zone, !any_kind, n * (1.0 + kHeadroom) + spare});
   }
   return out;
 }
@@ -95,54 +95,67 @@
   refused_[kind] = now + kRefusedPauseMs;
 }
 
+// Machines to be rented beside those that are held, kind by kind.
+struct FleetSizer::ScaleOutPlan {
+  std::map<MachineKind, int> counts;  // held, and planned so far
+  std::map<MachineKind, int> rent;
+  std::map<std::string, bool> spot_ok;  // by type: some work of it may use spot machines
+};
+
+double FleetSizer::count_for(const Need& need, const std::map<MachineKind, int>& counts) {
+  double have = 0;
+  for (const auto& [kind, count] : counts) {
+    if (kind.type == need.type && (need.zone.empty() || kind.zone == need.zone) &&
+        !(need.ordinary_only && kind.spot))
+      have += count;
+  }
+  return have;
+}
+
+std::optional<MachineKind> FleetSizer::next_kind(Ms now, const Need& need,
+                                                 const wire::MachineType& type,
+                                                 ScaleOutPlan& plan) const {
+  constexpr int kMost = static_cast<int>(kMachinesPerScaleOut * kScaleOutsPerKind);
+  std::optional<MachineKind> best;
+  // Ordinary machines first: they are not preempted. Then the zone with the fewest.
+  for (const bool spot : {false, true}) {
+    if (best || (spot && (need.ordinary_only || !plan.spot_ok[need.type]))) continue;
+    for (const auto& zone : type.zones) {
+      const MachineKind kind{need.type, zone, spot};
+      if ((!need.zone.empty() && zone != need.zone) || is_refused(now, kind)) continue;
+      if (plan.rent[kind] >= kMost) continue;
+      if (!best || plan.counts[kind] < plan.counts[*best]) best = kind;
+    }
+  }
+  return best;
+}
+
 std::vector<wire::ScaleOutRequest> FleetSizer::next_scale_out(
     Ms now, const std::vector<Demand>& demand, const std::vector<wire::MachineType>& catalog,
     const std::map<MachineKind, int>& held) const {
-  std::map<std::string, bool> spot_ok;  // some work of this type may use spot machines
+  ScaleOutPlan plan;
+  plan.counts = held;
   for (const auto& work : demand) {
-    if (const auto* t = type_for(*work.job, catalog)) spot_ok[t->name] |= work.job->spot;
+    if (const auto* type = type_for(*work.job, catalog)) plan.spot_ok[type->name] |= work.job->spot;
   }
-  std::map<MachineKind, int> counts = held;
-  std::map<MachineKind, int> rent;
   for (const Need& need : needs(demand, catalog)) {
-    const std::string& type_name = need.type;
-    const std::string& zone = need.zone;
-    const auto type = std::find_if(catalog.begin(), catalog.end(),
-                                   [&](const auto& t) { return t.name == type_name; });
-    double have = 0;
-    for (const auto& [kind, n] : counts) {
-      if (kind.type == type_name && (zone.empty() || kind.zone == zone) &&
-          !(need.ordinary_only && kind.spot))
-        have += n;
-    }
-    int missing = static_cast<int>(std::ceil(need.machines - have));
+    const auto type = std::find_if(catalog.begin(), catalog.end(), [&need](const auto& candidate) {
+      return candidate.name == need.type;
+    });
+    int missing = static_cast<int>(std::ceil(need.machines - count_for(need, plan.counts)));
     while (missing-- > 0) {
-      // Ordinary machines first: they are not preempted. Then the zone with the fewest.
-      const MachineKind* best = nullptr;
-      MachineKind found;
-      for (const bool spot : {false, true}) {
-        if (best || (spot && (need.ordinary_only || !spot_ok[type_name]))) continue;
-        for (const auto& z : type->zones) {
-          MachineKind kind{type_name, z, spot};
-          if ((!zone.empty() && z != zone) || is_refused(now, kind)) continue;
-          if (rent[kind] >= static_cast<int>(kMachinesPerScaleOut * kScaleOutsPerKind)) continue;
-          if (!best || counts[kind] < counts[found]) {
-            found = kind;
-            best = &found;
-          }
-        }
-      }
-      if (!best) break;
-      ++counts[found];
-      ++rent[found];
+      const std::optional<MachineKind> kind = next_kind(now, need, *type, plan);
+      if (!kind) break;
+      ++plan.counts[*kind];
+      ++plan.rent[*kind];
     }
   }
   std::vector<wire::ScaleOutRequest> out;
-  for (const auto& [kind, n] : rent) {
-    for (auto left = static_cast<std::uint32_t>(n); left > 0;) {
-      const std::uint32_t one = std::min(left, kMachinesPerScaleOut);
-      out.push_back({"", kind.type, kind.zone, kind.spot, one});
-      left -= one;
+  for (const auto& [kind, count] : plan.rent) {
+    for (auto left = static_cast<std::uint32_t>(count); left > 0;) {
+      const std::uint32_t machines = std::min(left, kMachinesPerScaleOut);
+      out.push_back({"", kind.type, kind.zone, kind.spot, machines});
+      left -= machines;
     }
   }
   return out;
--- a/src/fleet/fleet_sizer.h
+++ b/src/fleet/fleet_sizer.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <map>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <tuple>
@@ -63,7 +64,15 @@
   void on_refused(Ms now, const MachineKind& kind);
 
  private:
+  struct ScaleOutPlan;
+
   bool is_refused(Ms now, const MachineKind& kind) const;
+  // Of these, the machines that count for the need.
+  static double count_for(const Need& need, const std::map<MachineKind, int>& counts);
+  // Which kind the next machine for the need is to be; none: no more may be asked for.
+  std::optional<MachineKind> next_kind(Ms now, const Need& need, const wire::MachineType& type,
+                                       ScaleOutPlan& plan) const;
+
   const Settings& settings_;
   std::map<MachineKind, Ms> refused_;
 };
--- a/src/scheduling/pending_order.cpp
+++ b/src/scheduling/pending_order.cpp
@@ -1,6 +1,7 @@
 #include "scheduling/pending_order.h"
 
 #include <algorithm>
+#include <cstdint>
 #include <numeric>
 
 namespace scheduler {
@@ -11,106 +12,142 @@
 // classes have two to four.
 constexpr int kOrderRounds = 4;
 
-}  // namespace
+// One run of the ordering over a list of jobs, which are named by their index.
+class DeadlineOrder {
+ public:
+  // `rate`: CPU seconds of work that are done in a second.
+  DeadlineOrder(const std::vector<PendingJob>& jobs, double rate)
+      : jobs_(jobs),
+        rate_(rate),
+        outlook_(jobs.size(), Outlook::in_time),
+        objective_(jobs.size(), 0),
+        slot_(jobs.size(), 0) {
+    for (std::size_t job = 0; job < jobs.size(); ++job)
+      if (jobs[job].latest_starts.empty()) outlook_[job] = Outlook::misses_every_objective;
+  }
 
-std::vector<std::size_t> order_by_deadline(const std::vector<PendingJob>& jobs, double cpus) {
-  enum Class : int { in_time, late, misses_every_objective };
-  const std::size_t n = jobs.size();
-  std::vector<int> kind(n, in_time);
-  std::vector<std::size_t> objective(n, 0);  // the objective that the job is to meet
-  std::vector<std::size_t> order(n);
-  std::iota(order.begin(), order.end(), 0);
-  for (std::size_t i = 0; i < n; ++i)
-    if (jobs[i].latest_starts.empty()) kind[i] = misses_every_objective;
-  auto due = [&](std::size_t i) { return jobs[i].latest_starts[objective[i]]; };
-  const double rate = std::max(cpus * kForecastShare, 1.0);
-  // A job that misses an objective may still meet the next; each round settles who does.
-  for (int round = 0; round < kOrderRounds; ++round) {
+  std::vector<std::size_t> places() {
+    // A job that misses an objective may still meet the next; each round settles who does.
+    for (int round = 0; round < kOrderRounds; ++round)
+      if (!defer_late_jobs()) break;
+    fill_slots();
+    std::vector<std::size_t> order(jobs_.size());
+    std::iota(order.begin(), order.end(), 0);
+    std::sort(order.begin(), order.end(),
+              [this](std::size_t a, std::size_t b) { return goes_before(a, b); });
+    std::vector<std::size_t> out(jobs_.size());
+    for (std::size_t place = 0; place < order.size(); ++place) out[order[place]] = place;
+    return out;
+  }
+
+ private:
+  enum class Outlook : std::uint8_t { in_time, late, misses_every_objective };
+
+  // Seconds from now by which the job's tasks must have started for the objective it is to meet.
+  double due(std::size_t job) const { return jobs_[job].latest_starts[objective_[job]]; }
+
+  std::vector<std::size_t> jobs_in_time() const {
     std::vector<std::size_t> open;
-    for (std::size_t i = 0; i < n; ++i)
-      if (kind[i] == in_time) open.push_back(i);
-    std::sort(open.begin(), open.end(), [&](std::size_t a, std::size_t b) {
-      if (jobs[a].priority != jobs[b].priority) return jobs[a].priority > jobs[b].priority;
+    for (std::size_t job = 0; job < jobs_.size(); ++job)
+      if (outlook_[job] == Outlook::in_time) open.push_back(job);
+    return open;
+  }
+
+  // Moore and Hodgson's rule: whenever one would be late, the one that takes most for its weight is
+  // put off to its next objective, or counts as late. False if none was.
+  bool defer_late_jobs() {
+    std::vector<std::size_t> open = jobs_in_time();
+    std::sort(open.begin(), open.end(), [this](std::size_t a, std::size_t b) {
+      if (jobs_[a].priority != jobs_[b].priority) return jobs_[a].priority > jobs_[b].priority;
       return due(a) != due(b) ? due(a) < due(b) : a < b;
     });
-    auto costlier = [&](std::size_t a, std::size_t b) {
-      return jobs[a].work / jobs[a].weight < jobs[b].work / jobs[b].weight;
+    const auto costlier = [this](std::size_t a, std::size_t b) {
+      return jobs_[a].work / jobs_[a].weight < jobs_[b].work / jobs_[b].weight;
     };
     std::vector<std::size_t> chosen;  // a heap, the costliest first
     double busy_s = 0;
     int priority = 0;
-    bool put_off = false;
-    for (const std::size_t i : open) {
-      if (chosen.empty() || jobs[i].priority != priority) {
+    bool deferred = false;
+    for (const std::size_t job : open) {
+      if (chosen.empty() || jobs_[job].priority != priority) {
         // What has a higher priority is not put off for what has a lower one.
         chosen.clear();
-        priority = jobs[i].priority;
+        priority = jobs_[job].priority;
       }
-      chosen.push_back(i);
+      chosen.push_back(job);
       std::push_heap(chosen.begin(), chosen.end(), costlier);
-      busy_s += jobs[i].work / rate;
-      if (busy_s <= due(i)) continue;
+      busy_s += jobs_[job].work / rate_;
+      if (busy_s <= due(job)) continue;
       std::pop_heap(chosen.begin(), chosen.end(), costlier);
-      const std::size_t worst = chosen.back();
+      busy_s -= jobs_[chosen.back()].work / rate_;
+      defer(chosen.back());
       chosen.pop_back();
-      busy_s -= jobs[worst].work / rate;
-      put_off = true;
-      if (++objective[worst] >= jobs[worst].latest_starts.size()) {
-        objective[worst] = 0;
-        kind[worst] = late;
-      }
+      deferred = true;
     }
-    if (!put_off) break;
+    return deferred;
+  }
+
+  void defer(std::size_t job) {
+    if (++objective_[job] < jobs_[job].latest_starts.size()) return;
+    objective_[job] = 0;
+    outlook_[job] = Outlook::late;
   }
+
   // Those in time: the least work first as far as all stay in time (Smith's rule, from the end: of
   // those that may be last, the largest is). Forecasts err, and work comes that nobody knows of
   // yet; what is done early is safe from both.
-  std::vector<std::size_t> slot(n, 0);
-  {
-    std::vector<std::size_t> open;
-    for (std::size_t i = 0; i < n; ++i)
-      if (kind[i] == in_time) open.push_back(i);
-    std::sort(open.begin(), open.end(), [&](std::size_t a, std::size_t b) {
-      if (jobs[a].priority != jobs[b].priority) return jobs[a].priority < jobs[b].priority;
+  void fill_slots() {
+    std::vector<std::size_t> open = jobs_in_time();
+    std::sort(open.begin(), open.end(), [this](std::size_t a, std::size_t b) {
+      if (jobs_[a].priority != jobs_[b].priority) return jobs_[a].priority < jobs_[b].priority;
       return due(a) != due(b) ? due(a) > due(b) : a < b;
     });
     double ends_s = 0;
-    for (const std::size_t i : open) ends_s += jobs[i].work / rate;
-    auto smaller = [&](std::size_t a, std::size_t b) {
-      return jobs[a].work != jobs[b].work ? jobs[a].work < jobs[b].work : a < b;
+    for (const std::size_t job : open) ends_s += jobs_[job].work / rate_;
+    const auto smaller = [this](std::size_t a, std::size_t b) {
+      return jobs_[a].work != jobs_[b].work ? jobs_[a].work < jobs_[b].work : a < b;
     };
     std::vector<std::size_t> may;  // be next from the end; a heap, the largest first
     auto next = open.begin();
-    for (std::size_t at = open.size(); at > 0; --at) {
+    for (std::size_t slot = open.size(); slot > 0; --slot) {
       // Of one priority only; rounding may leave none that may, then the latest due goes.
       while (next != open.end() &&
              (may.empty() ||
-              (jobs[*next].priority == jobs[may.front()].priority && due(*next) >= ends_s))) {
+              (jobs_[*next].priority == jobs_[may.front()].priority && due(*next) >= ends_s))) {
         may.push_back(*next++);
         std::push_heap(may.begin(), may.end(), smaller);
       }
       std::pop_heap(may.begin(), may.end(), smaller);
-      slot[may.back()] = at;
-      ends_s -= jobs[may.back()].work / rate;
+      slot_[may.back()] = slot;
+      ends_s -= jobs_[may.back()].work / rate_;
       may.pop_back();
     }
   }
-  std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-    const PendingJob &x = jobs[a], &y = jobs[b];
-    if ((kind[a] == misses_every_objective) != (kind[b] == misses_every_objective))
-      return kind[b] == misses_every_objective;
-    if (kind[a] == misses_every_objective) {
-      if (x.priority != y.priority) return x.priority > y.priority;
-      return x.age != y.age ? x.age > y.age : a < b;
-    }
+
+  bool goes_before(std::size_t a, std::size_t b) const {
+    const PendingJob& x = jobs_[a];
+    const PendingJob& y = jobs_[b];
+    const bool x_misses = outlook_[a] == Outlook::misses_every_objective;
+    const bool y_misses = outlook_[b] == Outlook::misses_every_objective;
+    if (x_misses != y_misses) return y_misses;
     if (x.priority != y.priority) return x.priority > y.priority;
-    if (kind[a] != kind[b]) return kind[a] < kind[b];
-    if (kind[a] == in_time) return slot[a] < slot[b];
+    if (x_misses) return x.age != y.age ? x.age > y.age : a < b;
+    if (outlook_[a] != outlook_[b]) return outlook_[a] < outlook_[b];
+    if (outlook_[a] == Outlook::in_time) return slot_[a] < slot_[b];
     return x.work != y.work ? x.work < y.work : a < b;
-  });
-  std::vector<std::size_t> out(n);
-  for (std::size_t at = 0; at < n; ++at) out[order[at]] = at;
-  return out;
+  }
+
+  const std::vector<PendingJob>& jobs_;
+  double rate_;
+  std::vector<Outlook> outlook_;
+  std::vector<std::size_t> objective_;  // index of the objective that the job is to meet
+  std::vector<std::size_t> slot_;       // of those in time
+};
+
+}  // namespace
+
+std::vector<std::size_t> order_by_deadline(const std::vector<PendingJob>& jobs, double cpus) {
+  return DeadlineOrder(jobs, std::max(cpus * kForecastShare, 1.0)).places();
 }
 
 }  // namespace scheduler
--- a/src/workers/shard_record_writer.cpp
+++ b/src/workers/shard_record_writer.cpp
@@ -96,76 +96,94 @@
   context_.state_client.submit(std::move(transaction));
 }
 
+void ShardRecordWriter::move_all_strays(Ms now) {
+  if (!context_.services_enabled() || now < next_stray_check_) return;
+  next_stray_check_ = now + kStrayCheckMs;
+  for (const auto& [group, record] : context_.replica.shards_of(context_.settings.name)) {
+    if (!shard_writes_[group].busy && has_strays(*record, group)) move_strays(group, *record);
+  }
+}
+
 void ShardRecordWriter::write(Ms now) {
   if (!context_.can_write(now)) return;
   regroup_pending();
-  if (context_.services_enabled() && now >= next_stray_check_) {
-    next_stray_check_ = now + kStrayCheckMs;
-    for (const auto& [group, record] : context_.replica.shards_of(context_.settings.name)) {
-      if (!shard_writes_[group].busy && has_strays(*record, group)) move_strays(group, *record);
-    }
+  move_all_strays(now);
+  for (auto& [group, write] : shard_writes_) {
+    if (!write.busy && !write.pending.empty() && now >= write.due) write_group(group, write);
   }
-  for (auto& [group, w] : shard_writes_) {
-    if (w.busy || w.pending.empty() || now < w.due) continue;
-    // Guards against dropping what we know of machines that have gone to another group.
-    const auto* mine = context_.replica.shard(context_.settings.name, group);
-    if (mine && has_strays(*mine, group)) continue;
-    // States of machines that went to another shard meanwhile are not ours to write.
-    std::erase_if(w.pending, [this](const auto& p) { return !machines_.contains(p.first); });
-    const auto fleet = context_.replica.fleet().find(group);
-    if (w.pending.empty() || fleet == context_.replica.fleet().end()) {
-      w.pending.clear();
-      w.due = 0;
-      continue;
-    }
-    wire::ShardRecord next;
-    if (const auto* record = context_.replica.shard(context_.settings.name, group)) {
-      // What we knew of machines that are another's now stays until they are forgotten: the new
-      // owner may not have written it yet.
-      for (const auto& [id, heard] : record->machines)
-        if (fleet->second.machines.contains(id)) next.machines[id] = heard;
-    }
-    for (const auto& [id, heard] : w.pending)
-      if (fleet->second.machines.contains(id)) next.machines[id] = heard;
-    // Guards against decisions that are lost with the controller that found them, again and again:
-    // on them wait users whose cancelled jobs run on a machine that does not answer.
-    const bool urgent = std::any_of(w.pending.begin(), w.pending.end(), [](const auto& p) {
-      return p.second.state == wire::MachineState::lost;
-    });
-    const bool changes_state = std::any_of(w.pending.begin(), w.pending.end(), [](const auto& p) {
-      return p.second.state != wire::MachineState::ready;
+}
+
+wire::ShardRecord ShardRecordWriter::next_record(std::uint32_t group, const ShardWrite& write,
+                                                 const wire::FleetRecord& fleet) const {
+  wire::ShardRecord next;
+  if (const auto* record = context_.replica.shard(context_.settings.name, group)) {
+    // What we knew of machines that are another's now stays until they are forgotten: the new owner
+    // may not have written it yet.
+    for (const auto& [id, contact] : record->machines)
+      if (fleet.machines.contains(id)) next.machines[id] = contact;
+  }
+  for (const auto& [id, contact] : write.pending)
+    if (fleet.machines.contains(id)) next.machines[id] = contact;
+  return next;
+}
+
+void ShardRecordWriter::write_group(std::uint32_t group, ShardWrite& write) {
+  // Guards against dropping what we know of machines that have gone to another group.
+  const auto* mine = context_.replica.shard(context_.settings.name, group);
+  if (mine && has_strays(*mine, group)) return;
+  // States of machines that went to another shard meanwhile are not ours to write.
+  std::erase_if(write.pending,
+                [this](const auto& entry) { return !machines_.contains(entry.first); });
+  const auto fleet = context_.replica.fleet().find(group);
+  if (write.pending.empty() || fleet == context_.replica.fleet().end()) {
+    write.pending.clear();
+    write.due = 0;
+    return;
+  }
+  const auto any_state = [&write](auto&& predicate) {
+    return std::any_of(write.pending.begin(), write.pending.end(),
+                       [&](const auto& entry) { return predicate(entry.second.state); });
+  };
+  const bool changes_state =
+      any_state([](wire::MachineState state) { return state != wire::MachineState::ready; });
+  // Guards against a fleet of many groups that keeps placements waiting while it comes up.
+  if (!changes_state && contact_writes_in_flight_ >= kContactWritesQueued) return;
+  const std::string key = wire::shard_key(context_.settings.name, group);
+  Transaction transaction;
+  transaction.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
+  transaction.writes = {{key, encode(next_record(group, write, fleet->second)), std::nullopt}};
+  // Guards against decisions that are lost with the controller that found them, again and again: on
+  // them wait users whose cancelled jobs run on a machine that does not answer.
+  transaction.urgent =
+      any_state([](wire::MachineState state) { return state == wire::MachineState::lost; });
+  if (!changes_state) ++contact_writes_in_flight_;
+  write.busy = true;
+  write.due = 0;
+  transaction.done = [this, group, changes_state, sent = write.pending](Ms at, TxnResult result,
+                                                                        const auto&) {
+    if (!changes_state) --contact_writes_in_flight_;
+    on_written(at, group, result, sent);
+  };
+  context_.state_client.submit(std::move(transaction));
+}
+
+void ShardRecordWriter::on_written(Ms now, std::uint32_t group, TxnResult result,
+                                   const Contacts& sent) {
+  ShardWrite& write = shard_writes_[group];
+  if (result == TxnResult::committed) {
+    write.busy = false;
+    std::erase_if(write.pending, [&sent](const auto& entry) {
+      const auto written = sent.find(entry.first);
+      return written != sent.end() && written->second == entry.second;
     });
-    // Guards against a fleet of many groups that keeps placements waiting while it comes up.
-    if (!changes_state && contact_writes_in_flight_ >= kContactWritesQueued) continue;
-    Transaction transaction;
-    const std::string key = wire::shard_key(context_.settings.name, group);
-    transaction.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
-    transaction.writes = {{key, encode(next), std::nullopt}};
-    transaction.urgent = urgent;
-    if (!changes_state) ++contact_writes_in_flight_;
-    w.busy = true;
-    w.due = 0;
-    transaction.done = [this, group, changes_state, sent = w.pending](Ms at, TxnResult result,
-                                                                      const auto&) {
-      if (!changes_state) --contact_writes_in_flight_;
-      ShardWrite& written = shard_writes_[group];
-      if (result == TxnResult::committed) {
-        written.busy = false;
-        std::erase_if(written.pending, [&](const auto& p) {
-          auto s = sent.find(p.first);
-          return s != sent.end() && s->second == p.second;
-        });
-        if (!written.pending.empty() && written.due == 0) written.due = at + kContactWriteDelayMs;
-        return;
-      }
-      context_.state_client.wait_until_settled(at, [this, group](Ms then) {
-        ShardWrite& again = shard_writes_[group];
-        again.busy = false;
-        again.due = then + kRefusedRetryMs;
-      });
-    };
-    context_.state_client.submit(std::move(transaction));
+    if (!write.pending.empty() && write.due == 0) write.due = now + kContactWriteDelayMs;
+    return;
   }
+  context_.state_client.wait_until_settled(now, [this, group](Ms then) {
+    ShardWrite& again = shard_writes_[group];
+    again.busy = false;
+    again.due = then + kRefusedRetryMs;
+  });
 }
 
 }  // namespace scheduler
--- a/src/workers/shard_record_writer.h
+++ b/src/workers/shard_record_writer.h
@@ -27,11 +27,12 @@
   void write(Ms now);
 
  private:
+  using Contacts = std::map<std::string, wire::ShardRecord::Contact>;  // by machine
   // What is to be recorded of machines of one group; written together.
   struct ShardWrite {
     bool busy = false;
     Ms due = 0;
-    std::map<std::string, wire::ShardRecord::Contact> pending;
+    Contacts pending;
   };
 
   // Pending entries follow their machines into the groups that these are in now.
@@ -41,6 +42,15 @@
   // Writes such entries into our records of the groups that their machines are in.
   void move_strays(std::uint32_t group, const wire::ShardRecord& record);
 
+  // Looks for such entries in all our records now and then.
+  void move_all_strays(Ms now);
+  // Writes what is pending of one group, if it may be written now.
+  void write_group(std::uint32_t group, ShardWrite& write);
+  // Our record of the group with what is pending. `fleet`: which machines there are.
+  wire::ShardRecord next_record(std::uint32_t group, const ShardWrite& write,
+                                const wire::FleetRecord& fleet) const;
+  void on_written(Ms now, std::uint32_t group, TxnResult result, const Contacts& sent);
+
   const Context& context_;
   MachineTable& machines_;
   std::map<std::uint32_t, ShardWrite> shard_writes_;  // by group
