--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -108,7 +108,7 @@
   for (const auto& [peer, status] : row.heard) changed(peer, last_sent_row_.heard[peer], status);
   for (const auto& [zone, links] : row.workers) {
     const wire::ZoneLinkStatus before = last_sent_row_.workers[zone];
-    changed("reports/" + zone, before.reports, links.reports);
+    changed("heartbeats/" + zone, before.reports, links.reports);
     changed("commands/" + zone, before.commands, links.commands);
   }
   last_sent_row_ = row;
--- a/src/fleet/fleet_record_writer.cpp
+++ b/src/fleet/fleet_record_writer.cpp
@@ -73,7 +73,7 @@
       transaction.conditions.push_back(context_.state_client.unchanged(key));
       transaction.writes.push_back({key, encode(piece), std::nullopt});
     }
-    context_.log(LogLevel::info, "cutting machine group " + std::to_string(group) + " into " +
+    context_.log(LogLevel::info, "splitting machine group " + std::to_string(group) + " into " +
                                      std::to_string(pieces->size()));
     submit(std::move(transaction), [this](Ms) { busy_ = false; });
     return true;
--- a/src/fleet/scale_out_requests.cpp
+++ b/src/fleet/scale_out_requests.cpp
@@ -24,7 +24,7 @@
   // Never reused: no two runs of any controller share an incarnation.
   request.name =
       context_.settings.name + "-" + context_.incarnation + "-" + std::to_string(++last_number_);
-  context_.log(LogLevel::info, "renting " + std::to_string(request.count) + " " + request.type +
+  context_.log(LogLevel::info, "scaling out: " + std::to_string(request.count) + " " + request.type +
                                    " in " + request.zone + (request.spot ? " (spot)" : ""));
   const std::string key = wire::scale_out_key(request.name);
   Transaction transaction;
--- a/src/jobs/job_cancellation.cpp
+++ b/src/jobs/job_cancellation.cpp
@@ -100,7 +100,7 @@
     state = JobReader::state_of(*job);
   }
   if (state != wire::JobState::done && state != wire::JobState::cancelled) return false;
-  context_.log(LogLevel::info, "cancellation of " + id + " told");
+  context_.log(LogLevel::info, "cancellation of " + id + " confirmed");
   reader_.log_job_reply(id, state);
   context_.reply(request, 200, wire::job_state_body(id, state));
   return true;
--- a/src/jobs/job_reader.cpp
+++ b/src/jobs/job_reader.cpp
@@ -29,10 +29,10 @@
 
 void JobReader::log_job_reply(const std::string& id, wire::JobState state) const {
   if (!context_.logs_debug()) return;
-  LogEvent event("answer");
+  LogEvent event("job_reply");
   event.field("job", id).field("state", name_of(state));
   event.field("revision", newest_job_revision(context_.replica, context_.state_client, id))
-      .field("watched", context_.state_client.applied_revision());
+      .field("applied", context_.state_client.applied_revision());
   context_.log(LogLevel::debug, event.text());
 }
 
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -144,12 +144,12 @@
   event.field("attempt", command.attempt)
       .field("machine", machine.id)
       .field("token", machines_.token(machine));
-  event.field("session", placement ? placement->incarnation : machine.incarnation)
+  event.field("incarnation", placement ? placement->incarnation : machine.incarnation)
       .field("reason", reason);
   event
       .field("revision",
              newest_job_revision(context_.replica, context_.state_client, command.task.job))
-      .field("watched", context_.state_client.applied_revision());
+      .field("applied", context_.state_client.applied_revision());
   context_.log(LogLevel::debug, event.text());
 }
 
@@ -158,7 +158,7 @@
   auto [since, fresh] = machine.start_blocked_since.try_emplace(task, now);
   if (fresh || now - since->second < kBlockedStartMs) return;
   context_.log(LogLevel::info,
-               "no room for " + wire::task_name(task.job, task.index) + " on " + machine.id);
+               "no capacity for " + wire::task_name(task.job, task.index) + " on " + machine.id);
   machine.stop_requests[task] = {attempt, 0.0};
   machine.start_blocked_since.erase(since);
   machine.candidate_known = false;
--- a/src/workers/reconciler.cpp
+++ b/src/workers/reconciler.cpp
@@ -90,7 +90,7 @@
                                        " failed on " + machine.id);
       if (failure_tracker_.failed(now, machine.id, ref.range.job)) {
         if (machine.recorded && machine.state == wire::MachineState::ready) {
-          context_.log(LogLevel::info, "machine " + machine.id + " is sick");
+          context_.log(LogLevel::info, "machine " + machine.id + " is quarantined");
           shard_records_.record_machine_state(now, machine, wire::MachineState::quarantined, 0);
         }
       }
--- a/src/workers/shard_reachability.cpp
+++ b/src/workers/shard_reachability.cpp
@@ -25,7 +25,7 @@
   const links::Decision decision = links_.may_keep_machines(status_.moment(now), others);
   if (decision.allowed) return;
   context_.log_decision("keep_machines", decision);
-  context_.log(LogLevel::info, "no machine reaches us; giving ours up");
+  context_.log(LogLevel::info, "no worker reaches this controller; giving its shard up");
   links_.on_machines_given_up(now);
   set_unreachable(true);
 }
@@ -57,7 +57,7 @@
         !context_.replica.view().unreachable.contains(context_.settings.name))
       return;
     context_.log_decision("take_machines_back", decision);
-    context_.log(LogLevel::info, "machines reach us again");
+    context_.log(LogLevel::info, "workers reach this controller again; reclaiming its shard");
     set_unreachable(false);
   });
 }
