--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -167,25 +167,22 @@
   call(now, "GET", wire::page_path(prefix, load_after_, kPageItems), "",
        [this](Ms at, const HttpResult& http_result) {
          if (load_phase_ != LoadPhase::reading) return;
-         std::vector<wire::StoredItem> items;
-         bool more = false;
-         std::uint64_t revision = 0;
-         if (http_result.status != 200 ||
-             !wire::parse_page(http_result.body, items, more, revision)) {
+         const auto page = wire::parse_page(http_result.body);
+         if (http_result.status != 200 || !page) {
            load_phase_ = LoadPhase::none;
            load_retry_at_ = at + kStateProbeMs;
            return;
          }
          // Guards against watching from a later page's revision: the first one may well be 0.
-         if (!load_revision_known_) load_revision_ = revision;
+         if (!load_revision_known_) load_revision_ = page->revision;
          load_revision_known_ = true;
-         load_newest_ = std::max(load_newest_, revision);
-         for (auto& item : items) {
+         load_newest_ = std::max(load_newest_, page->revision);
+         for (const auto& item : page->items) {
            load_seen_.insert(item.key);
            load_after_ = item.key;
            apply(at, item);
          }
-         if (!more) {
+         if (!page->more) {
            load_after_.clear();
            ++load_prefix_;
          }
@@ -264,16 +261,15 @@
     load_retry_at_ = now;
     return;
   }
-  std::vector<wire::StoredItem> events;
-  std::uint64_t revision = 0;
-  if (http_result.status != 200 || !wire::parse_events(http_result.body, events, revision)) {
+  const auto events = wire::parse_events(http_result.body);
+  if (http_result.status != 200 || !events) {
     watch_at_ = now + kStateProbeMs;
     return;
   }
   if (pauses == pauses_) link_.answered(now);
-  for (const auto& e : events) apply(now, e);
-  applied_revision_ = std::max(applied_revision_, revision);
-  log_read(now, watch_opened_, "watch", revision, events.size());
+  for (const auto& e : events->items) apply(now, e);
+  applied_revision_ = std::max(applied_revision_, events->revision);
+  log_read(now, watch_opened_, "watch", events->revision, events->items.size());
   std::erase_if(removed_, [this](const auto& r) { return r.second <= applied_revision_; });
   complete_load();
   release_barriers(now);
@@ -326,12 +322,11 @@
   call(now, "GET", wire::item_path(kBarrierKey), "",
        [this, batch, sent = now, pauses = pauses_](Ms at, const HttpResult& http_result) {
          barrier_in_flight_ = false;
-         std::uint64_t revision = 0;
-         if (pauses == pauses_ && http_result.status == 404 &&
-             wire::parse_revision(http_result.body, revision)) {
-           note_revision(at, revision);
-           log_read(at, sent, "barrier", revision, batch->size());
-           for (auto& b : *batch) revision_waits_.push_back({revision, std::move(b)});
+         const auto revision = wire::parse_revision(http_result.body);
+         if (pauses == pauses_ && http_result.status == 404 && revision) {
+           note_revision(at, *revision);
+           log_read(at, sent, "barrier", *revision, batch->size());
+           for (auto& b : *batch) revision_waits_.push_back({*revision, std::move(b)});
            release_barriers(at);
            return;
          }
@@ -371,9 +366,9 @@
          [this](Ms at, const HttpResult& http_result) {
            lease_in_flight_ = false;
            lease_due_ = at + kStateProbeMs;
-           std::uint64_t permit = 0;
-           if (http_result.status == 200 && wire::parse_lease_id(http_result.body, permit)) {
-             lease_id_ = permit;
+           const auto lease_id = wire::parse_lease_id(http_result.body);
+           if (http_result.status == 200 && lease_id) {
+             lease_id_ = *lease_id;
              lease_due_ = at + kLeaseRenewalMs;
            }
          });
@@ -525,11 +520,10 @@
 void StateClient::log_write(Ms now, Ms sent, const std::vector<wire::Write>& writes,
                             const HttpResult& http_result) {
   if (!settings_.log_debug) return;
-  std::uint64_t revision = 0;
-  const bool committed =
-      http_result.status == 200 && wire::parse_revision(http_result.body, revision);
+  const std::uint64_t revision =
+      http_result.status == 200 ? wire::parse_revision(http_result.body).value_or(0) : 0;
   LogEvent event("transaction");
-  event.field("status", http_result.status).field("revision", committed ? revision : 0);
+  event.field("status", http_result.status).field("revision", revision);
   event.field("watched", applied_revision_)
       .field("first", writes.empty() ? "-" : writes.front().key);
   event.field("took_ms", now - sent);
@@ -546,13 +540,12 @@
 }
 
 void StateClient::on_group(Ms now, std::vector<Transaction> group, const HttpResult& http_result) {
-  std::uint64_t revision = 0;
-  std::vector<std::string> failed;
-  if (http_result.status == 200 && wire::parse_revision(http_result.body, revision)) {
-    on_committed(now, std::move(group), revision);
-  } else if (http_result.status == 409 &&
-             wire::parse_conflict(http_result.body, revision, failed)) {
-    on_conflict(now, std::move(group), failed);
+  const auto revision = wire::parse_revision(http_result.body);
+  const auto conflict = wire::parse_conflict(http_result.body);
+  if (http_result.status == 200 && revision) {
+    on_committed(now, std::move(group), *revision);
+  } else if (http_result.status == 409 && conflict) {
+    on_conflict(now, std::move(group), conflict->failed_keys);
   } else if (http_result.status == 429) {
     on_throttled(std::move(group));
   } else if (http_result.status == 400) {
--- a/src/wire/state_service.cpp
+++ b/src/wire/state_service.cpp
@@ -1,17 +1,43 @@
 #include "wire/state_service.h"
 
-#include <charconv>
+#include <utility>
 
 #include "wire/json.h"
 
 namespace scheduler::wire {
 namespace {
 
-bool read_item(const Json& o, StoredItem& out, const char* key_field) {
-  const Json* v = member(o, "v");
-  if (!v || !read(o, key_field, out.key)) return false;
-  out.value = text_of(*v);
-  return read(o, "stamp", out.version);
+constexpr const char* kExpectedObject = "a JSON object";
+constexpr const char* kExpectedNumber = "a whole number that is not negative";
+constexpr const char* kExpectedText = "a text";
+constexpr const char* kExpectedArray = "an array";
+
+// The number in a field of a reply that holds nothing else of interest.
+Decoded<std::uint64_t> parse_number(std::string_view body, const char* field) {
+  rapidjson::Document doc;
+  if (!parse_object(body, doc)) return decode_error("", kExpectedObject);
+  std::uint64_t number = 0;
+  if (!read(doc, field, number)) return decode_error(field, kExpectedNumber);
+  return number;
+}
+
+// An item whose key stands in `key_field`.
+Decoded<StoredItem> read_item(const Json& object, const char* key_field) {
+  StoredItem item;
+  const Json* value = member(object, "v");
+  if (!value) return decode_error("v", "the value of the key");
+  if (!read(object, key_field, item.key)) return decode_error(key_field, kExpectedText);
+  item.value = text_of(*value);
+  if (!read(object, "stamp", item.version)) return decode_error("stamp", kExpectedNumber);
+  return item;
+}
+
+Decoded<StoredItem> read_event(const Json& event) {
+  if (member(event, "write")) return read_item(event, "write");
+  StoredItem removed;
+  if (!read(event, "remove", removed.key)) return decode_error("remove", kExpectedText);
+  if (!read(event, "stamp", removed.version)) return decode_error("stamp", kExpectedNumber);
+  return removed;
 }
 
 }  // namespace
@@ -21,24 +47,24 @@
   return object([&](Writer& w) {
     w.Key("guards");
     w.StartArray();
-    for (const Compare& g : conditions) {
+    for (const Compare& condition : conditions) {
       w.StartObject();
-      put(w, "k", g.key);
-      put(w, "stamp", g.version);
+      put(w, "k", condition.key);
+      put(w, "stamp", condition.version);
       w.EndObject();
     }
     w.EndArray();
     w.Key("writes");
     w.StartArray();
-    for (const Write& x : writes) {
+    for (const Write& write : writes) {
       w.StartObject();
-      if (x.value) {
-        put(w, "write", x.key);
+      if (write.value) {
+        put(w, "write", write.key);
         w.Key("v");
-        w.RawValue(x.value->data(), x.value->size(), rapidjson::kObjectType);
-        if (x.lease_id) put(w, "permit", *x.lease_id);
+        w.RawValue(write.value->data(), write.value->size(), rapidjson::kObjectType);
+        if (write.lease_id) put(w, "permit", *write.lease_id);
       } else {
-        put(w, "remove", x.key);
+        put(w, "remove", write.key);
       }
       w.EndObject();
     }
@@ -46,70 +72,68 @@
   });
 }
 
-bool parse_revision(std::string_view body, std::uint64_t& revision) {
-  rapidjson::Document doc;
-  return parse_object(body, doc) && read(doc, "ledger", revision);
+Decoded<std::uint64_t> parse_revision(std::string_view body) {
+  return parse_number(body, "ledger");
 }
 
-bool parse_conflict(std::string_view body, std::uint64_t& revision,
-                    std::vector<std::string>& failed) {
+Decoded<Conflict> parse_conflict(std::string_view body) {
   rapidjson::Document doc;
-  failed.clear();
-  if (!parse_object(body, doc) || !read(doc, "ledger", revision)) return false;
-  const Json* f = member(doc, "failed");
-  if (!f || !f->IsArray()) return false;
-  for (const Json& k : f->GetArray()) {
-    if (!k.IsString()) return false;
-    failed.emplace_back(k.GetString(), k.GetStringLength());
+  if (!parse_object(body, doc)) return decode_error("", kExpectedObject);
+  Conflict conflict;
+  if (!read(doc, "ledger", conflict.revision)) return decode_error("ledger", kExpectedNumber);
+  const Json* failed = member(doc, "failed");
+  if (!failed || !failed->IsArray()) return decode_error("failed", kExpectedArray);
+  for (const Json& key : failed->GetArray()) {
+    if (!key.IsString()) return decode_error("failed", "keys");
+    conflict.failed_keys.emplace_back(key.GetString(), key.GetStringLength());
   }
-  return true;
+  return conflict;
 }
 
-bool parse_lease_id(std::string_view body, std::uint64_t& lease_id) {
-  rapidjson::Document doc;
-  return parse_object(body, doc) && read(doc, "permit", lease_id);
+Decoded<std::uint64_t> parse_lease_id(std::string_view body) {
+  return parse_number(body, "permit");
 }
 
 std::string lease_body(std::uint64_t life_ms) {
   return object([&](Writer& w) { put(w, "lifeMs", life_ms); });
 }
 
-bool parse_item(std::string_view body, StoredItem& out) {
+Decoded<StoredItem> parse_item(std::string_view body) {
   rapidjson::Document doc;
-  return parse_object(body, doc) && read_item(doc, out, "k");
+  if (!parse_object(body, doc)) return decode_error("", kExpectedObject);
+  return read_item(doc, "k");
 }
 
-bool parse_page(std::string_view body, std::vector<StoredItem>& out, bool& more,
-                std::uint64_t& revision) {
+Decoded<Page> parse_page(std::string_view body) {
   rapidjson::Document doc;
-  if (!parse_object(body, doc) || !read(doc, "hasNext", more) || !read(doc, "ledger", revision))
-    return false;
+  if (!parse_object(body, doc)) return decode_error("", kExpectedObject);
+  Page page;
+  if (!read(doc, "hasNext", page.more)) return decode_error("hasNext", "true or false");
+  if (!read(doc, "ledger", page.revision)) return decode_error("ledger", kExpectedNumber);
   const Json* pairs = member(doc, "pairs");
-  if (!pairs || !pairs->IsArray()) return false;
-  for (const Json& p : pairs->GetArray()) {
-    StoredItem item;
-    if (!read_item(p, item, "k")) return false;
-    out.push_back(std::move(item));
+  if (!pairs || !pairs->IsArray()) return decode_error("pairs", kExpectedArray);
+  for (const Json& pair : pairs->GetArray()) {
+    Decoded<StoredItem> item = read_item(pair, "k");
+    if (!item) return tl::unexpected(std::move(item.error()));
+    page.items.push_back(std::move(*item));
   }
-  return true;
+  return page;
 }
 
-bool parse_events(std::string_view body, std::vector<StoredItem>& out, std::uint64_t& revision) {
+Decoded<WatchEvents> parse_events(std::string_view body) {
   rapidjson::Document doc;
-  if (!parse_object(body, doc) || !read(doc, "ledger", revision)) return false;
-  const Json* events = member(doc, "events");
-  if (!events) return true;
-  if (!events->IsArray()) return false;
-  for (const Json& e : events->GetArray()) {
-    StoredItem item;
-    if (member(e, "write")) {
-      if (!read_item(e, item, "write")) return false;
-    } else if (!read(e, "remove", item.key) || !read(e, "stamp", item.version)) {
-      return false;
-    }
-    out.push_back(std::move(item));
+  if (!parse_object(body, doc)) return decode_error("", kExpectedObject);
+  WatchEvents events;
+  if (!read(doc, "ledger", events.revision)) return decode_error("ledger", kExpectedNumber);
+  const Json* list = member(doc, "events");
+  if (!list) return events;  // nothing has changed
+  if (!list->IsArray()) return decode_error("events", kExpectedArray);
+  for (const Json& event : list->GetArray()) {
+    Decoded<StoredItem> item = read_event(event);
+    if (!item) return tl::unexpected(std::move(item.error()));
+    events.items.push_back(std::move(*item));
   }
-  return true;
+  return events;
 }
 
 std::string item_path(std::string_view key) { return "/store/" + std::string(key); }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -115,19 +115,20 @@
 }
 
 TEST(Wire, StateMessages) {
-  std::vector<StoredItem> items;
-  std::uint64_t revision = 0;
-  ASSERT_TRUE(parse_events(
-      R"({"ledger":433,"events":[{"write":"c/9","v":{"a":[1]},"stamp":433},{"remove":"c/d","stamp":432}]})",
-      items, revision));
-  ASSERT_EQ(items.size(), 2U);
-  EXPECT_EQ(items[0].value, R"({"a":[1]})");
-  EXPECT_FALSE(items[1].value.has_value());
-  std::vector<std::string> failed;
-  ASSERT_TRUE(parse_conflict(R"({"failed":["a/b"],"ledger":431})", revision, failed));
-  EXPECT_EQ(failed, std::vector<std::string>{"a/b"});
+  const Decoded<WatchEvents> events = parse_events(
+      R"({"ledger":433,"events":[{"write":"c/9","v":{"a":[1]},"stamp":433},{"remove":"c/d","stamp":432}]})");
+  ASSERT_TRUE(events);
+  EXPECT_EQ(events->revision, 433U);
+  ASSERT_EQ(events->items.size(), 2U);
+  EXPECT_EQ(events->items[0].value, R"({"a":[1]})");
+  EXPECT_FALSE(events->items[1].value.has_value());
+  const Decoded<Conflict> conflict = parse_conflict(R"({"failed":["a/b"],"ledger":431})");
+  ASSERT_TRUE(conflict);
+  EXPECT_EQ(conflict->failed_keys, std::vector<std::string>{"a/b"});
   for (const char* bad : {"", "{}", R"({"ledger":-1})", R"({"ledger":"x"})"})
-    EXPECT_FALSE(parse_revision(bad, revision)) << bad;
+    EXPECT_FALSE(parse_revision(bad)) << bad;
+  EXPECT_EQ(parse_page(R"({"hasNext":false,"ledger":1,"pairs":[{"k":"a","v":{}}]})").error().field,
+            "stamp");
   EXPECT_EQ(
       transaction_body({{"a/b", 0}}, {{"a/b", R"({"x":1})", 7}, {"c/d", std::nullopt, {}}}),
       R"({"guards":[{"k":"a/b","stamp":0}],"writes":[{"write":"a/b","v":{"x":1},"permit":7},{"remove":"c/d"}]})");
