--- /dev/null
+++ b/src/state/placement_index.cpp
@@ -0,0 +1,53 @@
+#include "state/placement_index.h"
+
+#include <utility>
+
+namespace scheduler {
+
+void PlacementIndex::add(TaskRef task, const wire::Placement& placement) {
+  placed_on_[placement.machine].insert(std::move(task));
+}
+
+void PlacementIndex::remove(const TaskRef& task, const wire::Placement& placement) {
+  auto it = placed_on_.find(placement.machine);
+  if (it == placed_on_.end()) return;
+  it->second.erase(task);
+  if (it->second.empty()) placed_on_.erase(it);
+}
+
+void PlacementIndex::change_usage(const wire::JobSpec& spec, const wire::Placement& placement,
+                                  int sign) {
+  Usage& u = usage_[spec.team][placement.quota_holder];
+  u.cpus += sign * spec.cpus;
+  u.gpus += sign * spec.gpus;
+  if (!spec.is_service()) return;
+  const auto replicas = replicas_on_.try_emplace(placement.machine, 0).first;
+  replicas->second += sign;
+  if (replicas->second == 0) replicas_on_.erase(replicas);
+}
+
+const std::set<TaskRef>& PlacementIndex::placed_on(const std::string& machine) const {
+  static const std::set<TaskRef> none;
+  auto it = placed_on_.find(machine);
+  return it == placed_on_.end() ? none : it->second;
+}
+
+Usage PlacementIndex::usage(const std::string& team, const std::string& quota_holder) const {
+  auto t = usage_.find(team);
+  if (t == usage_.end()) return {};
+  auto q = t->second.find(quota_holder);
+  return q == t->second.end() ? Usage{} : q->second;
+}
+
+Usage PlacementIndex::usage(const std::string& team) const {
+  Usage sum;
+  auto t = usage_.find(team);
+  if (t == usage_.end()) return sum;
+  for (const auto& [holder, u] : t->second) {
+    sum.cpus += u.cpus;
+    sum.gpus += u.gpus;
+  }
+  return sum;
+}
+
+}  // namespace scheduler
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -9,20 +9,10 @@
 // Final states kept in memory; each takes about 100 bytes, older ones are read again.
 constexpr std::size_t kFinalStatesCached = 20'000;
 
-}  // namespace
-
-bool Job::whole() const {
-  if (!known) return false;
-  std::uint64_t n = 0;
-  for (const auto& [number, r] : ranges) n += r.end - r.begin;
-  return n == record.spec.tasks;
-}
-
-namespace {
-
+// Records that are kept by name, as they are.
 template <typename Record>
-bool state_client(std::map<std::string, Record>& into, const std::string& name,
-                  const std::optional<std::string>& value) {
+bool apply_named(std::map<std::string, Record>& into, const std::string& name,
+                 const std::optional<std::string>& value) {
   if (!value) {
     into.erase(name);
     return true;
@@ -33,155 +23,173 @@
   return true;
 }
 
-std::string rest(const std::string& key, std::string_view prefix) {
+// What follows the prefix.
+std::string name_of(const std::string& key, std::string_view prefix) {
   return key.substr(prefix.size());
 }
 
 }  // namespace
 
+bool Job::whole() const {
+  if (!known) return false;
+  std::uint64_t n = 0;
+  for (const auto& [number, r] : ranges) n += r.end - r.begin;
+  return n == record.spec.tasks;
+}
+
+// ---- records ----
+
 bool Replica::apply(const wire::StoredItem& item) {
   const std::string& key = item.key;
-  if (key.starts_with(wire::kRangePrefix)) {
-    RangeId id;
-    if (!wire::parse_range_key(key, id.job, id.number)) return false;
-    wire::RangeRecord record;
-    if (item.value && !decode(*item.value, record)) return false;
-    changed_jobs_.insert(id.job);
-    Job& job = jobs_[id.job];
-    auto old = job.ranges.find(id.number);
-    if (item.value) {
-      record.job = id.job;
-      record.number = id.number;
-      apply_range(id, job, old == job.ranges.end() ? nullptr : &old->second, &record);
-      job.ranges[id.number] = std::move(record);
-      job.unrecorded_ranges.erase(id.number);
-    } else {
-      if (old != job.ranges.end()) {
-        apply_range(id, job, &old->second, nullptr);
-        job.ranges.erase(old);
-      }
-      if (job.ranges.empty() && !job.known) jobs_.erase(id.job);
-    }
-    return true;
-  }
-  if (key.starts_with(wire::kJobPrefixKey)) {
-    const std::string id = rest(key, wire::kJobPrefixKey);
-    changed_jobs_.insert(id);
-    if (!item.value) {
-      auto it = jobs_.find(id);
-      if (it == jobs_.end()) return true;
-      if (it->second.known) count_job(it->second, -1);
-      it->second.known = false;
-      for (const std::uint32_t n : std::exchange(it->second.unrecorded_ranges, {}))
-        it->second.ranges.erase(n);
-      if (it->second.ranges.empty()) jobs_.erase(it);
-      return true;
-    }
-    wire::JobRecord record;
-    if (!decode(*item.value, record)) return false;
-    Job& job = jobs_[id];
-    const bool cancelled_now = record.cancelled && !job.record.cancelled;
-    if (job.known) count_job(job, -1);
-    job.record = std::move(record);
-    job.known = true;
-    count_job(job, 1);
-    for (const auto& share : job.record.shares) {
-      auto [range, added] = job.ranges.try_emplace(share.number);
-      if (!added) continue;
-      wire::RangeRecord& r = range->second;
-      r.job = id;
-      r.number = share.number;
-      r.owner = share.owner;
-      r.begin = share.begin;
-      r.end = share.end;
-      r.done.assign(share.end - share.begin, false);
-      job.unrecorded_ranges.insert(share.number);
-    }
-    if (cancelled_now) {
-      for (const auto& [number, r] : job.ranges)
-        for (const auto& [task, p] : r.placed) changed_machines_.insert(p.machine);
-    }
-    return true;
-  }
-  if (key.starts_with(wire::kFinalStatePrefix)) {
-    wire::FinalStateRecord record;
-    if (!item.value || !decode(*item.value, record)) return false;
-    remember_final_state(rest(key, wire::kFinalStatePrefix), record);
-    return true;
-  }
-  if (key.starts_with(wire::kFleetPrefix)) {
-    std::uint32_t group = 0;
-    return wire::parse_fleet_key(key, group) && apply_fleet(group, item.value);
-  }
-  if (key.starts_with(wire::kShardPrefix)) {
-    std::string who;
-    std::uint32_t group = 0;
-    return wire::parse_shard_key(key, who, group) && apply_shard(who, group, item.value);
-  }
-  if (key.starts_with(wire::kShardGuardPrefix)) return true;  // only its stamp matters
-  if (key.starts_with(wire::kLivePrefix)) {
-    view_changed_ = true;
-    return state_client(live_, rest(key, wire::kLivePrefix), item.value);
-  }
+  if (key.starts_with(wire::kRangePrefix)) return apply_range(item);
+  if (key.starts_with(wire::kJobPrefixKey)) return apply_job(item);
+  if (key.starts_with(wire::kFinalStatePrefix)) return apply_final_state(item);
+  if (key.starts_with(wire::kFleetPrefix)) return apply_fleet(item);
+  if (key.starts_with(wire::kShardPrefix)) return apply_shard(item);
+  if (key.starts_with(wire::kShardGuardPrefix)) return true;  // only its version matters
+  if (key.starts_with(wire::kLivePrefix)) return apply_live(item);
   if (key.starts_with(wire::kScaleOutPrefix))
-    return state_client(scale_out_requests_, rest(key, wire::kScaleOutPrefix), item.value);
+    return apply_named(scale_out_requests_, name_of(key, wire::kScaleOutPrefix), item.value);
   if (key.starts_with(wire::kQuotaPrefix))
-    return state_client(quotas_, rest(key, wire::kQuotaPrefix), item.value);
-  if (key == wire::kViewKey) {
-    wire::ViewRecord record;
-    if (!item.value || !decode(*item.value, record)) return false;
-    view_ = std::move(record);
-    view_changed_ = true;
+    return apply_named(quotas_, name_of(key, wire::kQuotaPrefix), item.value);
+  if (key == wire::kViewKey) return apply_view(item);
+  if (key == wire::kFormatKey) return apply_format(item);
+  if (key == wire::kCatalogKey) return apply_catalog(item);
+  return false;
+}
+
+bool Replica::apply_range(const wire::StoredItem& item) {
+  RangeId id;
+  if (!wire::parse_range_key(item.key, id.job, id.number)) return false;
+  wire::RangeRecord record;
+  if (item.value && !decode(*item.value, record)) return false;
+  changed_jobs_.insert(id.job);
+  Job& job = jobs_[id.job];
+  if (!item.value) {
+    remove_range(id, job);
     return true;
   }
-  if (key == wire::kFormatKey) {
-    wire::FormatRecord record;
-    if (!item.value || !decode(*item.value, record)) return false;
-    // Records of a format that was switched on once may exist for ever.
-    format_.format = std::max(format_.format, record.format);
-    return true;
+  record.job = id.job;
+  record.number = id.number;
+  auto old = job.ranges.find(id.number);
+  update_range(id, job, old == job.ranges.end() ? nullptr : &old->second, &record);
+  job.ranges[id.number] = std::move(record);
+  job.unrecorded_ranges.erase(id.number);
+  return true;
+}
+
+void Replica::remove_range(const RangeId& id, Job& job) {
+  auto old = job.ranges.find(id.number);
+  if (old != job.ranges.end()) {
+    update_range(id, job, &old->second, nullptr);
+    job.ranges.erase(old);
   }
-  if (key == wire::kCatalogKey) {
-    std::vector<wire::MachineType> types;
-    if (!item.value || !wire::parse_catalog(*item.value, types)) return false;
-    catalog_ = std::move(types);
-    has_catalog_ = true;
+  if (job.ranges.empty() && !job.known) jobs_.erase(id.job);
+}
+
+bool Replica::apply_job(const wire::StoredItem& item) {
+  const std::string id = name_of(item.key, wire::kJobPrefixKey);
+  changed_jobs_.insert(id);
+  if (!item.value) {
+    remove_job(id);
     return true;
   }
-  return false;
+  wire::JobRecord record;
+  if (!decode(*item.value, record)) return false;
+  Job& job = jobs_[id];
+  const bool cancelled_now = record.cancelled && !job.record.cancelled;
+  if (job.known) uncount_placements(job);
+  job.record = std::move(record);
+  job.known = true;
+  count_placements(job);
+  add_unrecorded_ranges(id, job);
+  if (cancelled_now) {
+    for (const auto& [number, range] : job.ranges) mark_machines_changed(range);
+  }
+  return true;
 }
 
-void Replica::count_placement(const Job& job, const wire::Placement& p, int sign) {
-  Usage& u = usage_[job.record.spec.team][p.quota_holder];
-  u.cpus += sign * job.record.spec.cpus;
-  u.gpus += sign * job.record.spec.gpus;
-  if (!job.record.spec.is_service()) return;
-  const auto replicas = replicas_on_.try_emplace(p.machine, 0).first;
-  replicas->second += sign;
-  if (replicas->second == 0) replicas_on_.erase(replicas);
+// Ranges that still have a record of their own stay, until that is deleted too.
+void Replica::remove_job(const std::string& id) {
+  auto it = jobs_.find(id);
+  if (it == jobs_.end()) return;
+  Job& job = it->second;
+  if (job.known) uncount_placements(job);
+  job.known = false;
+  for (const std::uint32_t number : std::exchange(job.unrecorded_ranges, {}))
+    job.ranges.erase(number);
+  if (job.ranges.empty()) jobs_.erase(it);
 }
 
-void Replica::count_job(const Job& job, int sign) {
-  for (const auto& [number, r] : job.ranges)
-    for (const auto& [task, p] : r.placed) count_placement(job, p, sign);
+// The job's record stands for the ranges as first given out, as long as they have none themselves.
+void Replica::add_unrecorded_ranges(const std::string& id, Job& job) {
+  for (const auto& share : job.record.shares) {
+    auto [range, added] = job.ranges.try_emplace(share.number);
+    if (!added) continue;
+    wire::RangeRecord& r = range->second;
+    r.job = id;
+    r.number = share.number;
+    r.owner = share.owner;
+    r.begin = share.begin;
+    r.end = share.end;
+    r.done.assign(share.end - share.begin, false);
+    job.unrecorded_ranges.insert(share.number);
+  }
 }
 
-void Replica::place(const RangeId& id, const Job& job, std::uint32_t task, const wire::Placement& p,
-                    bool add) {
-  if (job.known) count_placement(job, p, add ? 1 : -1);
-  changed_machines_.insert(p.machine);
-  if (add) {
-    placed_on_[p.machine].insert({id, task});
-    return;
-  }
-  auto it = placed_on_.find(p.machine);
-  if (it == placed_on_.end()) return;
-  it->second.erase({id, task});
-  if (it->second.empty()) placed_on_.erase(it);
+bool Replica::apply_final_state(const wire::StoredItem& item) {
+  wire::FinalStateRecord record;
+  if (!item.value || !decode(*item.value, record)) return false;
+  remember_final_state(name_of(item.key, wire::kFinalStatePrefix), record);
+  return true;
 }
 
-void Replica::apply_range(const RangeId& id, Job& job, const wire::RangeRecord* before,
-                          const wire::RangeRecord* after) {
+bool Replica::apply_fleet(const wire::StoredItem& item) {
+  std::uint32_t group = 0;
+  return wire::parse_fleet_key(item.key, group) &&
+         machine_index_.apply_fleet(group, item.value, changed_machines_);
+}
+
+bool Replica::apply_shard(const wire::StoredItem& item) {
+  std::string controller;
+  std::uint32_t group = 0;
+  return wire::parse_shard_key(item.key, controller, group) &&
+         machine_index_.apply_shard(controller, group, item.value, changed_machines_);
+}
+
+bool Replica::apply_live(const wire::StoredItem& item) {
+  view_changed_ = true;
+  return apply_named(live_, name_of(item.key, wire::kLivePrefix), item.value);
+}
+
+bool Replica::apply_view(const wire::StoredItem& item) {
+  wire::ViewRecord record;
+  if (!item.value || !decode(*item.value, record)) return false;
+  view_ = std::move(record);
+  view_changed_ = true;
+  return true;
+}
+
+bool Replica::apply_format(const wire::StoredItem& item) {
+  wire::FormatRecord record;
+  if (!item.value || !decode(*item.value, record)) return false;
+  // Records of a format that was switched on once may exist for ever.
+  format_.format = std::max(format_.format, record.format);
+  return true;
+}
+
+bool Replica::apply_catalog(const wire::StoredItem& item) {
+  std::vector<wire::MachineType> types;
+  if (!item.value || !wire::parse_catalog(*item.value, types)) return false;
+  catalog_ = std::move(types);
+  has_catalog_ = true;
+  return true;
+}
+
+// ---- placements ----
+
+void Replica::update_range(const RangeId& id, Job& job, const wire::RangeRecord* before,
+                           const wire::RangeRecord* after) {
   if (before) {
     job.done -= before->done_count();
     job.placed -= before->placed.size();
@@ -190,105 +198,52 @@
     job.done += after->done_count();
     job.placed += after->placed.size();
   }
+  const auto has = [](const wire::RangeRecord* range, std::uint32_t task,
+                      const wire::Placement& placement) {
+    if (!range) return false;
+    auto at = range->placed.find(task);
+    return at != range->placed.end() && at->second == placement;
+  };
   if (before) {
-    for (const auto& [task, p] : before->placed) {
-      auto now = after ? after->placed.find(task) : before->placed.end();
-      if (!after || now == after->placed.end() || now->second != p) place(id, job, task, p, false);
-    }
+    for (const auto& [task, p] : before->placed)
+      if (!has(after, task, p)) remove_placement(job, {id, task}, p);
   }
   if (after) {
-    for (const auto& [task, p] : after->placed) {
-      auto was = before ? before->placed.find(task) : after->placed.end();
-      if (!before || was == before->placed.end() || was->second != p) place(id, job, task, p, true);
-    }
+    for (const auto& [task, p] : after->placed)
+      if (!has(before, task, p)) add_placement(job, {id, task}, p);
   }
   // What becomes of one task of a gang concerns all.
-  if (before && after && job.known && job.record.spec.is_gang()) {
-    for (const auto& [task, p] : after->placed) changed_machines_.insert(p.machine);
-  }
+  if (before && after && job.known && job.record.spec.is_gang()) mark_machines_changed(*after);
 }
 
-void Replica::merge(const std::string& id) {
-  auto group = group_of_.find(id);
-  if (group == group_of_.end()) {
-    if (machines_.erase(id)) changed_machines_.insert(id);
-    return;
-  }
-  wire::MachineRecord sum = fleet_.at(group->second).machines.at(id);
-  if (auto heard = contacts_.find(id); heard != contacts_.end()) {
-    std::uint64_t newest = 0;
-    for (const auto& [who, h] : heard->second) {
-      if (h.epoch >= newest) {
-        // Not the highest session: a machine that has restarted counts from one again.
-        newest = h.epoch;
-        sum.incarnation = h.incarnation;
-        if (!h.address.empty()) sum.address = h.address;
-      }
-      // A verdict is never taken back: sick, draining, lost, gone in this order.
-      sum.state = std::max(sum.state, h.state);
-    }
-  }
-  auto [it, added] = machines_.try_emplace(id, sum);
-  if (!added && it->second == sum) return;
-  it->second = std::move(sum);
-  changed_machines_.insert(id);
+void Replica::add_placement(const Job& job, TaskRef task, const wire::Placement& placement) {
+  if (job.known) placements_.count(job.record.spec, placement);
+  changed_machines_.insert(placement.machine);
+  placements_.add(std::move(task), placement);
 }
 
-bool Replica::apply_fleet(std::uint32_t group, const std::optional<std::string>& value) {
-  wire::FleetRecord record;
-  if (value && !decode(*value, record)) return false;
-  const wire::FleetRecord before = std::exchange(fleet_[group], record);
-  for (const auto& [id, m] : record.machines) group_of_[id] = group;
-  for (const auto& [id, m] : before.machines) {
-    if (record.machines.contains(id)) continue;
-    auto at = group_of_.find(id);
-    if (at != group_of_.end() && at->second == group) group_of_.erase(at);
-    merge(id);
-  }
-  for (const auto& [id, m] : record.machines) merge(id);
-  if (!value) fleet_.erase(group);
-  return true;
+void Replica::remove_placement(const Job& job, const TaskRef& task,
+                               const wire::Placement& placement) {
+  if (job.known) placements_.uncount(job.record.spec, placement);
+  changed_machines_.insert(placement.machine);
+  placements_.remove(task, placement);
 }
 
-bool Replica::apply_shard(const std::string& who, std::uint32_t group,
-                          const std::optional<std::string>& value) {
-  wire::ShardRecord record;
-  if (value && !decode(*value, record)) return false;
-  const wire::ShardRecord before = std::exchange(shards_[{who, group}], record);
-  for (const auto& [id, h] : before.machines) {
-    if (record.machines.contains(id)) continue;
-    auto at = contacts_.find(id);
-    if (at == contacts_.end()) continue;
-    at->second.erase({who, group});
-    if (at->second.empty()) contacts_.erase(at);
-    merge(id);
-  }
-  for (const auto& [id, h] : record.machines) {
-    contacts_[id][{who, group}] = h;
-    merge(id);
-  }
-  if (!value) shards_.erase({who, group});
-  return true;
+void Replica::count_placements(const Job& job) {
+  for (const auto& [number, range] : job.ranges)
+    for (const auto& [task, p] : range.placed) placements_.count(job.record.spec, p);
 }
 
-std::optional<std::uint32_t> Replica::group_of(const std::string& id) const {
-  auto it = group_of_.find(id);
-  return it == group_of_.end() ? std::nullopt : std::optional(it->second);
+void Replica::uncount_placements(const Job& job) {
+  for (const auto& [number, range] : job.ranges)
+    for (const auto& [task, p] : range.placed) placements_.uncount(job.record.spec, p);
 }
 
-const wire::ShardRecord* Replica::shard(const std::string& controller, std::uint32_t group) const {
-  auto it = shards_.find({controller, group});
-  return it == shards_.end() ? nullptr : &it->second;
+void Replica::mark_machines_changed(const wire::RangeRecord& range) {
+  for (const auto& [task, p] : range.placed) changed_machines_.insert(p.machine);
 }
 
-std::vector<std::pair<std::uint32_t, const wire::ShardRecord*>> Replica::shards_of(
-    const std::string& controller) const {
-  std::vector<std::pair<std::uint32_t, const wire::ShardRecord*>> out;
-  for (auto it = shards_.lower_bound({controller, 0});
-       it != shards_.end() && it->first.first == controller; ++it)
-    out.emplace_back(it->first.second, &it->second);
-  return out;
-}
+// ---- reading ----
 
 const Job* Replica::job(const std::string& id) const {
   auto it = jobs_.find(id);
@@ -302,9 +257,11 @@
   return r == it->second.ranges.end() ? nullptr : &r->second;
 }
 
-const wire::MachineRecord* Replica::machine(const std::string& id) const {
-  auto it = machines_.find(id);
-  return it == machines_.end() ? nullptr : &it->second;
+const wire::Placement* Replica::placement(const TaskRef& task) const {
+  const auto* r = range(task.range);
+  if (!r) return nullptr;
+  auto it = r->placed.find(task.index);
+  return it == r->placed.end() ? nullptr : &it->second;
 }
 
 const wire::MachineType* Replica::type(const std::string& name) const {
@@ -327,42 +284,11 @@
   }
 }
 
-const std::set<TaskRef>& Replica::placed_on(const std::string& machine) const {
-  static const std::set<TaskRef> none;
-  auto it = placed_on_.find(machine);
-  return it == placed_on_.end() ? none : it->second;
-}
-
-const wire::Placement* Replica::placement(const TaskRef& task) const {
-  const auto* r = range(task.range);
-  if (!r) return nullptr;
-  auto it = r->placed.find(task.index);
-  return it == r->placed.end() ? nullptr : &it->second;
-}
-
 std::vector<std::string> Replica::unrecorded_machines() const {
   std::vector<std::string> out;
-  for (const auto& [id, tasks] : placed_on_)
-    if (!machines_.contains(id)) out.push_back(id);
+  for (const auto& [id, tasks] : placements_.by_machine())
+    if (!machine_index_.machine(id)) out.push_back(id);
   return out;
 }
 
-Usage Replica::usage(const std::string& team, const std::string& grant) const {
-  auto t = usage_.find(team);
-  if (t == usage_.end()) return {};
-  auto g = t->second.find(grant);
-  return g == t->second.end() ? Usage{} : g->second;
-}
-
-Usage Replica::usage(const std::string& team) const {
-  Usage sum;
-  auto t = usage_.find(team);
-  if (t == usage_.end()) return sum;
-  for (const auto& [grant, u] : t->second) {
-    sum.cpus += u.cpus;
-    sum.gpus += u.gpus;
-  }
-  return sum;
-}
-
 }  // namespace scheduler
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -1,36 +1,24 @@
 // Everything the state service holds, decoded, with the indexes that scheduling needs.
 #pragma once
 
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
+#include "state/machine_index.h"
+#include "state/placement_index.h"
 #include "wire/records.h"
 #include "wire/state_service.h"
 
 namespace scheduler {
 
-struct RangeId {
-  std::string job;
-  std::uint32_t number = 0;
-  auto operator<=>(const RangeId&) const = default;
-};
-
-// A task within its range.
-struct TaskRef {
-  RangeId range;
-  std::uint32_t index = 0;
-  auto operator<=>(const TaskRef&) const = default;
-};
-
-struct Usage {
-  double cpus = 0, gpus = 0;
-};
-
+// A job that is not over, with its task ranges.
 struct Job {
   wire::JobRecord record;
   std::map<std::uint32_t, wire::RangeRecord> ranges;
@@ -47,78 +35,103 @@
   bool whole() const;
 };
 
+// The replica of the stored records. Changes only by apply(), one record at a time and in any order
+// of keys, and (for final states, which the watch doesn't replay) by remember_final_state().
+// Whoever works on changes takes them by take_changed_*(); a change that nobody has taken yet is
+// kept.
 class Replica {
  public:
-  // Returns false when a record could not be decoded (it is then ignored).
+  // Takes over a record, or its deletion. Returns false when a record could not be decoded (it is
+  // then ignored).
   bool apply(const wire::StoredItem& item);
 
   const wire::ViewRecord& view() const { return view_; }
   const std::map<std::string, wire::LiveRecord>& live() const { return live_; }
-  const std::map<std::string, wire::MachineRecord>& machines() const { return machines_; }
   const std::map<std::string, wire::ScaleOutRequest>& scale_out_requests() const {
     return scale_out_requests_;
   }
   const std::map<std::string, wire::QuotaRecord>& quotas() const { return quotas_; }
   const std::vector<wire::MachineType>& catalog() const { return catalog_; }
   bool has_catalog() const { return has_catalog_; }
+  const wire::MachineType* type(const std::string& name) const;
   // The format of records that all controllers read (wire/records.h).
   std::uint32_t format() const { return format_.format; }
-  const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
 
+  const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
+  // nullptr while the job's own record is not known.
   const Job* job(const std::string& id) const;
   const wire::RangeRecord* range(const RangeId& id) const;
-  const wire::MachineRecord* machine(const std::string& id) const;
-  const std::map<std::uint32_t, wire::FleetRecord>& fleet() const { return fleet_; }
-  // The group that a machine is recorded in; none if the machine is not recorded.
-  std::optional<std::uint32_t> group_of(const std::string& id) const;
-  const wire::ShardRecord* shard(const std::string& controller, std::uint32_t group) const;
-  // Every record of that controller, by group.
-  std::vector<std::pair<std::uint32_t, const wire::ShardRecord*>> shards_of(
-      const std::string& controller) const;
-  const wire::MachineType* type(const std::string& name) const;
+  const wire::Placement* placement(const TaskRef& task) const;
   const wire::FinalStateRecord* final_state(const std::string& id) const;
+  // Keeps a final state that was read by itself; the oldest are dropped when there are many.
   void remember_final_state(const std::string& id, const wire::FinalStateRecord& record);
 
-  const std::set<TaskRef>& placed_on(const std::string& machine) const;
-  // Whether replicas of services are placed on the machine.
-  bool hosts_service(const std::string& machine) const { return replicas_on_.contains(machine); }
+  // Machines (state/machine_index.h).
+  const std::map<std::string, wire::MachineRecord>& machines() const {
+    return machine_index_.machines();
+  }
+  const std::map<std::uint32_t, wire::FleetRecord>& fleet() const { return machine_index_.fleet(); }
+  const wire::MachineRecord* machine(const std::string& id) const {
+    return machine_index_.machine(id);
+  }
+  std::optional<std::uint32_t> group_of(const std::string& id) const {
+    return machine_index_.group_of(id);
+  }
+  const wire::ShardRecord* shard(const std::string& controller, std::uint32_t group) const {
+    return machine_index_.shard(controller, group);
+  }
+  std::vector<std::pair<std::uint32_t, const wire::ShardRecord*>> shards_of(
+      const std::string& controller) const {
+    return machine_index_.shards_of(controller);
+  }
+
+  // Placements (state/placement_index.h).
+  const std::set<TaskRef>& placed_on(const std::string& machine) const {
+    return placements_.placed_on(machine);
+  }
+  bool hosts_service(const std::string& machine) const {
+    return placements_.hosts_service(machine);
+  }
+  Usage usage(const std::string& team, const std::string& quota_holder) const {
+    return placements_.usage(team, quota_holder);
+  }
+  Usage usage(const std::string& team) const { return placements_.usage(team); }
   // Machines with placements of which there is no record.
   std::vector<std::string> unrecorded_machines() const;
-  const wire::Placement* placement(const TaskRef& task) const;
-  // Tasks of a team recorded as placed, by the grant that they use.
-  Usage usage(const std::string& team, const std::string& grant) const;
-  Usage usage(const std::string& team) const;
+
   // Changed since the last call, for level-triggered work.
   std::set<std::string> take_changed_machines() { return std::exchange(changed_machines_, {}); }
   bool take_view_changed() { return std::exchange(view_changed_, false); }
   std::set<std::string> take_changed_jobs() { return std::exchange(changed_jobs_, {}); }
 
  private:
+  // One for each kind of record; the results are those of apply().
+  bool apply_range(const wire::StoredItem& item);
+  bool apply_job(const wire::StoredItem& item);
+  bool apply_final_state(const wire::StoredItem& item);
+  bool apply_fleet(const wire::StoredItem& item);
+  bool apply_shard(const wire::StoredItem& item);
+  bool apply_live(const wire::StoredItem& item);
+  bool apply_view(const wire::StoredItem& item);
+  bool apply_format(const wire::StoredItem& item);
+  bool apply_catalog(const wire::StoredItem& item);
+
+  void remove_range(const RangeId& id, Job& job);
+  void remove_job(const std::string& id);
+  void add_unrecorded_ranges(const std::string& id, Job& job);
   // Takes over the difference between two versions of a range; either may be missing. The cost of
   // a change is that of what changed, not of all that the range holds.
-  void apply_range(const RangeId& id, Job& job, const wire::RangeRecord* before,
-                   const wire::RangeRecord* after);
-  void place(const RangeId& id, const Job& job, std::uint32_t task, const wire::Placement& p,
-             bool add);
-  void count_placement(const Job& job, const wire::Placement& p, int sign);
-  void count_job(const Job& job, int sign);
-  bool apply_fleet(std::uint32_t group, const std::optional<std::string>& value);
-  bool apply_shard(const std::string& who, std::uint32_t group,
-                   const std::optional<std::string>& value);
-  void merge(const std::string& id);
+  void update_range(const RangeId& id, Job& job, const wire::RangeRecord* before,
+                    const wire::RangeRecord* after);
+  void add_placement(const Job& job, TaskRef task, const wire::Placement& placement);
+  void remove_placement(const Job& job, const TaskRef& task, const wire::Placement& placement);
+  // All placements of the job begin or end to use resources: its record has come or gone.
+  void count_placements(const Job& job);
+  void uncount_placements(const Job& job);
+  void mark_machines_changed(const wire::RangeRecord& range);
 
   wire::ViewRecord view_;
   std::map<std::string, wire::LiveRecord> live_;
-  std::map<std::uint32_t, wire::FleetRecord> fleet_;
-  std::map<std::pair<std::string, std::uint32_t>, wire::ShardRecord> shards_;
-  std::unordered_map<std::string, std::uint32_t> group_of_;
-  // A controller's record of one group.
-  using ShardId = std::pair<std::string, std::uint32_t>;
-  // What controllers have written of a machine. While a group is being cut, a machine's entries may
-  // stand in records of its former group.
-  std::unordered_map<std::string, std::map<ShardId, wire::ShardRecord::Contact>> contacts_;
-  std::map<std::string, wire::MachineRecord> machines_;        // merged from all these
-  std::map<std::string, std::map<std::string, Usage>> usage_;  // team -> grant
   std::map<std::string, wire::ScaleOutRequest> scale_out_requests_;
   std::map<std::string, wire::QuotaRecord> quotas_;
   std::vector<wire::MachineType> catalog_;
@@ -127,9 +140,9 @@
   std::unordered_map<std::string, Job> jobs_;
   std::unordered_map<std::string, wire::FinalStateRecord> final_states_;
   std::deque<std::string> final_state_order_;
+  MachineIndex machine_index_;
+  PlacementIndex placements_;
 
-  std::unordered_map<std::string, std::set<TaskRef>> placed_on_;
-  std::unordered_map<std::string, int> replicas_on_;  // of services, by machine; none: not there
   std::set<std::string> changed_machines_;
   std::set<std::string> changed_jobs_;
   bool view_changed_ = false;
