--- a/src/state/barrier_reads.h
+++ b/src/state/barrier_reads.h
@@ -49,11 +49,11 @@
 
  private:
   struct Waiter {
-    Ms deadline;  // 0: none
+    Ms deadline = 0;  // 0: none
     Done done;
   };
   struct RevisionWait {
-    std::uint64_t revision;
+    std::uint64_t revision = 0;
     Waiter waiter;
   };
 
--- a/src/state/state_log.h
+++ b/src/state/state_log.h
@@ -13,8 +13,8 @@
 namespace scheduler {
 
 // Lines of level debug say what the state service answered, at which revision, and how long it took
-// from `sent` on: consistency is checked by them (docs/operations.md). Building them costs time, so
-// that is done only where they are wanted.
+// from `sent` on; docs/operations.md lists them. Building them costs time, so that is done only
+// where they are wanted.
 class StateLog {
  public:
   using Log = std::function<void(LogLevel, std::string)>;
--- a/src/state/transaction_queue.h
+++ b/src/state/transaction_queue.h
@@ -62,7 +62,7 @@
     never        // over the service's limits even by itself
   };
   struct Rejected {
-    Ms release_at;
+    Ms release_at = 0;
     Transaction transaction;
   };
 
--- a/src/state/write_budget.h
+++ b/src/state/write_budget.h
@@ -16,7 +16,7 @@
 
   explicit WriteBudget(const RateShares& rates) : rates_(rates) {}
 
-  // Starts half full: other controllers may have written just before.
+  // The bucket is half full at first.
   void start(Ms now);
   void refill(Ms now);
   // Whether that many writes may be made now.
--- /dev/null
+++ b/tests/state_client_test.cpp
@@ -0,0 +1,530 @@
+// The client of the state service by itself, against a stand-in of the service: session lease,
+// watch, transactions and barrier reads.
+#include "state/state_client.h"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "sim/fake_state_service.h"
+
+namespace scheduler {
+namespace {
+
+constexpr Ms kStep = 20;
+
+// Replies come one step after the request, as those of the network: never during the call.
+class StateClientTest : public testing::Test {
+ protected:
+  struct Sent {
+    Ms at;
+    Call call;
+  };
+  struct PendingReply {
+    Ms due;
+    ResultHandler done;
+    HttpResult http_result;
+  };
+
+  static Settings client_settings() {
+    Settings settings;
+    settings.state_rps = 400;
+    settings.state_write_rps = 150;
+    settings.txn_ops = 24;
+    return settings;
+  }
+
+  StateClientTest()
+      : settings_(client_settings()),
+        client_(
+            settings_,
+            [this](Target, std::string address, std::string method, std::string path,
+                   std::string body, Ms timeout, ResultHandler done) {
+              on_request({0, Target::state, std::move(address), std::move(method), std::move(path),
+                          std::move(body), timeout},
+                         std::move(done));
+            },
+            [this](Ms, const wire::StoredItem& item) { on_applied(item); },
+            [](LogLevel, const std::string&) {}) {}
+
+  // Time passes, one tick at each step.
+  void run(Ms lasts) {
+    if (!std::exchange(started_, true)) client_.start(now_);
+    for (const Ms end = now_ + lasts; now_ < end; now_ += kStep) {
+      client_.tick(now_);
+      if (watch_served_ && !replies_lost_) state_.serve_watchers(now_, [](std::size_t) { return true; });
+      deliver();
+    }
+  }
+
+  // Another controller changes a key.
+  void put(const std::string& key, const std::string& value = "{}") {
+    state_.items[key] = {value, ++state_.revision, 0};
+    state_.change(key, value);
+  }
+  void remove(const std::string& key) {
+    ++state_.revision;
+    state_.items.erase(key);
+    state_.change(key, std::nullopt);
+  }
+
+  // A transaction of one write, whose result will stand under the key.
+  Transaction write(const std::string& key, const std::string& value = "{}") {
+    Transaction transaction;
+    transaction.writes = {{key, value, std::nullopt}};
+    transaction.done = [this, key](Ms, TxnResult result, const std::vector<std::string>&) {
+      EXPECT_TRUE(results_.emplace(key, result).second) << key << " was told twice";
+    };
+    return transaction;
+  }
+  std::optional<TxnResult> result(const std::string& key) const {
+    auto it = results_.find(key);
+    return it == results_.end() ? std::nullopt : std::optional(it->second);
+  }
+
+  // Requests so far whose path begins so.
+  std::vector<Sent> sent(const std::string& path) const {
+    std::vector<Sent> out;
+    std::copy_if(sent_.begin(), sent_.end(), std::back_inserter(out),
+                 [&](const Sent& s) { return s.call.path.starts_with(path); });
+    return out;
+  }
+  // Writes of each transaction request, in order.
+  std::vector<unsigned> writes_of_groups() const {
+    std::vector<unsigned> out;
+    for (const auto& s : sent(wire::kTransactionPath)) {
+      rapidjson::Document doc;
+      EXPECT_TRUE(wire::parse_object(s.call.body, doc));
+      out.push_back(doc["writes"].Size());
+    }
+    return out;
+  }
+
+  Ms now_ = 1000;
+  Settings settings_;
+  sim::FakeStateService state_;
+  bool replies_lost_ = false;                // every reply is; requests fail at their timeout
+  bool watch_served_ = true;                 // else it stays open
+  Ms transaction_reply_after_ = kStep;       // milliseconds
+  std::map<std::string, std::string> held_;  // what the replica holds, by key
+  std::vector<std::string> applied_;         // keys, in the order in which they came
+  StateClient client_;
+
+ private:
+  void on_request(Call call, ResultHandler done) {
+    sent_.push_back({now_, call});
+    const Ms delay = call.path == wire::kTransactionPath ? transaction_reply_after_ : kStep;
+    if (replies_lost_) {
+      replies_.push_back({now_ + call.timeout, std::move(done), {kNoReply, ""}});
+      return;
+    }
+    state_.serve(now_, call, 0,
+                 [this, delay, done = std::move(done)](int status, const std::string& body) {
+                   replies_.push_back({now_ + delay, done, {status, body}});
+                 });
+  }
+
+  void deliver() {
+    std::vector<PendingReply> due;
+    for (std::size_t i = 0; i < replies_.size();) {
+      if (replies_[i].due <= now_) {
+        due.push_back(std::move(replies_[i]));
+        replies_.erase(replies_.begin() + static_cast<std::ptrdiff_t>(i));
+      } else {
+        ++i;
+      }
+    }
+    for (auto& reply : due) reply.done(now_, reply.http_result);
+  }
+
+  void on_applied(const wire::StoredItem& item) {
+    applied_.push_back(item.key);
+    if (item.value) {
+      held_[item.key] = *item.value;
+    } else {
+      held_.erase(item.key);
+    }
+  }
+
+  bool started_ = false;
+  std::vector<Sent> sent_;
+  std::vector<PendingReply> replies_;
+  std::map<std::string, TxnResult> results_;
+};
+
+// ---- session lease ----
+
+TEST_F(StateClientTest, SessionLeaseIsRenewedBeforeItEnds) {
+  run(500);
+  const std::uint64_t first = client_.lease_id();
+  ASSERT_NE(first, 0U);
+  run(20'000);
+  EXPECT_EQ(client_.lease_id(), first);
+  EXPECT_TRUE(state_.holds.contains(first));
+}
+
+TEST_F(StateClientTest, LostSessionLeaseIsReplaced) {
+  run(500);
+  const std::uint64_t first = client_.lease_id();
+  state_.holds.clear();
+  run(2000);
+  EXPECT_TRUE(client_.lease_valid());
+  EXPECT_NE(client_.lease_id(), first);
+  EXPECT_TRUE(state_.holds.contains(client_.lease_id()));
+}
+
+TEST_F(StateClientTest, WriteUnderALostLeaseIsRefusedAndTheLeaseReplacedAtOnce) {
+  run(500);
+  const std::uint64_t first = client_.lease_id();
+  state_.holds.clear();
+  Transaction announce = write("live/a");
+  announce.writes.front().lease_id = first;
+  client_.submit(std::move(announce));
+  run(5 * kStep);
+  EXPECT_EQ(result("live/a"), TxnResult::refused);
+  EXPECT_EQ(client_.rejections(), 0U);
+  EXPECT_NE(client_.lease_id(), first);
+}
+
+TEST_F(StateClientTest, SessionLeaseIsNotRenewedWhileNoRepliesCome) {
+  run(3000);
+  replies_lost_ = true;
+  run(10'000);
+  const std::size_t renewals = sent("/holds/").size();
+  run(10'000);
+  EXPECT_EQ(sent("/holds/").size(), renewals);
+  EXPECT_FALSE(client_.answering(now_));
+}
+
+// ---- full load and watch ----
+
+TEST_F(StateClientTest, IsLoadedOnceTheWatchHasPassedEveryPage) {
+  for (int i = 0; i < 300; ++i) put("job/" + std::to_string(i));
+  watch_served_ = false;
+  run(6 * kStep);
+  put("quota/t");  // between the first page and the last
+  run(1000);
+  EXPECT_TRUE(held_.contains("quota/t"));
+  EXPECT_FALSE(client_.loaded());
+  watch_served_ = true;
+  run(2 * kStep);
+  EXPECT_TRUE(client_.loaded());
+  EXPECT_EQ(client_.applied_revision(), state_.revision);
+  EXPECT_EQ(held_.size(), 301U);
+}
+
+TEST_F(StateClientTest, WatchThatFallsBehindIsReopened) {
+  run(1000);
+  state_.watchers.clear();  // its reply is lost
+  put("job/a");
+  std::optional<bool> passed;
+  client_.barrier_read(now_, 0, [&](Ms, bool ok) { passed = ok; });
+  run(400);
+  EXPECT_EQ(passed, std::nullopt);
+  run(1000);
+  EXPECT_EQ(passed, true);
+  EXPECT_TRUE(held_.contains("job/a"));
+}
+
+TEST_F(StateClientTest, WatchThatIsTooOldIsFollowedByAFullRead) {
+  put("job/a");
+  put("job/b");
+  run(1000);
+  ASSERT_EQ(held_.size(), 2U);
+  state_.watchers.clear();
+  state_.changes_kept = 1;
+  remove("job/a");
+  put("job/c");
+  put("job/d");
+  client_.barrier_read(now_, 0, [](Ms, bool) {});
+  run(3000);
+  EXPECT_EQ(state_.watches_too_old, 1);
+  EXPECT_TRUE(client_.loaded());
+  EXPECT_EQ(client_.applied_revision(), state_.revision);
+  EXPECT_FALSE(held_.contains("job/a"));
+  EXPECT_EQ(client_.version("job/a"), 0U);
+  EXPECT_EQ(held_.size(), 3U);
+}
+
+TEST_F(StateClientTest, LateReplyToAnOwnWriteDoesNotBringBackARemovedKey) {
+  run(1000);
+  transaction_reply_after_ = 1500;
+  client_.submit(write("job/a"));
+  run(200);
+  ASSERT_TRUE(held_.contains("job/a"));  // by the watch
+  remove("job/a");
+  run(200);
+  ASSERT_FALSE(held_.contains("job/a"));
+  ASSERT_EQ(result("job/a"), std::nullopt);
+  run(1500);
+  EXPECT_EQ(result("job/a"), TxnResult::committed);
+  EXPECT_FALSE(held_.contains("job/a"));
+  EXPECT_EQ(client_.version("job/a"), 0U);
+}
+
+TEST_F(StateClientTest, LateWatchDoesNotBringBackAKeyThatWasRemovedByAnOwnWrite) {
+  run(1000);
+  watch_served_ = false;
+  put("job/a");
+  Transaction removal = write("job/a");
+  removal.writes.front().value.reset();
+  client_.submit(std::move(removal));
+  run(200);
+  ASSERT_EQ(result("job/a"), TxnResult::committed);
+  ASSERT_EQ(client_.applied_revision(), 0U);
+  watch_served_ = true;
+  run(200);
+  EXPECT_EQ(client_.applied_revision(), state_.revision);
+  EXPECT_EQ(std::count(applied_.begin(), applied_.end(), "job/a"), 1);  // the removal alone
+}
+
+TEST_F(StateClientTest, OwnWriteIsHeldBeforeTheWatchBringsIt) {
+  run(1000);
+  watch_served_ = false;
+  client_.submit(write("job/a", R"({"x":1})"));
+  run(200);
+  EXPECT_EQ(held_["job/a"], R"({"x":1})");
+  EXPECT_FALSE(client_.has_applied("job/a"));
+  watch_served_ = true;
+  run(200);
+  EXPECT_TRUE(client_.has_applied("job/a"));
+  EXPECT_EQ(std::count(applied_.begin(), applied_.end(), "job/a"), 1);
+}
+
+// ---- barrier reads ----
+
+TEST_F(StateClientTest, BarrierReadIsReleasedOnlyOnceTheWatchHasPassed) {
+  run(1000);
+  watch_served_ = false;
+  put("job/a");
+  std::optional<bool> passed;
+  client_.barrier_read(now_, 0, [&](Ms, bool ok) {
+    passed = ok;
+    EXPECT_TRUE(held_.contains("job/a"));
+  });
+  run(400);
+  EXPECT_EQ(passed, std::nullopt);
+  watch_served_ = true;
+  run(3 * kStep);
+  EXPECT_EQ(passed, true);
+}
+
+TEST_F(StateClientTest, BarrierReadsShareARequest) {
+  run(1000);
+  const std::size_t before = sent("/store/barrier").size();
+  int passed = 0;
+  for (int i = 0; i < 50; ++i) client_.barrier_read(now_, 0, [&](Ms, bool ok) { passed += ok; });
+  run(200);
+  EXPECT_EQ(passed, 50);
+  EXPECT_LE(sent("/store/barrier").size(), before + 2);
+}
+
+TEST_F(StateClientTest, BarrierReadFailsAtItsDeadline) {
+  run(1000);
+  watch_served_ = false;
+  put("job/a");
+  std::optional<bool> passed;
+  client_.barrier_read(now_, now_ + 300, [&](Ms, bool ok) { passed = ok; });
+  run(280);
+  EXPECT_EQ(passed, std::nullopt);
+  run(3 * kStep);
+  EXPECT_EQ(passed, false);
+}
+
+TEST_F(StateClientTest, ProcessPauseFailsBarrierReadsAndVoidsWhatWasAskedBefore) {
+  run(1000);
+  watch_served_ = false;
+  put("job/a");
+  std::optional<bool> waiting, asked;
+  client_.barrier_read(now_, 0, [&](Ms, bool ok) { waiting = ok; });
+  run(200);
+  client_.barrier_read(now_, 0, [&](Ms, bool ok) { asked = ok; });
+  now_ += 8000;
+  client_.on_pause(now_);
+  EXPECT_EQ(waiting, false);
+  EXPECT_FALSE(client_.answering(now_));
+  run(kStep);  // brings the reply to the read that was asked for before the pause
+  EXPECT_EQ(asked, false);
+  EXPECT_FALSE(client_.answering(now_));
+  run(1000);
+  EXPECT_TRUE(client_.answering(now_));
+}
+
+TEST_F(StateClientTest, SettledOnlyWhenARepeatedBarrierReadHasPassed) {
+  run(1000);
+  replies_lost_ = true;
+  bool settled = false;
+  client_.wait_until_settled(now_, [&](Ms) { settled = true; });
+  run(5000);
+  EXPECT_FALSE(settled);
+  replies_lost_ = false;
+  run(3000);
+  EXPECT_TRUE(settled);
+}
+
+// ---- transactions ----
+
+TEST_F(StateClientTest, IndependentTransactionsShareARequestWithinTheLimitOnWrites) {
+  settings_.txn_ops = 4;
+  run(1000);
+  for (int i = 0; i < 6; ++i) client_.submit(write("job/" + std::to_string(i)));
+  run(200);
+  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{4, 2}));
+  for (int i = 0; i < 6; ++i)
+    EXPECT_EQ(result("job/" + std::to_string(i)), TxnResult::committed) << i;
+}
+
+TEST_F(StateClientTest, GroupStaysWithinTheLimitOnBytes) {
+  run(1000);
+  const std::string value = R"({"x":")" + std::string(7000, 'x') + R"("})";
+  for (int i = 0; i < 10; ++i) client_.submit(write("job/" + std::to_string(i), value));
+  run(200);
+  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{8, 2}));
+  for (const auto& s : sent(wire::kTransactionPath))
+    EXPECT_LE(s.call.body.size(), wire::kTransactionBytes);
+}
+
+TEST_F(StateClientTest, GroupStaysWithinTheLimitOnConditions) {
+  settings_.txn_ops = 2;
+  run(1000);
+  for (int i = 0; i < 2; ++i) {
+    Transaction transaction = write("job/" + std::to_string(i));
+    for (int n = 0; n < 5; ++n)
+      transaction.conditions.push_back({"none/" + std::to_string(i) + std::to_string(n), 0});
+    client_.submit(std::move(transaction));
+  }
+  run(200);
+  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{1, 1}));
+}
+
+TEST_F(StateClientTest, TransactionThatDependsOnAnotherIsSentLater) {
+  run(1000);
+  client_.submit(write("job/a"));
+  Transaction dependent = write("job/b");
+  dependent.conditions = {{"job/a", 1}};
+  client_.submit(std::move(dependent));
+  client_.submit(write("job/c"));
+  run(200);
+  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{2, 1}));
+  EXPECT_EQ(result("job/b"), TxnResult::committed);
+}
+
+TEST_F(StateClientTest, ConflictFailsOnlyTheTransactionsWhoseConditionFailed) {
+  run(1000);
+  Transaction stale = write("job/a");
+  stale.conditions = {{"job/a", 7}};
+  client_.submit(std::move(stale));
+  Transaction sound = write("job/b");
+  sound.conditions = {client_.unchanged("job/b")};
+  client_.submit(std::move(sound));
+  run(200);
+  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{2, 1}));
+  EXPECT_EQ(result("job/a"), TxnResult::conflict);
+  EXPECT_EQ(result("job/b"), TxnResult::committed);
+  EXPECT_FALSE(state_.items.contains("job/a"));
+}
+
+TEST_F(StateClientTest, OversizedTransactionIsRejectedAfterThePauseWithoutHoldingUpOthers) {
+  settings_.txn_ops = 4;
+  run(1000);
+  Transaction large = write("job/large");
+  for (int i = 0; i < 4; ++i)
+    large.writes.push_back({"range/large/" + std::to_string(i), "{}", std::nullopt});
+  client_.submit(std::move(large));
+  client_.submit(write("job/a"));
+  run(100);
+  EXPECT_EQ(result("job/a"), TxnResult::committed);
+  run(kRejectedPauseMs - 300);
+  EXPECT_EQ(result("job/large"), std::nullopt);
+  run(600);
+  EXPECT_EQ(result("job/large"), TxnResult::rejected);
+  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{1}));
+}
+
+TEST_F(StateClientTest, OversizedTransactionThatAUserWaitsForIsRejectedAtOnce) {
+  run(1000);
+  Transaction large = write("job/large", R"({"x":")" + std::string(60'000, 'x') + R"("})");
+  large.deadline = now_ + 10'000;
+  client_.submit(std::move(large));
+  run(100);
+  EXPECT_EQ(result("job/large"), TxnResult::rejected);
+}
+
+TEST_F(StateClientTest, TransactionThatTheServiceRejectsDoesNotFailThoseSentWithIt) {
+  run(1000);
+  client_.submit(write("job/large", R"({"x":")" + std::string(9000, 'x') + R"("})"));
+  client_.submit(write("job/a"));
+  run(300);
+  EXPECT_EQ(result("job/a"), TxnResult::committed);
+  EXPECT_EQ(result("job/large"), std::nullopt);
+  EXPECT_EQ(client_.rejections(), 2U);  // of the group, and by itself
+  run(kRejectedPauseMs);
+  EXPECT_EQ(result("job/large"), TxnResult::rejected);
+}
+
+TEST_F(StateClientTest, WritesStayWithinTheRateOfTheService) {
+  state_.set_limits(now_, {24, 8 * 1024, settings_.state_write_rps});
+  run(1000);
+  for (int i = 0; i < 600; ++i) client_.submit(write("job/" + std::to_string(i)));
+  run(2000);
+  EXPECT_EQ(client_.throttles(), 0U);
+  EXPECT_LE(state_.writes, 450U);
+  EXPECT_GE(state_.writes, 350U);
+  EXPECT_FALSE(client_.has_write_headroom(now_));
+  run(3000);
+  EXPECT_EQ(state_.writes, 600U);
+  EXPECT_EQ(client_.throttles(), 0U);
+  EXPECT_TRUE(client_.has_write_headroom(now_));
+}
+
+TEST_F(StateClientTest, BackgroundWritesLeaveSomethingForUrgentOnes) {
+  run(1000);
+  for (int i = 0; i < 600; ++i) client_.submit(write("job/" + std::to_string(i)));
+  run(500);
+  ASSERT_GT(client_.queued(), 100U);
+  Transaction urgent = write("job/urgent");
+  urgent.urgent = true;
+  for (int i = 0; i < 19; ++i)
+    urgent.writes.push_back({"range/urgent/" + std::to_string(i), "{}", std::nullopt});
+  client_.submit(std::move(urgent));
+  run(4 * kStep);
+  EXPECT_EQ(result("job/urgent"), TxnResult::committed);
+}
+
+TEST_F(StateClientTest, ThrottledTransactionsAreSentAgain) {
+  state_.set_limits(now_, {24, 8 * 1024, 10});
+  run(1000);
+  for (int i = 0; i < 20; ++i) client_.submit(write("job/" + std::to_string(i)));
+  settings_.txn_ops = 10;
+  run(200);
+  ASSERT_GT(client_.throttles(), 0U);
+  run(4000);
+  EXPECT_EQ(client_.queued(), 0U);
+  for (int i = 0; i < 20; ++i)
+    EXPECT_EQ(result("job/" + std::to_string(i)), TxnResult::committed) << i;
+}
+
+TEST_F(StateClientTest, TransactionsAreRefusedAtOnceWhileTheServiceDoesNotAnswer) {
+  run(1000);
+  replies_lost_ = true;
+  run(10'000);
+  client_.submit(write("job/a"));
+  run(kStep);
+  EXPECT_EQ(result("job/a"), TxnResult::refused);
+}
+
+TEST_F(StateClientTest, LostReplyLeavesTheResultUnknown) {
+  run(1000);
+  replies_lost_ = true;
+  client_.submit(write("job/a"));
+  run(3000);
+  EXPECT_EQ(result("job/a"), TxnResult::unknown);
+}
+
+}  // namespace
+}  // namespace scheduler
