--- a/src/links/decision.cpp
+++ b/src/links/decision.cpp
@@ -15,9 +15,9 @@
     case Reason::isolated:
       return "isolated";
     case Reason::mostly_responsive:
-      return "mostly_heard";
+      return "mostly_responsive";
     case Reason::mostly_unresponsive:
-      return "mostly_silent";
+      return "mostly_unresponsive";
     case Reason::patience_over:
       return "patience_over";
     case Reason::steady:
