--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -116,20 +116,22 @@
 
 void Controller::on_peer(Ms now, std::string_view bytes) {
   detect_pause(now);
-  const wire::PeerMessage message = wire::decode_peer_message(bytes);
+  const auto message = wire::decode<wire::PeerMessage>(bytes);
+  if (!message) {
+    log(LogLevel::info, "unreadable message from a peer");
+    return;
+  }
   const auto known = [this](const std::string& from) {
     return std::any_of(settings_.peers.begin(), settings_.peers.end(),
                        [&](const auto& p) { return p.name == from; });
   };
-  if (const auto* gossip_message = std::get_if<wire::GossipMessage>(&message)) {
+  if (const auto* gossip_message = std::get_if<wire::GossipMessage>(&*message)) {
     if (known(gossip_message->from)) on_gossip(now, *gossip_message);
-  } else if (const auto* request = std::get_if<wire::RelayRequest>(&message)) {
+  } else if (const auto* request = std::get_if<wire::RelayRequest>(&*message)) {
     if (settings_.relays && known(request->from))
       relay_.on_request(now, now + wall_offset_, *request);
-  } else if (const auto* reply = std::get_if<wire::RelayReply>(&message)) {
+  } else if (const auto* reply = std::get_if<wire::RelayReply>(&*message)) {
     relay_.on_reply(now, *reply);
-  } else {
-    log(LogLevel::info, "unreadable message from a peer");
   }
 }
 
--- a/src/fleet/cloud_inventory.cpp
+++ b/src/fleet/cloud_inventory.cpp
@@ -1,6 +1,7 @@
 #include "fleet/cloud_inventory.h"
 
 #include <algorithm>
+#include <iterator>
 #include <utility>
 
 namespace scheduler {
@@ -63,14 +64,16 @@
     if (http_result.status == 503) link_.refused(now);
     if (http_result.status == 200) link_.answered(now);
   }
-  bool more = false;
-  const bool read = http_result.status == 200 && generation == generation_ &&
-                    wire::parse_machine_list(http_result.body, pages_, more);
+  auto page = http_result.status == 200 && generation == generation_
+                  ? wire::parse_machine_list(http_result.body)
+                  : wire::decode_error("status", "200 to the newest request");
+  if (page) std::move(page->machines.begin(), page->machines.end(), std::back_inserter(pages_));
+  const bool read = page && !page->unreadable;
   if (read) {
     ++pages_read_;
     page_tries_ = 0;
   }
-  if (read && more && !pages_.empty()) {
+  if (read && page->more && !pages_.empty()) {
     read_page(now, pages_.back().id);
     return;
   }
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -123,13 +123,14 @@
 
 void FleetCoordinator::on_catalog(Ms now, const HttpResult& http_result) {
   reading_catalog_ = false;
-  std::vector<wire::MachineType> types;
-  if (http_result.status != 200 || !wire::parse_catalog(http_result.body, types) || types.empty()) {
+  const auto types = http_result.status == 200 ? wire::parse_catalog(http_result.body)
+                                               : wire::decode_error("status", "200");
+  if (!types || types->empty()) {
     catalog_at_ = now + kSizeEveryMs;
     return;
   }
   const Replica& replica = context_.replica;
-  const std::string body = wire::catalog_body(types);
+  const std::string body = wire::catalog_body(*types);
   if (replica.has_catalog() && body == wire::catalog_body(replica.catalog())) return;
   const std::string key(wire::kCatalogKey);
   Transaction transaction;
--- a/src/fleet/scale_out_requests.cpp
+++ b/src/fleet/scale_out_requests.cpp
@@ -63,9 +63,10 @@
 
 void ScaleOutRequests::on_result(Ms now, const wire::ScaleOutRequest& request,
                                  const HttpResult& http_result) {
-  std::vector<std::string> machines;
-  const bool rented =
-      http_result.status == 200 && wire::parse_scale_out_reply(http_result.body, machines);
+  auto reply = http_result.status == 200 ? wire::parse_scale_out_reply(http_result.body)
+                                         : wire::decode_error("status", "200");
+  const bool rented = reply.has_value();
+  const auto machines = std::move(reply).value_or(std::vector<std::string>{});
   const bool no_capacity =
       http_result.status == 503 && http_result.body.find("capacity") != std::string::npos;
   if (no_capacity || (rented && machines.size() < request.count))
--- a/src/jobs/job_reads.cpp
+++ b/src/jobs/job_reads.cpp
@@ -136,12 +136,12 @@
 void Controller::on_final_state_read(Ms now, std::uint64_t request, const std::string& id,
                                      const HttpResult& http_result, const OnJobRead& on_job_read) {
   wire::StoredItem item;
-  wire::FinalStateRecord final_state;
-  if (http_result.status == 200 && wire::parse_item(http_result.body, item) && item.value &&
-      decode(*item.value, final_state)) {
-    replica_.remember_final_state(id, final_state);
-    on_job_read(now, final_status(final_state));
-    return;
+  if (http_result.status == 200 && wire::parse_item(http_result.body, item) && item.value) {
+    if (const auto final_state = wire::decode<wire::FinalStateRecord>(*item.value)) {
+      replica_.remember_final_state(id, *final_state);
+      on_job_read(now, final_status(*final_state));
+      return;
+    }
   }
   // Accepted between the two reads: then the replica may have it by now.
   if (http_result.status != 404 || replica_.job(id) || replica_.final_state(id)) {
--- a/src/jobs/job_requests.cpp
+++ b/src/jobs/job_requests.cpp
@@ -69,11 +69,12 @@
 }
 
 void Controller::on_submit(Ms now, std::uint64_t request, const std::string& body) {
-  wire::JobSpec spec;
-  if (const std::string error = wire::parse_job(body, spec); !error.empty()) {
-    reply(request, 400, wire::error_body(error));
+  const auto job = wire::parse_job(body);
+  if (!job) {
+    reply(request, 400, wire::error_body(job.error().text()));
     return;
   }
+  const wire::JobSpec& spec = *job;
   if (spec.is_service() && !services_enabled()) {
     // A controller of the former version could not read its records yet.
     if (settings_.record_format < wire::kServiceFormat) {
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -27,12 +27,24 @@
     into.erase(name);
     return true;
   }
-  Record record;
-  if (!decode(*value, record)) return false;
-  into[name] = std::move(record);
+  auto record = wire::decode<Record>(*value);
+  if (!record) return false;
+  into[name] = std::move(*record);
   return true;
 }
 
+// The record of a key; an empty one if the key was deleted.
+template <typename Record>
+wire::Decoded<Record> decode_or_empty(const std::optional<std::string>& value) {
+  return value ? wire::decode<Record>(*value) : Record{};
+}
+
+// The record of a key that is never deleted.
+template <typename Record>
+wire::Decoded<Record> decode_present(const std::optional<std::string>& value) {
+  return value ? wire::decode<Record>(*value) : wire::decode_error("", "a record");
+}
+
 std::string rest(const std::string& key, std::string_view prefix) {
   return key.substr(prefix.size());
 }
@@ -42,10 +54,12 @@
 bool Replica::apply(const wire::StoredItem& item) {
   const std::string& key = item.key;
   if (key.starts_with(wire::kRangePrefix)) {
-    RangeId id;
-    if (!wire::parse_range_key(key, id.job, id.number)) return false;
-    wire::RangeRecord record;
-    if (item.value && !decode(*item.value, record)) return false;
+    auto range_key = wire::parse_range_key(key);
+    if (!range_key) return false;
+    const RangeId id{std::move(range_key->job), range_key->number};
+    auto decoded = decode_or_empty<wire::RangeRecord>(item.value);
+    if (!decoded) return false;
+    wire::RangeRecord& record = *decoded;
     changed_jobs_.insert(id.job);
     Job& job = jobs_[id.job];
     auto old = job.ranges.find(id.number);
@@ -77,8 +91,9 @@
       if (it->second.ranges.empty()) jobs_.erase(it);
       return true;
     }
-    wire::JobRecord record;
-    if (!decode(*item.value, record)) return false;
+    auto decoded = wire::decode<wire::JobRecord>(*item.value);
+    if (!decoded) return false;
+    wire::JobRecord& record = *decoded;
     Job& job = jobs_[id];
     const bool cancelled_now = record.cancelled && !job.record.cancelled;
     if (job.known) count_job(job, -1);
@@ -104,19 +119,18 @@
     return true;
   }
   if (key.starts_with(wire::kFinalStatePrefix)) {
-    wire::FinalStateRecord record;
-    if (!item.value || !decode(*item.value, record)) return false;
-    remember_final_state(rest(key, wire::kFinalStatePrefix), record);
+    const auto record = decode_present<wire::FinalStateRecord>(item.value);
+    if (!record) return false;
+    remember_final_state(rest(key, wire::kFinalStatePrefix), *record);
     return true;
   }
   if (key.starts_with(wire::kFleetPrefix)) {
-    std::uint32_t group = 0;
-    return wire::parse_fleet_key(key, group) && apply_fleet(group, item.value);
+    const auto group = wire::parse_fleet_key(key);
+    return group && apply_fleet(*group, item.value);
   }
   if (key.starts_with(wire::kShardPrefix)) {
-    std::string who;
-    std::uint32_t group = 0;
-    return wire::parse_shard_key(key, who, group) && apply_shard(who, group, item.value);
+    const auto shard = wire::parse_shard_key(key);
+    return shard && apply_shard(shard->controller, shard->group, item.value);
   }
   if (key.starts_with(wire::kShardGuardPrefix)) return true;  // only its stamp matters
   if (key.starts_with(wire::kLivePrefix)) {
@@ -128,23 +142,24 @@
   if (key.starts_with(wire::kQuotaPrefix))
     return state_client(quotas_, rest(key, wire::kQuotaPrefix), item.value);
   if (key == wire::kViewKey) {
-    wire::ViewRecord record;
-    if (!item.value || !decode(*item.value, record)) return false;
-    view_ = std::move(record);
+    auto record = decode_present<wire::ViewRecord>(item.value);
+    if (!record) return false;
+    view_ = std::move(*record);
     view_changed_ = true;
     return true;
   }
   if (key == wire::kFormatKey) {
-    wire::FormatRecord record;
-    if (!item.value || !decode(*item.value, record)) return false;
+    const auto record = decode_present<wire::FormatRecord>(item.value);
+    if (!record) return false;
     // Records of a format that was switched on once may exist for ever.
-    format_.format = std::max(format_.format, record.format);
+    format_.format = std::max(format_.format, record->format);
     return true;
   }
   if (key == wire::kCatalogKey) {
-    std::vector<wire::MachineType> types;
-    if (!item.value || !wire::parse_catalog(*item.value, types)) return false;
-    catalog_ = std::move(types);
+    if (!item.value) return false;
+    auto types = wire::parse_catalog(*item.value);
+    if (!types) return false;
+    catalog_ = std::move(*types);
     has_catalog_ = true;
     return true;
   }
@@ -235,8 +250,9 @@
 }
 
 bool Replica::apply_fleet(std::uint32_t group, const std::optional<std::string>& value) {
-  wire::FleetRecord record;
-  if (value && !decode(*value, record)) return false;
+  const auto decoded = decode_or_empty<wire::FleetRecord>(value);
+  if (!decoded) return false;
+  const wire::FleetRecord& record = *decoded;
   const wire::FleetRecord before = std::exchange(fleet_[group], record);
   for (const auto& [id, m] : record.machines) group_of_[id] = group;
   for (const auto& [id, m] : before.machines) {
@@ -252,8 +268,9 @@
 
 bool Replica::apply_shard(const std::string& who, std::uint32_t group,
                           const std::optional<std::string>& value) {
-  wire::ShardRecord record;
-  if (value && !decode(*value, record)) return false;
+  const auto decoded = decode_or_empty<wire::ShardRecord>(value);
+  if (!decoded) return false;
+  const wire::ShardRecord& record = *decoded;
   const wire::ShardRecord before = std::exchange(shards_[{who, group}], record);
   for (const auto& [id, h] : before.machines) {
     if (record.machines.contains(id)) continue;
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -4,52 +4,52 @@
 
 namespace scheduler::wire {
 
-bool parse_object(std::string_view text, rapidjson::Document& doc) {
+bool parse_object(std::string_view text, rapidjson::Document& document) {
   // Iterative parsing: hostile nesting must not exhaust the stack.
-  doc.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(text.data(),
-                                                                                    text.size());
-  return !doc.HasParseError() && doc.IsObject();
+  document.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(
+      text.data(), text.size());
+  return !document.HasParseError() && document.IsObject();
 }
 
 const Json* member(const Json& object, const char* name) {
   if (!object.IsObject()) return nullptr;
-  auto it = object.FindMember(name);
-  if (it == object.MemberEnd() || it->value.IsNull()) return nullptr;
-  return &it->value;
+  const auto found = object.FindMember(name);
+  if (found == object.MemberEnd() || found->value.IsNull()) return nullptr;
+  return &found->value;
 }
 
 bool read(const Json& object, const char* name, std::string& out) {
-  const Json* v = member(object, name);
-  if (!v || !v->IsString()) return false;
-  out.assign(v->GetString(), v->GetStringLength());
+  const Json* value = member(object, name);
+  if (!value || !value->IsString()) return false;
+  out.assign(value->GetString(), value->GetStringLength());
   return true;
 }
 
 bool read(const Json& object, const char* name, bool& out) {
-  const Json* v = member(object, name);
-  if (!v || !v->IsBool()) return false;
-  out = v->GetBool();
+  const Json* value = member(object, name);
+  if (!value || !value->IsBool()) return false;
+  out = value->GetBool();
   return true;
 }
 
 bool read(const Json& object, const char* name, std::uint64_t& out) {
-  const Json* v = member(object, name);
-  if (!v || !v->IsUint64()) return false;
-  out = v->GetUint64();
+  const Json* value = member(object, name);
+  if (!value || !value->IsUint64()) return false;
+  out = value->GetUint64();
   return true;
 }
 
 bool read(const Json& object, const char* name, std::uint32_t& out) {
-  const Json* v = member(object, name);
-  if (!v || !v->IsUint()) return false;
-  out = v->GetUint();
+  const Json* value = member(object, name);
+  if (!value || !value->IsUint()) return false;
+  out = value->GetUint();
   return true;
 }
 
 bool read(const Json& object, const char* name, double& out) {
-  const Json* v = member(object, name);
-  if (!v || !v->IsNumber()) return false;
-  out = v->GetDouble();
+  const Json* value = member(object, name);
+  if (!value || !value->IsNumber()) return false;
+  out = value->GetDouble();
   return std::isfinite(out);
 }
 
@@ -57,44 +57,59 @@
   return read(object, name, out) && out >= 0.0;
 }
 
-void put_text(Writer& w, std::string_view value) {
-  w.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+FieldReader& FieldReader::amount(const char* field, double& out) {
+  return require(!failed() && read_amount(object_, field, out), field,
+                 "a number that is not negative");
 }
 
-void put(Writer& w, const char* name, std::string_view value) {
-  w.Key(name);
-  put_text(w, value);
+FieldReader& FieldReader::name(const char* field, std::string& out) {
+  const bool is_name =
+      !failed() && read(object_, field, out) && !out.empty() && out.size() <= kMaxNameLength;
+  return require(is_name, field, "a text of 1 to 128 bytes");
 }
 
-void put(Writer& w, const char* name, double value) {
-  w.Key(name);
-  w.Double(value);
+FieldReader& FieldReader::require(bool holds, const char* field, std::string_view expected) {
+  if (!holds && !failed()) error_ = DecodeError{field, std::string(expected)};
+  return *this;
 }
 
-void put(Writer& w, const char* name, std::uint64_t value) {
-  w.Key(name);
-  w.Uint64(value);
+std::string element_path(std::string_view array, std::size_t index) {
+  return std::string(array) + "[" + std::to_string(index) + "]";
 }
 
-void put_bool(Writer& w, const char* name, bool value) {
-  w.Key(name);
-  w.Bool(value);
+void put_text(Writer& writer, std::string_view value) {
+  writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+}
+
+void put(Writer& writer, const char* name, std::string_view value) {
+  writer.Key(name);
+  put_text(writer, value);
+}
+
+void put(Writer& writer, const char* name, double value) {
+  writer.Key(name);
+  writer.Double(value);
+}
+
+void put(Writer& writer, const char* name, std::uint64_t value) {
+  writer.Key(name);
+  writer.Uint64(value);
+}
+
+void put_bool(Writer& writer, const char* name, bool value) {
+  writer.Key(name);
+  writer.Bool(value);
 }
 
 std::string text_of(const Json& value) {
   rapidjson::StringBuffer buffer;
-  Writer w(buffer);
-  value.Accept(w);
+  Writer writer(buffer);
+  value.Accept(writer);
   return {buffer.GetString(), buffer.GetSize()};
 }
 
 std::string error_body(std::string_view reason) {
-  rapidjson::StringBuffer buffer;
-  Writer w(buffer);
-  w.StartObject();
-  put(w, "error", reason);
-  w.EndObject();
-  return {buffer.GetString(), buffer.GetSize()};
+  return object([&](Writer& writer) { put(writer, "error", reason); });
 }
 
 }  // namespace scheduler::wire
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -9,79 +9,129 @@
 constexpr std::string_view kJobPrefix = "req-";
 constexpr std::size_t kMinIdDigits = 6;
 constexpr std::size_t kMaxIdDigits = 18;
-constexpr std::size_t kMaxNameLength = 128;  // bytes of a class, team, image, type or zone name
 
-template <typename E, std::size_t N>
-bool read_job(const std::pair<std::string_view, E> (&table)[N], std::string_view text, E& out) {
-  for (const auto& [name, value] : table) {
-    if (name == text) {
-      out = value;
-      return true;
-    }
-  }
-  return false;
-}
+// A value and the name that the protocol has for it.
+template <typename Enum>
+using Named = std::pair<std::string_view, Enum>;
 
-constexpr std::pair<std::string_view, Priority> kPriorities[] = {
-    {"production", Priority::production},
-    {"high", Priority::high},
-    {"standard", Priority::normal},
-    {"low", Priority::low}};
-constexpr std::pair<std::string_view, JobShape> kShapes[] = {
+constexpr Named<Priority> kPriorities[] = {{"production", Priority::production},
+                                           {"high", Priority::high},
+                                           {"standard", Priority::normal},
+                                           {"low", Priority::low}};
+constexpr Named<JobShape> kShapes[] = {
     {"batch", JobShape::array}, {"ensemble", JobShape::gang}, {"daemon", JobShape::service}};
-constexpr std::pair<std::string_view, JobState> kJobStates[] = {{"pending", JobState::queued},
-                                                                {"running", JobState::running},
-                                                                {"done", JobState::done},
-                                                                {"withdrawn", JobState::cancelled}};
-constexpr std::pair<std::string_view, TaskState> kTaskStates[] = {
-    {"fetching", TaskState::fetching},
-    {"gathering", TaskState::waiting},
-    {"running", TaskState::running},
-    {"saving", TaskState::checkpointing},
-    {"exited", TaskState::exited}};
-constexpr std::pair<std::string_view, ExitCause> kCauses[] = {
+constexpr Named<JobState> kJobStates[] = {{"pending", JobState::queued},
+                                          {"running", JobState::running},
+                                          {"done", JobState::done},
+                                          {"withdrawn", JobState::cancelled}};
+constexpr Named<TaskState> kTaskStates[] = {{"fetching", TaskState::fetching},
+                                            {"gathering", TaskState::waiting},
+                                            {"running", TaskState::running},
+                                            {"saving", TaskState::checkpointing},
+                                            {"exited", TaskState::exited}};
+constexpr Named<ExitCause> kCauses[] = {
     {"done", ExitCause::done},   {"stopped", ExitCause::stopped}, {"peers", ExitCause::peers},
     {"alone", ExitCause::alone}, {"error", ExitCause::error},     {"no_room", ExitCause::no_room},
     {"busy", ExitCause::busy},   {"no_such", ExitCause::unknown}};
-constexpr std::pair<std::string_view, CloudState> kCloudStates[] = {
-    {"starting", CloudState::booting},
-    {"running", CloudState::running},
-    {"failed", CloudState::failed}};
-
-template <typename E, std::size_t N>
-std::string_view name_of(const std::pair<std::string_view, E> (&table)[N], E value) {
-  for (const auto& [name, v] : table) {
-    if (v == value) return name;
+constexpr Named<CloudState> kCloudStates[] = {{"starting", CloudState::booting},
+                                              {"running", CloudState::running},
+                                              {"failed", CloudState::failed}};
+
+template <typename Enum, std::size_t kSize>
+std::string_view name_of(const Named<Enum> (&table)[kSize], Enum value) {
+  for (const auto& [name, named] : table) {
+    if (named == value) return name;
   }
   return "";
 }
 
-template <typename E, std::size_t N>
-bool read_enum(const Json& o, const char* field, const std::pair<std::string_view, E> (&table)[N],
-               E& out) {
-  const Json* v = member(o, field);
-  return v && v->IsString() && read_job(table, {v->GetString(), v->GetStringLength()}, out);
+template <typename Enum, std::size_t kSize>
+std::optional<Enum> find_in_table(const Named<Enum> (&table)[kSize], std::string_view text) {
+  for (const auto& [name, value] : table) {
+    if (name == text) return value;
+  }
+  return std::nullopt;
+}
+
+// "one of a, b, c", for errors.
+template <typename Enum, std::size_t kSize>
+std::string one_of(const Named<Enum> (&table)[kSize]) {
+  std::string names;
+  for (const auto& [name, value] : table)
+    names.append(names.empty() ? "one of " : ", ").append(name);
+  return names;
+}
+
+// Reads a required field whose value is one of the table's names.
+template <typename Enum, std::size_t kSize>
+void read_enum(FieldReader& fields, const Json& object, const char* field,
+               const Named<Enum> (&table)[kSize], Enum& out) {
+  if (fields.failed()) return;
+  const Json* text = member(object, field);
+  std::optional<Enum> value;
+  if (text && text->IsString())
+    value = find_in_table(table, {text->GetString(), text->GetStringLength()});
+  if (value) {
+    out = *value;
+  } else {
+    fields.require(false, field, one_of(table));
+  }
 }
 
-bool read_name(const Json& o, const char* field, std::string& out) {
-  return read(o, field, out) && !out.empty() && out.size() <= kMaxNameLength;
+// Parses a message; what is no JSON object is its error.
+std::optional<DecodeError> parse_message(std::string_view body, rapidjson::Document& document) {
+  if (parse_object(body, document)) return std::nullopt;
+  return DecodeError{"", "a JSON object"};
 }
 
-void write_commands(Writer& w, const std::vector<Command>& commands) {
-  w.Key("orders");
-  w.StartArray();
-  for (const Command& c : commands) {
-    w.StartObject();
-    put(w, "verb",
-        c.kind == CommandKind::start  ? "start"
-        : c.kind == CommandKind::stop ? "halt"
-                                      : "clear");
-    put(w, "load", task_name(c.task.job, c.task.index));
-    put(w, "try", c.attempt);
-    if (c.kind == CommandKind::stop) put(w, "leewayS", c.grace_s);
-    w.EndObject();
+// The texts of an array, which is the member `field` of an object.
+Decoded<std::vector<std::string>> read_texts(const Json& object, const char* field) {
+  const Json* texts = member(object, field);
+  if (!texts || !texts->IsArray()) return decode_error(field, "a list of texts");
+  std::vector<std::string> read;
+  for (const Json& text : texts->GetArray()) {
+    if (!text.IsString()) return decode_error(element_path(field, read.size()), "a text");
+    read.emplace_back(text.GetString(), text.GetStringLength());
   }
-  w.EndArray();
+  return read;
+}
+
+void write_commands(Writer& writer, const std::vector<Command>& commands) {
+  writer.Key("orders");
+  writer.StartArray();
+  for (const Command& command : commands) {
+    writer.StartObject();
+    put(writer, "verb",
+        command.kind == CommandKind::start  ? "start"
+        : command.kind == CommandKind::stop ? "halt"
+                                            : "clear");
+    put(writer, "load", task_name(command.task.job, command.task.index));
+    put(writer, "try", command.attempt);
+    if (command.kind == CommandKind::stop) put(writer, "leewayS", command.grace_s);
+    writer.EndObject();
+  }
+  writer.EndArray();
+}
+
+constexpr const char* kMissingOrInvalid = "is missing or invalid";
+constexpr const char* kInvalid = "is invalid";
+
+tl::unexpected<JobSpecError> job_error(std::string field, std::string reason) {
+  return tl::unexpected(JobSpecError{std::move(field), std::move(reason)});
+}
+
+// The machine types that a job may run on; none: any.
+std::optional<std::vector<std::string>> read_job_types(const Json& object) {
+  std::vector<std::string> types;
+  const Json* names = member(object, "fleets");
+  if (!names) return types;
+  if (!names->IsArray() || names->Empty()) return std::nullopt;
+  for (const Json& name : names->GetArray()) {
+    if (!name.IsString() || name.GetStringLength() == 0 || name.GetStringLength() > kMaxNameLength)
+      return std::nullopt;
+    types.emplace_back(name.GetString(), name.GetStringLength());
+  }
+  return types;
 }
 
 }  // namespace
@@ -93,94 +143,91 @@
   return std::all_of(id.begin(), id.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-std::string parse_job(std::string_view body, JobSpec& out) {
-  rapidjson::Document doc;
-  if (!parse_object(body, doc)) return "body is not a JSON object";
-  return parse_job(static_cast<const Json&>(doc), out);
+tl::expected<JobSpec, JobSpecError> parse_job(std::string_view body) {
+  rapidjson::Document document;
+  if (!parse_object(body, document)) return job_error("body", "is not a JSON object");
+  return parse_job(static_cast<const Json&>(document));
 }
 
-std::string parse_job(const Json& o, JobSpec& out) {
-  if (!read(o, "id", out.id) || !valid_job_id(out.id)) return "id is missing or invalid";
-  if (!read_name(o, "queue", out.job_class)) return "queue is missing or invalid";
-  if (!read_name(o, "crew", out.team)) return "crew is missing or invalid";
-  if (!read_enum(o, "shape", kShapes, out.shape)) return "shape is missing or invalid";
-  if (!read_enum(o, "rank", kPriorities, out.priority)) return "rank is missing or invalid";
-  if (!read(o, "loads", out.tasks) || out.tasks == 0 || out.tasks > kMaxTasks)
-    return "loads is missing or invalid";
-  if (!read_amount(o, "cpus", out.cpus)) return "cpus is missing or invalid";
-  if (!read_amount(o, "gpus", out.gpus)) return "gpus is missing or invalid";
-  if (!read_amount(o, "memGb", out.memory_gb)) return "memGb is missing or invalid";
-  if (!read_name(o, "kit", out.image)) return "kit is missing or invalid";
-  if (!read_amount(o, "pullGb", out.image_gb)) return "pullGb is missing or invalid";
-  out.types.clear();
-  if (const Json* types = member(o, "fleets")) {
-    if (!types->IsArray() || types->Empty()) return "fleets is invalid";
-    for (const Json& t : types->GetArray()) {
-      if (!t.IsString() || t.GetStringLength() == 0 || t.GetStringLength() > kMaxNameLength)
-        return "fleets is invalid";
-      out.types.emplace_back(t.GetString(), t.GetStringLength());
-    }
-  }
-  out.zone.clear();
-  if (member(o, "yard") && !read_name(o, "yard", out.zone)) return "yard is invalid";
-  if (!read(o, "together", out.one_zone)) return "together is missing or invalid";
-  if (!read(o, "scatter", out.spread)) return "scatter is missing or invalid";
-  if (!read(o, "standby", out.spot)) return "standby is missing or invalid";
-  if (!read_amount(o, "haulS", out.estimate_s)) return "haulS is missing or invalid";
-  if (out.is_service() && out.estimate_s != 0) return "haulS of a daemon must be 0";
-  if (!read_amount(o, "tipS", out.checkpoint_interval_s)) return "tipS is missing or invalid";
-  if (!read_amount(o, "stowS", out.checkpoint_write_s)) return "stowS is missing or invalid";
-  out.deadline_s.reset();
-  if (member(o, "dueS")) {
-    double due = 0;
-    if (!read_amount(o, "dueS", due)) return "dueS is invalid";
-    out.deadline_s = due;
-  }
-  return "";
+// The order of the checks decides which of several errors the user is told.
+tl::expected<JobSpec, JobSpecError> parse_job(const Json& object) {
+  JobSpec job;
+  FieldReader fields(object);
+  const auto missing_or_invalid = [&] {
+    return job_error(fields.error().field, kMissingOrInvalid);
+  };
+  fields.required("id", job.id).require(valid_job_id(job.id), "id", "a job id");
+  fields.name("queue", job.job_class).name("crew", job.team);
+  read_enum(fields, object, "shape", kShapes, job.shape);
+  read_enum(fields, object, "rank", kPriorities, job.priority);
+  fields.required("loads", job.tasks)
+      .require(job.tasks > 0 && job.tasks <= kMaxTasks, "loads", "a number of tasks")
+      .amount("cpus", job.cpus)
+      .amount("gpus", job.gpus)
+      .amount("memGb", job.memory_gb)
+      .name("kit", job.image)
+      .amount("pullGb", job.image_gb);
+  if (fields.failed()) return missing_or_invalid();
+  auto types = read_job_types(object);
+  if (!types) return job_error("fleets", kInvalid);
+  job.types = std::move(*types);
+  if (member(object, "yard") && fields.name("yard", job.zone).failed())
+    return job_error("yard", kInvalid);
+  fields.required("together", job.one_zone)
+      .required("scatter", job.spread)
+      .required("standby", job.spot)
+      .amount("haulS", job.estimate_s);
+  if (fields.failed()) return missing_or_invalid();
+  if (job.is_service() && job.estimate_s != 0) return job_error("haulS", "of a daemon must be 0");
+  fields.amount("tipS", job.checkpoint_interval_s).amount("stowS", job.checkpoint_write_s);
+  if (fields.failed()) return missing_or_invalid();
+  if (member(object, "dueS") && fields.amount("dueS", job.deadline_s.emplace()).failed())
+    return job_error("dueS", kInvalid);
+  return job;
 }
 
-void write_job_fields(Writer& w, const JobSpec& job) {
-  put(w, "id", job.id);
-  put(w, "queue", job.job_class);
-  put(w, "crew", job.team);
-  put(w, "shape", name_of(kShapes, job.shape));
-  put(w, "rank", name_of(kPriorities, job.priority));
-  put(w, "loads", std::uint64_t{job.tasks});
-  put(w, "cpus", job.cpus);
-  put(w, "gpus", job.gpus);
-  put(w, "memGb", job.memory_gb);
-  put(w, "kit", job.image);
-  put(w, "pullGb", job.image_gb);
+void write_job_fields(Writer& writer, const JobSpec& job) {
+  put(writer, "id", job.id);
+  put(writer, "queue", job.job_class);
+  put(writer, "crew", job.team);
+  put(writer, "shape", name_of(kShapes, job.shape));
+  put(writer, "rank", name_of(kPriorities, job.priority));
+  put(writer, "loads", std::uint64_t{job.tasks});
+  put(writer, "cpus", job.cpus);
+  put(writer, "gpus", job.gpus);
+  put(writer, "memGb", job.memory_gb);
+  put(writer, "kit", job.image);
+  put(writer, "pullGb", job.image_gb);
   if (!job.types.empty()) {
-    w.Key("fleets");
-    w.StartArray();
-    for (const auto& t : job.types) put_text(w, t);
-    w.EndArray();
+    writer.Key("fleets");
+    writer.StartArray();
+    for (const auto& type : job.types) put_text(writer, type);
+    writer.EndArray();
   }
-  if (!job.zone.empty()) put(w, "yard", job.zone);
-  put_bool(w, "together", job.one_zone);
-  put_bool(w, "scatter", job.spread);
-  put_bool(w, "standby", job.spot);
-  put(w, "haulS", job.estimate_s);
-  put(w, "tipS", job.checkpoint_interval_s);
-  put(w, "stowS", job.checkpoint_write_s);
-  if (job.deadline_s) put(w, "dueS", *job.deadline_s);
+  if (!job.zone.empty()) put(writer, "yard", job.zone);
+  put_bool(writer, "together", job.one_zone);
+  put_bool(writer, "scatter", job.spread);
+  put_bool(writer, "standby", job.spot);
+  put(writer, "haulS", job.estimate_s);
+  put(writer, "tipS", job.checkpoint_interval_s);
+  put(writer, "stowS", job.checkpoint_write_s);
+  if (job.deadline_s) put(writer, "dueS", *job.deadline_s);
 }
 
 std::string job_state_body(std::string_view id, JobState state) {
-  return object([&](Writer& w) {
-    put(w, "id", id);
-    put(w, "status", name_of(kJobStates, state));
+  return object([&](Writer& writer) {
+    put(writer, "id", id);
+    put(writer, "status", name_of(kJobStates, state));
   });
 }
 
 std::string job_status_body(std::string_view id, JobState state, std::uint64_t done,
                             std::uint64_t running) {
-  return object([&](Writer& w) {
-    put(w, "id", id);
-    put(w, "status", name_of(kJobStates, state));
-    put(w, "done", done);
-    put(w, "running", running);
+  return object([&](Writer& writer) {
+    put(writer, "id", id);
+    put(writer, "status", name_of(kJobStates, state));
+    put(writer, "done", done);
+    put(writer, "running", running);
   });
 }
 
@@ -188,151 +235,173 @@
   return std::string(job) + "/" + std::to_string(index);
 }
 
-bool parse_task_name(std::string_view text, TaskId& out) {
+Decoded<TaskId> parse_task_name(std::string_view text) {
+  const auto malformed = [] { return decode_error("", "a task's name, JOB/INDEX"); };
   const auto slash = text.find('/');
-  if (slash == std::string_view::npos) return false;
+  if (slash == std::string_view::npos) return malformed();
   const auto job = text.substr(0, slash);
   const auto number = text.substr(slash + 1);
-  if (!valid_job_id(job) || number.empty()) return false;
-  auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), out.index);
-  if (error != std::errc{} || end != number.data() + number.size()) return false;
-  out.job = job;
-  return true;
+  if (!valid_job_id(job) || number.empty()) return malformed();
+  TaskId task;
+  auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), task.index);
+  if (error != std::errc{} || end != number.data() + number.size()) return malformed();
+  task.job = job;
+  return task;
+}
+
+namespace {
+
+Decoded<TaskStatus> read_task_status(const Json& object) {
+  TaskStatus status;
+  std::string name;
+  FieldReader fields(object);
+  if (fields.required("load", name).failed()) return tl::unexpected(fields.error());
+  auto task = parse_task_name(name);
+  if (!task) return tl::unexpected(task.error().within("load"));
+  status.task = std::move(*task);
+  fields.required("try", status.attempt);
+  read_enum(fields, object, "status", kTaskStates, status.state);
+  if (status.state == TaskState::exited) read_enum(fields, object, "cause", kCauses, status.cause);
+  if (member(object, "saved")) fields.required("saved", status.checkpointed);
+  if (fields.failed()) return tl::unexpected(fields.error());
+  return status;
 }
 
-bool parse_heartbeat(std::string_view body, Heartbeat& out) {
-  rapidjson::Document doc;
-  if (!parse_object(body, doc)) return false;
-  if (!read_name(doc, "rig", out.machine) || !read_name(doc, "endpoint", out.address) ||
-      !read_name(doc, "fleet", out.type) || !read_name(doc, "yard", out.zone) ||
-      !read(doc, "standby", out.spot) || !read(doc, "shift", out.incarnation) ||
-      !read(doc, "tally", out.sequence) || !read(doc, "baton", out.token))
-    return false;
-  out.preemption_notice_s.reset();
-  if (member(doc, "warningS")) {
+}  // namespace
+
+Decoded<Heartbeat> parse_heartbeat(std::string_view body) {
+  rapidjson::Document document;
+  if (auto error = parse_message(body, document)) return tl::unexpected(std::move(*error));
+  Heartbeat heartbeat;
+  FieldReader fields(document);
+  fields.name("rig", heartbeat.machine)
+      .name("endpoint", heartbeat.address)
+      .name("fleet", heartbeat.type)
+      .name("yard", heartbeat.zone)
+      .required("standby", heartbeat.spot)
+      .required("shift", heartbeat.incarnation)
+      .required("tally", heartbeat.sequence)
+      .required("baton", heartbeat.token);
+  if (member(document, "warningS")) {
     double notice = 0;
-    if (!read(doc, "warningS", notice)) return false;
-    out.preemption_notice_s = std::max(0.0, notice);
+    fields.required("warningS", notice);
+    heartbeat.preemption_notice_s = std::max(0.0, notice);
   }
-  out.tasks.clear();
-  const Json* loads = member(doc, "loads");
-  if (!loads) return true;
-  if (!loads->IsArray()) return false;
-  for (const Json& l : loads->GetArray()) {
-    TaskStatus t;
-    std::string name;
-    if (!read(l, "load", name) || !parse_task_name(name, t.task) || !read(l, "try", t.attempt) ||
-        !read_enum(l, "status", kTaskStates, t.state))
-      return false;
-    if (t.state == TaskState::exited && !read_enum(l, "cause", kCauses, t.cause)) return false;
-    if (member(l, "saved") && !read(l, "saved", t.checkpointed)) return false;
-    out.tasks.push_back(std::move(t));
+  if (fields.failed()) return tl::unexpected(fields.error());
+  const Json* loads = member(document, "loads");
+  if (!loads) return heartbeat;
+  if (!loads->IsArray()) return decode_error("loads", "a list of tasks");
+  for (const Json& load : loads->GetArray()) {
+    auto status = read_task_status(load);
+    if (!status)
+      return tl::unexpected(status.error().within(element_path("loads", heartbeat.tasks.size())));
+    heartbeat.tasks.push_back(std::move(*status));
   }
-  return true;
+  return heartbeat;
 }
 
 std::string heartbeat_reply(std::uint64_t token, const std::vector<Command>& commands) {
-  return object([&](Writer& w) {
-    put(w, "baton", token);
-    write_commands(w, commands);
+  return object([&](Writer& writer) {
+    put(writer, "baton", token);
+    write_commands(writer, commands);
   });
 }
 
 std::string commands_body(std::uint64_t token, std::uint64_t incarnation,
                           const std::vector<Command>& commands) {
-  return object([&](Writer& w) {
-    put(w, "baton", token);
-    put(w, "shift", incarnation);
-    write_commands(w, commands);
+  return object([&](Writer& writer) {
+    put(writer, "baton", token);
+    put(writer, "shift", incarnation);
+    write_commands(writer, commands);
   });
 }
 
 std::string redirect_body(std::string_view controller) {
-  return object([&](Writer& w) { put(w, "dispatcher", controller); });
+  return object([&](Writer& writer) { put(writer, "dispatcher", controller); });
 }
 
-bool parse_catalog(std::string_view body, std::vector<MachineType>& out) {
-  rapidjson::Document doc;
-  if (!parse_object(body, doc)) return false;
-  const Json* types = member(doc, "fleets");
-  if (!types || !types->IsArray()) return false;
-  out.clear();
-  for (const Json& t : types->GetArray()) {
-    MachineType m;
-    if (!read_name(t, "label", m.name) || !read_amount(t, "cpus", m.cpus) ||
-        !read_amount(t, "memGb", m.memory_gb))
-      return false;
-    read_amount(t, "gpus", m.gpus);
-    read_amount(t, "localGb", m.cache_gb);
-    read_amount(t, "fetchGbPerS", m.fetch_gb_per_s);
-    read_amount(t, "rate", m.price);
-    read_amount(t, "marketPrice", m.spot_price);
-    read_amount(t, "readyS", m.boot_s);
-    const Json* zones = member(t, "yards");
-    if (!zones || !zones->IsArray()) return false;
-    for (const Json& z : zones->GetArray()) {
-      if (!z.IsString()) return false;
-      m.zones.emplace_back(z.GetString(), z.GetStringLength());
-    }
-    out.push_back(std::move(m));
+namespace {
+
+Decoded<MachineType> read_machine_type(const Json& object) {
+  MachineType type;
+  FieldReader fields(object);
+  fields.name("label", type.name).amount("cpus", type.cpus).amount("memGb", type.memory_gb);
+  if (fields.failed()) return tl::unexpected(fields.error());
+  read_amount(object, "gpus", type.gpus);
+  read_amount(object, "localGb", type.cache_gb);
+  read_amount(object, "fetchGbPerS", type.fetch_gb_per_s);
+  read_amount(object, "rate", type.price);
+  read_amount(object, "marketPrice", type.spot_price);
+  read_amount(object, "readyS", type.boot_s);
+  auto zones = read_texts(object, "yards");
+  if (!zones) return tl::unexpected(zones.error());
+  type.zones = std::move(*zones);
+  return type;
+}
+
+}  // namespace
+
+Decoded<std::vector<MachineType>> parse_catalog(std::string_view body) {
+  rapidjson::Document document;
+  if (auto error = parse_message(body, document)) return tl::unexpected(std::move(*error));
+  const Json* entries = member(document, "fleets");
+  if (!entries || !entries->IsArray()) return decode_error("fleets", "a list of machine types");
+  std::vector<MachineType> types;
+  for (const Json& entry : entries->GetArray()) {
+    auto type = read_machine_type(entry);
+    if (!type) return tl::unexpected(type.error().within(element_path("fleets", types.size())));
+    types.push_back(std::move(*type));
   }
-  return true;
+  return types;
 }
 
 std::string catalog_body(const std::vector<MachineType>& types) {
-  return object([&](Writer& w) {
-    w.Key("fleets");
-    w.StartArray();
-    for (const MachineType& m : types) {
-      w.StartObject();
-      put(w, "label", m.name);
-      put(w, "cpus", m.cpus);
-      put(w, "gpus", m.gpus);
-      put(w, "memGb", m.memory_gb);
-      put(w, "localGb", m.cache_gb);
-      put(w, "fetchGbPerS", m.fetch_gb_per_s);
-      put(w, "rate", m.price);
-      put(w, "marketPrice", m.spot_price);
-      put(w, "readyS", m.boot_s);
-      w.Key("yards");
-      w.StartArray();
-      for (const auto& z : m.zones) put_text(w, z);
-      w.EndArray();
-      w.EndObject();
+  return object([&](Writer& writer) {
+    writer.Key("fleets");
+    writer.StartArray();
+    for (const MachineType& type : types) {
+      writer.StartObject();
+      put(writer, "label", type.name);
+      put(writer, "cpus", type.cpus);
+      put(writer, "gpus", type.gpus);
+      put(writer, "memGb", type.memory_gb);
+      put(writer, "localGb", type.cache_gb);
+      put(writer, "fetchGbPerS", type.fetch_gb_per_s);
+      put(writer, "rate", type.price);
+      put(writer, "marketPrice", type.spot_price);
+      put(writer, "readyS", type.boot_s);
+      writer.Key("yards");
+      writer.StartArray();
+      for (const auto& zone : type.zones) put_text(writer, zone);
+      writer.EndArray();
+      writer.EndObject();
     }
-    w.EndArray();
+    writer.EndArray();
   });
 }
 
-std::string scale_out_body(const ScaleOutRequest& r) {
-  return object([&](Writer& w) {
-    put(w, "hire", r.name);
-    put(w, "fleet", r.type);
-    put(w, "yard", r.zone);
-    put_bool(w, "standby", r.spot);
-    put(w, "number", std::uint64_t{r.count});
+std::string scale_out_body(const ScaleOutRequest& request) {
+  return object([&](Writer& writer) {
+    put(writer, "hire", request.name);
+    put(writer, "fleet", request.type);
+    put(writer, "yard", request.zone);
+    put_bool(writer, "standby", request.spot);
+    put(writer, "number", std::uint64_t{request.count});
   });
 }
 
-bool parse_scale_out_reply(std::string_view body, std::vector<std::string>& machines) {
-  rapidjson::Document doc;
-  if (!parse_object(body, doc)) return false;
-  const Json* rigs = member(doc, "rigs");
-  if (!rigs || !rigs->IsArray()) return false;
-  machines.clear();
-  for (const Json& r : rigs->GetArray()) {
-    if (!r.IsString()) return false;
-    machines.emplace_back(r.GetString(), r.GetStringLength());
-  }
-  return true;
+Decoded<std::vector<std::string>> parse_scale_out_reply(std::string_view body) {
+  rapidjson::Document document;
+  if (auto error = parse_message(body, document)) return tl::unexpected(std::move(*error));
+  return read_texts(document, "rigs");
 }
 
 std::string scale_in_body(const std::vector<std::string>& machines) {
-  return object([&](Writer& w) {
-    w.Key("rigs");
-    w.StartArray();
-    for (const auto& m : machines) put_text(w, m);
-    w.EndArray();
+  return object([&](Writer& writer) {
+    writer.Key("rigs");
+    writer.StartArray();
+    for (const auto& machine : machines) put_text(writer, machine);
+    writer.EndArray();
   });
 }
 
@@ -340,22 +409,41 @@
   return "/hosts?after=" + std::string(after) + "&most=" + std::to_string(most);
 }
 
-bool parse_machine_list(std::string_view body, std::vector<CloudMachine>& out, bool& more) {
-  rapidjson::Document doc;
-  if (!parse_object(body, doc) || !read(doc, "hasNext", more)) return false;
-  const Json* rigs = member(doc, "rigs");
-  if (!rigs || !rigs->IsArray()) return false;
-  for (const Json& r : rigs->GetArray()) {
-    CloudMachine m;
-    if (!read_name(r, "id", m.id) || !read_name(r, "fleet", m.type) ||
-        !read_name(r, "yard", m.zone) || !read(r, "standby", m.spot) ||
-        !read_enum(r, "status", kCloudStates, m.state))
-      return false;
-    read(r, "endpoint", m.address);
-    read_amount(r, "heldS", m.held_s);
-    out.push_back(std::move(m));
+namespace {
+
+Decoded<CloudMachine> read_cloud_machine(const Json& object) {
+  CloudMachine machine;
+  FieldReader fields(object);
+  fields.name("id", machine.id)
+      .name("fleet", machine.type)
+      .name("yard", machine.zone)
+      .required("standby", machine.spot);
+  read_enum(fields, object, "status", kCloudStates, machine.state);
+  if (fields.failed()) return tl::unexpected(fields.error());
+  read(object, "endpoint", machine.address);
+  read_amount(object, "heldS", machine.held_s);
+  return machine;
+}
+
+}  // namespace
+
+Decoded<MachineListPage> parse_machine_list(std::string_view body) {
+  rapidjson::Document document;
+  if (auto error = parse_message(body, document)) return tl::unexpected(std::move(*error));
+  MachineListPage page;
+  FieldReader fields(document);
+  if (fields.required("hasNext", page.more).failed()) return tl::unexpected(fields.error());
+  const Json* rigs = member(document, "rigs");
+  if (!rigs || !rigs->IsArray()) return decode_error("rigs", "a list of machines");
+  for (const Json& rig : rigs->GetArray()) {
+    auto machine = read_cloud_machine(rig);
+    if (!machine) {
+      page.unreadable = machine.error().within(element_path("rigs", page.machines.size()));
+      break;
+    }
+    page.machines.push_back(std::move(*machine));
   }
-  return true;
+  return page;
 }
 
 }  // namespace scheduler::wire
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -1,5 +1,6 @@
 #include "wire/peer.h"
 
+#include <optional>
 #include <utility>
 
 #include "wire/cbor.h"
@@ -11,15 +12,17 @@
 using cbor::Item;
 
 // Keys of the messages: a format between versions.
-constexpr std::string_view kRelayKey = "relay";  // of requests and answers only
-constexpr std::uint64_t kRelayAnswerTag = 0xff;  // of kRelayKey; requests have their kind
+constexpr std::string_view kRelayKey = "relay";  // of relayed messages only
+constexpr std::uint64_t kRelayReplyTag = 0xff;   // of kRelayKey; requests have their kind
 constexpr std::string_view kRowsKey = "links";
 constexpr std::string_view kCancelledKey = "cancelled";
-// Rows of a hint, and entries of a row, that are taken in; the rest of a longer list is ignored.
+// Rows of a gossip message, and entries of a row, that are taken in; the rest of a longer list is
+// ignored.
 constexpr std::size_t kMostRows = 16;
 constexpr std::size_t kMostEntries = 16;
 constexpr std::size_t kMostCancelled = 64;
-constexpr std::size_t kZoneParts = 3;  // of a zone in a row: both directions, and when it was heard
+constexpr std::size_t kZoneParts =
+    3;  // of a zone in a row: both directions, and the last heartbeat
 
 Item number(std::uint64_t value) { return Item(cbor_build_uint64(value)); }
 Item status(LinkStatus value) { return number(static_cast<std::uint64_t>(value)); }
@@ -53,10 +56,38 @@
   return map;
 }
 
-bool decode_row(const cbor_item_t* map, LinkRow& row) {
+// Reads the required entries of one map, one after the other. The first that is wrong is the error;
+// entries asked for after it are left alone.
+class EntryReader {
+ public:
+  explicit EntryReader(const cbor_item_t* map) : map_(map) {}
+
+  template <typename Value>
+  EntryReader& required(std::string_view key, Value& out) {
+    if (!failed() && !cbor::read(map_, key, out))
+      error_ = DecodeError{std::string(key), expected_of(out)};
+    return *this;
+  }
+  bool failed() const { return error_.has_value(); }
+  // Only if `failed()`.
+  const DecodeError& error() const { return *error_; }
+
+ private:
+  static const char* expected_of(const std::string&) { return "a text"; }
+  static const char* expected_of(bool) { return "true or false"; }
+  static const char* expected_of(std::uint64_t) { return "a whole number that is not negative"; }
+  static const char* expected_of(double) { return "a finite number"; }
+
+  const cbor_item_t* map_;
+  std::optional<DecodeError> error_;
+};
+
+// None if its name, its time or a list is not what it should be.
+std::optional<LinkRow> decode_row(const cbor_item_t* map) {
+  LinkRow row;
   if (!cbor_isa_map(map) || !cbor::read(map, "name", row.controller) ||
       !cbor::read(map, "at", row.as_of_ms))
-    return false;
+    return std::nullopt;
   row.state = status_of(cbor::find(map, "state"));
   row.cloud = status_of(cbor::find(map, "cloud"));
   cbor::read(map, "relays", row.relays);
@@ -64,14 +95,16 @@
     if (row.heard.size() < kMostEntries) row.heard[peer] = status_of(link);
     return true;
   });
-  return heard && cbor::each_entry(map, "workers", [&](const auto& zone, const auto* parts) {
-           if (!cbor_isa_array(parts) || cbor_array_size(parts) < kZoneParts) return false;
-           cbor_item_t* const* part = cbor_array_handle(parts);
-           if (row.workers.size() < kMostEntries)
-             row.workers[zone] = {status_of(part[0]), status_of(part[1]),
-                                  cbor::as_number(part[2]).value_or(0)};
-           return true;
-         });
+  const bool workers = cbor::each_entry(map, "workers", [&](const auto& zone, const auto* parts) {
+    if (!cbor_isa_array(parts) || cbor_array_size(parts) < kZoneParts) return false;
+    cbor_item_t* const* part = cbor_array_handle(parts);
+    if (row.workers.size() < kMostEntries)
+      row.workers[zone] = {status_of(part[0]), status_of(part[1]),
+                           cbor::as_number(part[2]).value_or(0)};
+    return true;
+  });
+  if (!heard || !workers) return std::nullopt;
+  return row;
 }
 
 void add_links(cbor_item_t* map, const GossipMessage& gossip_message) {
@@ -87,13 +120,13 @@
   }
 }
 
-// What can't be read of these is left out: the rest of the hint is as good without.
+// What can't be read of these is left out: the rest of the gossip message is as good without.
 void read_links(const cbor_item_t* map, GossipMessage& gossip_message) {
   const bool rows = cbor::each_element(map, kRowsKey, [&](const cbor_item_t* element) {
-    LinkRow row;
-    if (!decode_row(element, row)) return false;
-    if (gossip_message.links.size() < kMostRows) gossip_message.links.push_back(std::move(row));
-    return true;
+    auto row = decode_row(element);
+    if (row && gossip_message.links.size() < kMostRows)
+      gossip_message.links.push_back(std::move(*row));
+    return row.has_value();
   });
   if (!rows) gossip_message.links.clear();
   cbor::each_element(map, kCancelledKey, [&](const cbor_item_t* element) {
@@ -104,17 +137,45 @@
   });
 }
 
-bool read_gossip(const cbor_item_t* map, GossipMessage& gossip_message) {
-  gossip_message.links.clear();
-  gossip_message.cancelled.clear();
-  const bool complete = cbor::read(map, "from", gossip_message.from) &&
-                        cbor::read(map, "incarnation", gossip_message.incarnation) &&
-                        cbor::read(map, "epoch", gossip_message.epoch) &&
-                        cbor::read(map, "state", gossip_message.state_answers) &&
-                        cbor::read(map, "free", gossip_message.free_cpus) &&
-                        cbor::read(map, "sent", gossip_message.sent_ms);
-  if (complete) read_links(map, gossip_message);
-  return complete;
+Decoded<GossipMessage> read_gossip(const cbor_item_t* map) {
+  GossipMessage gossip_message;
+  EntryReader entries(map);
+  entries.required("from", gossip_message.from)
+      .required("incarnation", gossip_message.incarnation)
+      .required("epoch", gossip_message.epoch)
+      .required("state", gossip_message.state_answers)
+      .required("free", gossip_message.free_cpus)
+      .required("sent", gossip_message.sent_ms);
+  if (entries.failed()) return tl::unexpected(entries.error());
+  read_links(map, gossip_message);
+  return gossip_message;
+}
+
+Decoded<RelayReply> read_relay_reply(const cbor_item_t* map) {
+  RelayReply reply;
+  EntryReader entries(map);
+  entries.required("from", reply.from)
+      .required("id", reply.id)
+      .required("status", reply.status)
+      .required("body", reply.body);
+  if (entries.failed()) return tl::unexpected(entries.error());
+  return reply;
+}
+
+Decoded<RelayRequest> read_relay_request(const cbor_item_t* map, std::uint64_t kind) {
+  if (kind != static_cast<std::uint64_t>(RelayKind::command) &&
+      kind != static_cast<std::uint64_t>(RelayKind::heartbeat))
+    return decode_error(std::string(kRelayKey), "a kind of relayed message");
+  RelayRequest request;
+  request.kind = static_cast<RelayKind>(kind);
+  EntryReader entries(map);
+  entries.required("from", request.from)
+      .required("id", request.id)
+      .required("sent", request.sent_ms)
+      .required("address", request.address)
+      .required("body", request.body);
+  if (entries.failed()) return tl::unexpected(entries.error());
+  return request;
 }
 
 }  // namespace
@@ -147,49 +208,32 @@
   return cbor::bytes_of(map);
 }
 
-std::string encode(const RelayReply& answer) {
+std::string encode(const RelayReply& reply) {
   constexpr std::size_t kKeys = 5;
   Item map(cbor_new_definite_map(kKeys));
-  cbor::add(map.get(), kRelayKey, number(kRelayAnswerTag));
-  cbor::add(map.get(), "from", cbor::text(answer.from));
-  cbor::add(map.get(), "id", number(answer.id));
-  cbor::add(map.get(), "status", number(answer.status));
-  cbor::add(map.get(), "body", cbor::text(answer.body));
+  cbor::add(map.get(), kRelayKey, number(kRelayReplyTag));
+  cbor::add(map.get(), "from", cbor::text(reply.from));
+  cbor::add(map.get(), "id", number(reply.id));
+  cbor::add(map.get(), "status", number(reply.status));
+  cbor::add(map.get(), "body", cbor::text(reply.body));
   return cbor::bytes_of(map);
 }
 
-bool decode(std::string_view bytes, GossipMessage& gossip_message) {
+template <>
+Decoded<GossipMessage> decode<GossipMessage>(std::string_view bytes) {
   const Item map = cbor::parse_map(bytes);
-  return map && read_gossip(map.get(), gossip_message);
+  if (!map) return decode_error("", "a CBOR map");
+  return read_gossip(map.get());
 }
 
-PeerMessage decode_peer_message(std::string_view bytes) {
-  const Item item = cbor::parse_map(bytes);
-  if (!item) return {};
-  const cbor_item_t* map = item.get();
+template <>
+Decoded<PeerMessage> decode<PeerMessage>(std::string_view bytes) {
+  const Item map = cbor::parse_map(bytes);
+  if (!map) return decode_error("", "a CBOR map");
   std::uint64_t kind = 0;
-  if (!cbor::read(map, kRelayKey, kind)) {
-    GossipMessage gossip_message;
-    return read_gossip(map, gossip_message) ? PeerMessage(std::move(gossip_message))
-                                            : PeerMessage();
-  }
-  if (kind == kRelayAnswerTag) {
-    RelayReply answer;
-    const bool complete =
-        cbor::read(map, "from", answer.from) && cbor::read(map, "id", answer.id) &&
-        cbor::read(map, "status", answer.status) && cbor::read(map, "body", answer.body);
-    return complete ? PeerMessage(std::move(answer)) : PeerMessage();
-  }
-  RelayRequest request;
-  if (kind != static_cast<std::uint64_t>(RelayKind::command) &&
-      kind != static_cast<std::uint64_t>(RelayKind::heartbeat))
-    return {};
-  request.kind = static_cast<RelayKind>(kind);
-  const bool complete =
-      cbor::read(map, "from", request.from) && cbor::read(map, "id", request.id) &&
-      cbor::read(map, "sent", request.sent_ms) && cbor::read(map, "address", request.address) &&
-      cbor::read(map, "body", request.body);
-  return complete ? PeerMessage(std::move(request)) : PeerMessage();
+  if (!cbor::read(map.get(), kRelayKey, kind)) return read_gossip(map.get());
+  if (kind == kRelayReplyTag) return read_relay_reply(map.get());
+  return read_relay_request(map.get(), kind);
 }
 
 }  // namespace scheduler::wire
--- a/src/wire/record_keys.cpp
+++ b/src/wire/record_keys.cpp
@@ -1,10 +1,23 @@
 #include "wire/record_keys.h"
 
 #include <charconv>
+#include <optional>
+#include <utility>
 
 #include "wire/messages.h"
 
 namespace scheduler::wire {
+namespace {
+
+// The whole text as a decimal number of 32 bits.
+std::optional<std::uint32_t> number_of(std::string_view text) {
+  std::uint32_t number = 0;
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  return number;
+}
+
+}  // namespace
 
 std::string job_key(std::string_view id) { return std::string(kJobPrefixKey) + std::string(id); }
 std::string final_state_key(std::string_view id) {
@@ -28,29 +41,30 @@
   return std::string(kShardGuardPrefix) + std::string(controller);
 }
 
-bool parse_fleet_key(std::string_view key, std::uint32_t& group) {
-  if (!key.starts_with(kFleetPrefix)) return false;
-  key.remove_prefix(kFleetPrefix.size());
-  auto [end, error] = std::from_chars(key.data(), key.data() + key.size(), group);
-  return error == std::errc{} && end == key.data() + key.size();
+Decoded<std::uint32_t> parse_fleet_key(std::string_view key) {
+  std::optional<std::uint32_t> group;
+  if (key.starts_with(kFleetPrefix)) group = number_of(key.substr(kFleetPrefix.size()));
+  if (!group) return decode_error("key", "fleet/GROUP");
+  return *group;
 }
 
-bool parse_shard_key(std::string_view key, std::string& controller, std::uint32_t& group) {
+Decoded<ShardKey> parse_shard_key(std::string_view key) {
+  const auto malformed = [] { return decode_error("key", "part/CONTROLLER/GROUP"); };
   const auto slash = key.rfind('/');
-  if (!key.starts_with(kShardPrefix) || slash < kShardPrefix.size()) return false;
-  controller = key.substr(kShardPrefix.size(), slash - kShardPrefix.size());
-  const std::string_view number = key.substr(slash + 1);
-  auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), group);
-  return error == std::errc{} && end == number.data() + number.size();
-}
-
-bool parse_range_key(std::string_view key, std::string& job, std::uint32_t& number) {
-  if (!key.starts_with(kRangePrefix)) return false;
-  TaskId id;
-  if (!parse_task_name(key.substr(kRangePrefix.size()), id)) return false;
-  job = id.job;
-  number = id.index;
-  return true;
+  if (!key.starts_with(kShardPrefix) || slash < kShardPrefix.size()) return malformed();
+  const auto group = number_of(key.substr(slash + 1));
+  if (!group) return malformed();
+  const auto controller = key.substr(kShardPrefix.size(), slash - kShardPrefix.size());
+  return ShardKey{std::string(controller), *group};
+}
+
+Decoded<RangeKey> parse_range_key(std::string_view key) {
+  const auto malformed = [] { return decode_error("key", "range/JOB/NUMBER"); };
+  if (!key.starts_with(kRangePrefix)) return malformed();
+  // It has the form of a task's name.
+  auto range = parse_task_name(key.substr(kRangePrefix.size()));
+  if (!range) return malformed();
+  return RangeKey{std::move(range->job), range->index};
 }
 
 }  // namespace scheduler::wire
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -8,370 +8,487 @@
 namespace scheduler::wire {
 namespace {
 
-void put_map(Writer& w, const char* name, const std::map<std::string, std::string>& m) {
-  w.Key(name);
-  w.StartObject();
-  for (const auto& [k, v] : m) put(w, k.c_str(), v);
-  w.EndObject();
-}
-
-bool read_map(const Json& o, const char* name, std::map<std::string, std::string>& m) {
-  m.clear();
-  const Json* v = member(o, name);
-  if (!v || !v->IsObject()) return false;
-  for (const auto& f : v->GetObject()) {
-    if (!f.value.IsString()) return false;
-    m.emplace(std::string(f.name.GetString(), f.name.GetStringLength()),
-              std::string(f.value.GetString(), f.value.GetStringLength()));
+void put_map(Writer& writer, const char* name, const std::map<std::string, std::string>& texts) {
+  writer.Key(name);
+  writer.StartObject();
+  for (const auto& [key, text] : texts) put(writer, key.c_str(), text);
+  writer.EndObject();
+}
+
+std::string name_of(const Json::Member& field) {
+  return {field.name.GetString(), field.name.GetStringLength()};
+}
+
+// The required member `field` of an object, which is an object of texts.
+Decoded<std::map<std::string, std::string>> read_map(const Json& object, const char* field) {
+  const Json* texts = member(object, field);
+  if (!texts || !texts->IsObject()) return decode_error(field, "an object of texts");
+  std::map<std::string, std::string> read;
+  for (const auto& text : texts->GetObject()) {
+    if (!text.value.IsString())
+      return decode_error(std::string(field) + "." + name_of(text), "a text");
+    read.emplace(name_of(text), std::string(text.value.GetString(), text.value.GetStringLength()));
   }
-  return true;
+  return read;
 }
 
+// Parses a record; what is no JSON object is its error.
+std::optional<DecodeError> parse_record(std::string_view text, rapidjson::Document& document) {
+  if (parse_object(text, document)) return std::nullopt;
+  return DecodeError{"", "a JSON object"};
+}
+
+// Four tasks a digit, the first in its lowest bit.
 std::string hex_of(const std::vector<bool>& bits) {
   static constexpr char digits[] = "0123456789abcdef";
   std::string out((bits.size() + 3) / 4, '0');
   for (std::size_t i = 0; i < out.size(); ++i) {
-    unsigned v = 0;
+    unsigned digit = 0;
     for (std::size_t b = 0; b < 4 && i * 4 + b < bits.size(); ++b)
-      v |= static_cast<unsigned>(bits[i * 4 + b]) << b;
-    out[i] = digits[v];
+      digit |= static_cast<unsigned>(bits[i * 4 + b]) << b;
+    out[i] = digits[digit];
   }
   return out;
 }
 
-bool bits_of(std::string_view hex, std::size_t count, std::vector<bool>& bits) {
-  if (hex.size() != (count + 3) / 4) return false;
-  bits.assign(count, false);
+// What hex_of writes of `count` bits; none if it is of another length or has another character.
+std::optional<std::vector<bool>> bits_of(std::string_view hex, std::size_t count) {
+  if (hex.size() != (count + 3) / 4) return std::nullopt;
+  std::vector<bool> bits(count, false);
   for (std::size_t i = 0; i < hex.size(); ++i) {
-    unsigned v = 0;
-    auto [end, error] = std::from_chars(hex.data() + i, hex.data() + i + 1, v, 16);
-    if (error != std::errc{} || end != hex.data() + i + 1) return false;
-    for (std::size_t b = 0; b < 4 && i * 4 + b < count; ++b) bits[i * 4 + b] = (v >> b) & 1U;
+    unsigned digit = 0;
+    auto [end, error] = std::from_chars(hex.data() + i, hex.data() + i + 1, digit, 16);
+    if (error != std::errc{} || end != hex.data() + i + 1) return std::nullopt;
+    for (std::size_t b = 0; b < 4 && i * 4 + b < count; ++b) bits[i * 4 + b] = (digit >> b) & 1U;
   }
-  return true;
+  return bits;
 }
 
 }  // namespace
 
-std::string encode(const ViewRecord& r) {
-  return object([&](Writer& w) {
-    put(w, "epoch", r.epoch);
-    put_map(w, "live", r.live);
-    put_map(w, "departed", r.departing);
-    w.Key("deaf");
-    w.StartArray();
-    for (const auto& name : r.unreachable) put_text(w, name);
-    w.EndArray();
+std::string encode(const ViewRecord& record) {
+  return object([&](Writer& writer) {
+    put(writer, "epoch", record.epoch);
+    put_map(writer, "live", record.live);
+    put_map(writer, "departed", record.departing);
+    writer.Key("deaf");
+    writer.StartArray();
+    for (const auto& name : record.unreachable) put_text(writer, name);
+    writer.EndArray();
   });
 }
 
-bool decode(std::string_view text, ViewRecord& r) {
-  rapidjson::Document doc;
-  if (!parse_object(text, doc) || !read(doc, "epoch", r.epoch) || !read_map(doc, "live", r.live) ||
-      !read_map(doc, "departed", r.departing))
-    return false;
-  r.unreachable.clear();
-  const Json* deaf = member(doc, "deaf");
-  if (!deaf) return true;
-  if (!deaf->IsArray()) return false;
+template <>
+Decoded<ViewRecord> decode<ViewRecord>(std::string_view text) {
+  rapidjson::Document document;
+  if (auto error = parse_record(text, document)) return tl::unexpected(std::move(*error));
+  ViewRecord record;
+  FieldReader fields(document);
+  if (fields.required("epoch", record.epoch).failed()) return tl::unexpected(fields.error());
+  auto live = read_map(document, "live");
+  if (!live) return tl::unexpected(live.error());
+  record.live = std::move(*live);
+  auto departing = read_map(document, "departed");
+  if (!departing) return tl::unexpected(departing.error());
+  record.departing = std::move(*departing);
+  const Json* deaf = member(document, "deaf");
+  if (!deaf) return record;
+  if (!deaf->IsArray()) return decode_error("deaf", "a list of names");
   for (const Json& name : deaf->GetArray()) {
-    if (!name.IsString()) return false;
-    r.unreachable.emplace(name.GetString(), name.GetStringLength());
+    if (!name.IsString()) return decode_error("deaf", "a list of names");
+    record.unreachable.emplace(name.GetString(), name.GetStringLength());
   }
-  return true;
+  return record;
 }
 
-std::string encode(const LiveRecord& r) {
-  return object([&](Writer& w) {
-    put(w, "incarnation", r.incarnation);
-    put(w, "epoch", r.epoch);
-    if (r.format != kFirstFormat) put(w, "formats", std::uint64_t{r.format});
+std::string encode(const LiveRecord& record) {
+  return object([&](Writer& writer) {
+    put(writer, "incarnation", record.incarnation);
+    put(writer, "epoch", record.epoch);
+    if (record.format != kFirstFormat) put(writer, "formats", std::uint64_t{record.format});
   });
 }
 
-bool decode(std::string_view text, LiveRecord& r) {
-  rapidjson::Document doc;
-  if (!parse_object(text, doc) || !read(doc, "incarnation", r.incarnation) ||
-      !read(doc, "epoch", r.epoch))
-    return false;
-  r.format = kFirstFormat;
-  read(doc, "formats", r.format);
-  return true;
+template <>
+Decoded<LiveRecord> decode<LiveRecord>(std::string_view text) {
+  rapidjson::Document document;
+  if (auto error = parse_record(text, document)) return tl::unexpected(std::move(*error));
+  LiveRecord record;
+  FieldReader fields(document);
+  fields.required("incarnation", record.incarnation).required("epoch", record.epoch);
+  if (fields.failed()) return tl::unexpected(fields.error());
+  read(document, "formats", record.format);
+  return record;
 }
 
-std::string encode(const FormatRecord& r) {
-  return object([&](Writer& w) { put(w, "formats", std::uint64_t{r.format}); });
+std::string encode(const FormatRecord& record) {
+  return object([&](Writer& writer) { put(writer, "formats", std::uint64_t{record.format}); });
 }
 
-bool decode(std::string_view text, FormatRecord& r) {
-  rapidjson::Document doc;
-  return parse_object(text, doc) && read(doc, "formats", r.format);
+template <>
+Decoded<FormatRecord> decode<FormatRecord>(std::string_view text) {
+  rapidjson::Document document;
+  if (auto error = parse_record(text, document)) return tl::unexpected(std::move(*error));
+  FormatRecord record;
+  FieldReader fields(document);
+  if (fields.required("formats", record.format).failed()) return tl::unexpected(fields.error());
+  return record;
 }
 
-std::string encode(const JobRecord& r) {
-  return object([&](Writer& w) {
-    write_job_fields(w, r.spec);
-    w.Key("submittedMs");
-    w.Int64(r.submitted_ms);
-    put_bool(w, "cancelled", r.cancelled);
-    w.Key("shares");
-    w.StartArray();
-    for (const auto& share : r.shares) {
-      w.StartArray();
-      w.Uint(share.number);
-      w.Uint(share.begin);
-      w.Uint(share.end);
-      put_text(w, share.owner);
-      w.EndArray();
+std::string encode(const JobRecord& record) {
+  return object([&](Writer& writer) {
+    write_job_fields(writer, record.spec);
+    writer.Key("submittedMs");
+    writer.Int64(record.submitted_ms);
+    put_bool(writer, "cancelled", record.cancelled);
+    writer.Key("shares");
+    writer.StartArray();
+    for (const auto& share : record.shares) {
+      writer.StartArray();
+      writer.Uint(share.number);
+      writer.Uint(share.begin);
+      writer.Uint(share.end);
+      put_text(writer, share.owner);
+      writer.EndArray();
     }
-    w.EndArray();
+    writer.EndArray();
   });
 }
 
-bool decode(std::string_view text, JobRecord& r) {
-  rapidjson::Document doc;
-  if (!parse_object(text, doc) || !parse_job(static_cast<const Json&>(doc), r.spec).empty())
-    return false;
-  const Json* t = member(doc, "submittedMs");
-  if (!t || !t->IsInt64()) return false;
-  r.submitted_ms = t->GetInt64();
-  r.shares.clear();
-  if (const Json* shares = member(doc, "shares")) {
-    if (!shares->IsArray()) return false;
-    for (const Json& v : shares->GetArray()) {
-      if (!v.IsArray() || v.Size() != 4 || !v[0].IsUint() || !v[1].IsUint() || !v[2].IsUint() ||
-          !v[3].IsString() || v[1].GetUint() >= v[2].GetUint() || v[2].GetUint() > r.spec.tasks)
-        return false;
-      r.shares.push_back({v[0].GetUint(), v[1].GetUint(), v[2].GetUint(), v[3].GetString()});
+namespace {
+
+// [number, begin, end, owner] of a job of `tasks` tasks.
+std::optional<JobRecord::Share> share_of(const Json& value, std::uint32_t tasks) {
+  if (!value.IsArray() || value.Size() != 4 || !value[0].IsUint() || !value[1].IsUint() ||
+      !value[2].IsUint() || !value[3].IsString())
+    return std::nullopt;
+  JobRecord::Share share{value[0].GetUint(), value[1].GetUint(), value[2].GetUint(),
+                         value[3].GetString()};
+  if (share.begin >= share.end || share.end > tasks) return std::nullopt;
+  return share;
+}
+
+}  // namespace
+
+template <>
+Decoded<JobRecord> decode<JobRecord>(std::string_view text) {
+  rapidjson::Document document;
+  if (auto error = parse_record(text, document)) return tl::unexpected(std::move(*error));
+  auto spec = parse_job(static_cast<const Json&>(document));
+  if (!spec) return decode_error(spec.error().field, "a valid field of a job specification");
+  JobRecord record;
+  record.spec = std::move(*spec);
+  const Json* submitted = member(document, "submittedMs");
+  if (!submitted || !submitted->IsInt64()) return decode_error("submittedMs", "a whole number");
+  record.submitted_ms = submitted->GetInt64();
+  if (const Json* shares = member(document, "shares")) {
+    if (!shares->IsArray()) return decode_error("shares", "a list of shares");
+    for (const Json& value : shares->GetArray()) {
+      auto share = share_of(value, record.spec.tasks);
+      if (!share)
+        return decode_error(element_path("shares", record.shares.size()),
+                            "[number, begin, end, owner] of tasks of the job");
+      record.shares.push_back(std::move(*share));
     }
   }
-  return read(doc, "cancelled", r.cancelled);
+  FieldReader fields(document);
+  if (fields.required("cancelled", record.cancelled).failed())
+    return tl::unexpected(fields.error());
+  return record;
 }
 
 std::uint32_t RangeRecord::done_count() const {
   return static_cast<std::uint32_t>(std::count(done.begin(), done.end(), true));
 }
 
-std::string encode(const RangeRecord& r) {
-  return object([&](Writer& w) {
-    put(w, "o", r.owner);
-    put(w, "b", std::uint64_t{r.begin});
-    put(w, "e", std::uint64_t{r.end});
-    put(w, "d", hex_of(r.done));
-    put(w, "n", r.next_attempt);
-    if (r.stopping) put_bool(w, "s", true);
-    // Placements by machine, session and grant (none: the owner's), so that a value holds hundreds.
+std::string encode(const RangeRecord& record) {
+  return object([&](Writer& writer) {
+    put(writer, "o", record.owner);
+    put(writer, "b", std::uint64_t{record.begin});
+    put(writer, "e", std::uint64_t{record.end});
+    put(writer, "d", hex_of(record.done));
+    put(writer, "n", record.next_attempt);
+    if (record.stopping) put_bool(writer, "s", true);
+    // Placements by machine, incarnation and holder of the quota lease (none: the owner), so that a
+    // value holds hundreds.
     std::map<std::tuple<std::string, std::uint64_t, std::string>,
              std::vector<std::pair<std::uint32_t, std::uint64_t>>>
         groups;
-    for (const auto& [task, p] : r.placed)
-      groups[{p.machine, p.incarnation, p.quota_holder == r.owner ? "" : p.quota_holder}]
-          .emplace_back(task, p.attempt);
-    w.Key("p");
-    w.StartArray();
+    for (const auto& [task, placement] : record.placed)
+      groups[{placement.machine, placement.incarnation,
+              placement.quota_holder == record.owner ? "" : placement.quota_holder}]
+          .emplace_back(task, placement.attempt);
+    writer.Key("p");
+    writer.StartArray();
     for (const auto& [where, tasks] : groups) {
-      w.StartArray();
-      put_text(w, std::get<0>(where));
-      w.Uint64(std::get<1>(where));
-      put_text(w, std::get<2>(where));
+      writer.StartArray();
+      put_text(writer, std::get<0>(where));
+      writer.Uint64(std::get<1>(where));
+      put_text(writer, std::get<2>(where));
       for (const auto& [task, attempt] : tasks) {
-        w.Uint(task);
-        w.Uint64(attempt);
+        writer.Uint(task);
+        writer.Uint64(attempt);
       }
-      w.EndArray();
+      writer.EndArray();
     }
-    w.EndArray();
+    writer.EndArray();
   });
 }
 
-bool decode(std::string_view text, RangeRecord& r) {
-  rapidjson::Document doc;
-  std::string bits;
-  if (!parse_object(text, doc) || !read(doc, "o", r.owner) || !read(doc, "b", r.begin) ||
-      !read(doc, "e", r.end) || r.end <= r.begin || !read(doc, "d", bits) ||
-      !bits_of(bits, r.end - r.begin, r.done) || !read(doc, "n", r.next_attempt))
+namespace {
+
+// Reads a group of placements into the record: [machine, incarnation, holder of the quota lease
+// (empty: the owner), task, attempt, task, attempt...]. False if it is none.
+bool read_placements(const Json& group, RangeRecord& record) {
+  if (!group.IsArray() || group.Size() < 3 || group.Size() % 2 == 0 || !group[0].IsString() ||
+      !group[1].IsUint64() || !group[2].IsString())
     return false;
-  r.stopping = false;
-  read(doc, "s", r.stopping);
-  r.placed.clear();
-  const Json* groups = member(doc, "p");
-  if (!groups || !groups->IsArray()) return false;
-  for (const Json& g : groups->GetArray()) {
-    if (!g.IsArray() || g.Size() < 3 || g.Size() % 2 == 0 || !g[0].IsString() || !g[1].IsUint64() ||
-        !g[2].IsString())
-      return false;
-    Placement p;
-    p.machine = g[0].GetString();
-    p.incarnation = g[1].GetUint64();
-    p.quota_holder = g[2].GetString();
-    if (p.quota_holder.empty()) p.quota_holder = r.owner;
-    for (rapidjson::SizeType i = 3; i < g.Size(); i += 2) {
-      if (!g[i].IsUint() || !g[i + 1].IsUint64()) return false;
-      const std::uint32_t task = g[i].GetUint();
-      if (task < r.begin || task >= r.end) return false;
-      p.attempt = g[i + 1].GetUint64();
-      r.placed[task] = p;
-    }
+  Placement placement;
+  placement.machine = group[0].GetString();
+  placement.incarnation = group[1].GetUint64();
+  placement.quota_holder = group[2].GetString();
+  if (placement.quota_holder.empty()) placement.quota_holder = record.owner;
+  for (rapidjson::SizeType i = 3; i < group.Size(); i += 2) {
+    if (!group[i].IsUint() || !group[i + 1].IsUint64()) return false;
+    const std::uint32_t task = group[i].GetUint();
+    if (task < record.begin || task >= record.end) return false;
+    placement.attempt = group[i + 1].GetUint64();
+    record.placed[task] = placement;
   }
   return true;
 }
 
+}  // namespace
+
+template <>
+Decoded<RangeRecord> decode<RangeRecord>(std::string_view text) {
+  rapidjson::Document document;
+  if (auto error = parse_record(text, document)) return tl::unexpected(std::move(*error));
+  RangeRecord record;
+  std::string bitmap;
+  FieldReader fields(document);
+  fields.required("o", record.owner)
+      .required("b", record.begin)
+      .required("e", record.end)
+      .require(record.end > record.begin, "e", "a number above that of the first task")
+      .required("d", bitmap);
+  if (fields.failed()) return tl::unexpected(fields.error());
+  auto done = bits_of(bitmap, record.end - record.begin);
+  if (!done) return decode_error("d", "a hexadecimal digit for each four tasks");
+  record.done = std::move(*done);
+  if (fields.required("n", record.next_attempt).failed()) return tl::unexpected(fields.error());
+  read(document, "s", record.stopping);
+  const Json* groups = member(document, "p");
+  if (!groups || !groups->IsArray()) return decode_error("p", "a list of placements");
+  for (rapidjson::SizeType i = 0; i < groups->Size(); ++i) {
+    if (!read_placements((*groups)[i], record))
+      return decode_error(element_path("p", i),
+                          "[machine, incarnation, quota holder, task, attempt...] of the range");
+  }
+  return record;
+}
+
 namespace {
 // {"m":{ID:[...],...}}: a machine takes some 60 bytes.
 template <typename Record, typename Fill>
-std::string machines_body(const Record& r, Fill&& fill) {
-  return object([&](Writer& w) {
-    w.Key("m");
-    w.StartObject();
-    for (const auto& [id, m] : r.machines) {
-      w.Key(id.c_str());
-      w.StartArray();
-      fill(w, m);
-      w.EndArray();
+std::string machines_body(const Record& record, Fill&& fill) {
+  return object([&](Writer& writer) {
+    writer.Key("m");
+    writer.StartObject();
+    for (const auto& [id, machine] : record.machines) {
+      writer.Key(id.c_str());
+      writer.StartArray();
+      fill(writer, machine);
+      writer.EndArray();
     }
-    w.EndObject();
+    writer.EndObject();
   });
 }
 
-template <typename Record, typename Take>
-bool parse_machines(std::string_view text, Record& r, Take&& take) {
-  rapidjson::Document doc;
-  r.machines.clear();
-  if (!parse_object(text, doc)) return false;
-  const Json* all = member(doc, "m");
-  if (!all || !all->IsObject()) return false;
-  for (const auto& f : all->GetObject()) {
-    if (!f.value.IsArray()) return false;
-    auto& m = r.machines[std::string(f.name.GetString(), f.name.GetStringLength())];
-    if (!take(f.value, m)) return false;
+// Reads what machines_body writes. `machine_of(value)` is the machine in an array, or none.
+template <typename Record, typename MachineOf>
+Decoded<Record> decode_machines(std::string_view text, const char* expected,
+                                MachineOf&& machine_of) {
+  rapidjson::Document document;
+  if (auto error = parse_record(text, document)) return tl::unexpected(std::move(*error));
+  const Json* machines = member(document, "m");
+  if (!machines || !machines->IsObject()) return decode_error("m", "an object of machines");
+  Record record;
+  for (const auto& field : machines->GetObject()) {
+    std::string id = name_of(field);
+    auto machine = machine_of(field.value);
+    if (!machine) return decode_error("m." + id, expected);
+    record.machines.insert_or_assign(std::move(id), std::move(*machine));
   }
-  return true;
+  return record;
 }
 
-bool machine_state_from(const Json& v, MachineState& out) {
-  if (!v.IsUint() || v.GetUint() > static_cast<unsigned>(MachineState::terminated)) return false;
-  out = static_cast<MachineState>(v.GetUint());
-  return true;
+std::optional<MachineState> machine_state_of(const Json& value) {
+  if (!value.IsUint() || value.GetUint() > static_cast<unsigned>(MachineState::terminated))
+    return std::nullopt;
+  return static_cast<MachineState>(value.GetUint());
+}
+
+std::optional<MachineRecord> fleet_machine_of(const Json& value) {
+  if (!value.IsArray() || value.Size() < 5 || !value[0].IsString() || !value[1].IsString() ||
+      !value[2].IsString() || !value[3].IsUint())
+    return std::nullopt;
+  const auto state = machine_state_of(value[4]);
+  if (!state) return std::nullopt;
+  MachineRecord machine;
+  machine.address = value[0].GetString();
+  machine.type = value[1].GetString();
+  machine.zone = value[2].GetString();
+  machine.spot = value[3].GetUint() != 0;
+  machine.state = *state;
+  return machine;
+}
+
+std::optional<ShardRecord::Contact> contact_of(const Json& value) {
+  if (!value.IsArray() || value.Size() < 4 || !value[0].IsString() || !value[1].IsUint64() ||
+      !value[3].IsUint64())
+    return std::nullopt;
+  const auto state = machine_state_of(value[2]);
+  if (!state) return std::nullopt;
+  ShardRecord::Contact contact;
+  contact.address = value[0].GetString();
+  contact.incarnation = value[1].GetUint64();
+  contact.state = *state;
+  contact.epoch = value[3].GetUint64();
+  return contact;
 }
 }  // namespace
 
-std::string encode(const FleetRecord& r) {
-  return machines_body(r, [](Writer& w, const MachineRecord& m) {
-    put_text(w, m.address);
-    put_text(w, m.type);
-    put_text(w, m.zone);
-    w.Uint(m.spot ? 1 : 0);
-    w.Uint(static_cast<unsigned>(m.state));
+std::string encode(const FleetRecord& record) {
+  return machines_body(record, [](Writer& writer, const MachineRecord& machine) {
+    put_text(writer, machine.address);
+    put_text(writer, machine.type);
+    put_text(writer, machine.zone);
+    writer.Uint(machine.spot ? 1 : 0);
+    writer.Uint(static_cast<unsigned>(machine.state));
   });
 }
 
-bool decode(std::string_view text, FleetRecord& r) {
-  return parse_machines(text, r, [](const Json& v, MachineRecord& m) {
-    if (v.Size() < 5 || !v[0].IsString() || !v[1].IsString() || !v[2].IsString() || !v[3].IsUint())
-      return false;
-    m.address = v[0].GetString();
-    m.type = v[1].GetString();
-    m.zone = v[2].GetString();
-    m.spot = v[3].GetUint() != 0;
-    return machine_state_from(v[4], m.state);
-  });
+template <>
+Decoded<FleetRecord> decode<FleetRecord>(std::string_view text) {
+  return decode_machines<FleetRecord>(text, "[address, type, zone, spot, state]", fleet_machine_of);
 }
 
-std::string encode(const ShardRecord& r) {
-  return machines_body(r, [](Writer& w, const ShardRecord::Contact& m) {
-    put_text(w, m.address);
-    w.Uint64(m.incarnation);
-    w.Uint(static_cast<unsigned>(m.state));
-    w.Uint64(m.epoch);
+std::string encode(const ShardRecord& record) {
+  return machines_body(record, [](Writer& writer, const ShardRecord::Contact& contact) {
+    put_text(writer, contact.address);
+    writer.Uint64(contact.incarnation);
+    writer.Uint(static_cast<unsigned>(contact.state));
+    writer.Uint64(contact.epoch);
   });
 }
 
-bool decode(std::string_view text, ShardRecord& r) {
-  return parse_machines(text, r, [](const Json& v, ShardRecord::Contact& m) {
-    if (v.Size() < 4 || !v[0].IsString() || !v[1].IsUint64() || !v[3].IsUint64()) return false;
-    m.address = v[0].GetString();
-    m.incarnation = v[1].GetUint64();
-    m.epoch = v[3].GetUint64();
-    return machine_state_from(v[2], m.state);
-  });
+template <>
+Decoded<ShardRecord> decode<ShardRecord>(std::string_view text) {
+  return decode_machines<ShardRecord>(text, "[address, incarnation, state, epoch]", contact_of);
 }
 
 std::string shard_guard_body(std::string_view by) {
-  return object([&](Writer& w) { put(w, "by", by); });
+  return object([&](Writer& writer) { put(writer, "by", by); });
 }
 
-std::string encode(const ScaleOutRequest& r) {
-  return object([&](Writer& w) {
-    put(w, "type", r.type);
-    put(w, "zone", r.zone);
-    put_bool(w, "spot", r.spot);
-    put(w, "count", std::uint64_t{r.count});
+std::string encode(const ScaleOutRequest& request) {
+  return object([&](Writer& writer) {
+    put(writer, "type", request.type);
+    put(writer, "zone", request.zone);
+    put_bool(writer, "spot", request.spot);
+    put(writer, "count", std::uint64_t{request.count});
   });
 }
 
-bool decode(std::string_view text, ScaleOutRequest& r) {
-  rapidjson::Document doc;
-  return parse_object(text, doc) && read(doc, "type", r.type) && read(doc, "zone", r.zone) &&
-         read(doc, "spot", r.spot) && read(doc, "count", r.count);
+template <>
+Decoded<ScaleOutRequest> decode<ScaleOutRequest>(std::string_view text) {
+  rapidjson::Document document;
+  if (auto error = parse_record(text, document)) return tl::unexpected(std::move(*error));
+  ScaleOutRequest request;
+  FieldReader fields(document);
+  fields.required("type", request.type)
+      .required("zone", request.zone)
+      .required("spot", request.spot)
+      .required("count", request.count);
+  if (fields.failed()) return tl::unexpected(fields.error());
+  return request;
 }
 
 namespace {
-void put_amounts(Writer& w, const char* name,
-                 const std::map<std::string, QuotaRecord::Amount>& amounts) {
-  w.Key(name);
-  w.StartObject();
-  for (const auto& [who, a] : amounts) {
-    w.Key(who.c_str());
-    w.StartArray();
-    w.Double(a.cpus);
-    w.Double(a.gpus);
-    w.EndArray();
+
+using Amounts = std::map<std::string, QuotaRecord::Amount>;
+
+void put_amounts(Writer& writer, const char* name, const Amounts& amounts) {
+  writer.Key(name);
+  writer.StartObject();
+  for (const auto& [controller, amount] : amounts) {
+    writer.Key(controller.c_str());
+    writer.StartArray();
+    writer.Double(amount.cpus);
+    writer.Double(amount.gpus);
+    writer.EndArray();
   }
-  w.EndObject();
-}
-
-bool read_amounts(const Json& o, const char* name,
-                  std::map<std::string, QuotaRecord::Amount>& out) {
-  out.clear();
-  const Json* v = member(o, name);
-  if (!v || !v->IsObject()) return false;
-  for (const auto& f : v->GetObject()) {
-    if (!f.value.IsArray() || f.value.Size() != 2 || !f.value[0].IsNumber() ||
-        !f.value[1].IsNumber())
-      return false;
-    out[f.name.GetString()] = {f.value[0].GetDouble(), f.value[1].GetDouble()};
+  writer.EndObject();
+}
+
+Decoded<Amounts> read_amounts(const Json& object, const char* field) {
+  const Json* by_controller = member(object, field);
+  if (!by_controller || !by_controller->IsObject())
+    return decode_error(field, "an object of amounts");
+  Amounts amounts;
+  for (const auto& [controller, amount] : by_controller->GetObject()) {
+    if (!amount.IsArray() || amount.Size() != 2 || !amount[0].IsNumber() || !amount[1].IsNumber())
+      return decode_error(std::string(field) + "." + controller.GetString(), "[cpus, gpus]");
+    amounts[controller.GetString()] = {amount[0].GetDouble(), amount[1].GetDouble()};
   }
-  return true;
+  return amounts;
 }
+
 }  // namespace
 
-std::string encode(const QuotaRecord& r) {
-  return object([&](Writer& w) {
-    put_amounts(w, "grants", r.leases);
-    put_amounts(w, "wanted", r.demand);
-    if (!r.service_demand.empty()) put_amounts(w, "services", r.service_demand);
+std::string encode(const QuotaRecord& record) {
+  return object([&](Writer& writer) {
+    put_amounts(writer, "grants", record.leases);
+    put_amounts(writer, "wanted", record.demand);
+    if (!record.service_demand.empty()) put_amounts(writer, "services", record.service_demand);
   });
 }
 
-bool decode(std::string_view text, QuotaRecord& r) {
-  rapidjson::Document doc;
-  if (!parse_object(text, doc) || !read_amounts(doc, "grants", r.leases) ||
-      !read_amounts(doc, "wanted", r.demand))
-    return false;
-  r.service_demand.clear();
-  return !member(doc, "services") || read_amounts(doc, "services", r.service_demand);
+template <>
+Decoded<QuotaRecord> decode<QuotaRecord>(std::string_view text) {
+  rapidjson::Document document;
+  if (auto error = parse_record(text, document)) return tl::unexpected(std::move(*error));
+  QuotaRecord record;
+  auto leases = read_amounts(document, "grants");
+  if (!leases) return tl::unexpected(leases.error());
+  record.leases = std::move(*leases);
+  auto demand = read_amounts(document, "wanted");
+  if (!demand) return tl::unexpected(demand.error());
+  record.demand = std::move(*demand);
+  if (!member(document, "services")) return record;
+  auto service_demand = read_amounts(document, "services");
+  if (!service_demand) return tl::unexpected(service_demand.error());
+  record.service_demand = std::move(*service_demand);
+  return record;
 }
 
-std::string encode(const FinalStateRecord& r) {
-  return object([&](Writer& w) {
-    put_bool(w, "done", r.done);
-    put(w, "tasks", r.tasks);
+std::string encode(const FinalStateRecord& record) {
+  return object([&](Writer& writer) {
+    put_bool(writer, "done", record.done);
+    put(writer, "tasks", record.tasks);
   });
 }
 
-bool decode(std::string_view text, FinalStateRecord& r) {
-  rapidjson::Document doc;
-  return parse_object(text, doc) && read(doc, "done", r.done) && read(doc, "tasks", r.tasks);
+template <>
+Decoded<FinalStateRecord> decode<FinalStateRecord>(std::string_view text) {
+  rapidjson::Document document;
+  if (auto error = parse_record(text, document)) return tl::unexpected(std::move(*error));
+  FinalStateRecord record;
+  FieldReader fields(document);
+  fields.required("done", record.done).required("tasks", record.tasks);
+  if (fields.failed()) return tl::unexpected(fields.error());
+  return record;
 }
 
 }  // namespace scheduler::wire
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -203,9 +203,11 @@
   m.commands_in_flight = false;
   if (m.owned_since_epoch != sent.owned_since_epoch) return;
   const bool current = sent.pauses == pauses_;
-  wire::Heartbeat heartbeat;
-  if ((http_result.status == 200 || http_result.status == 409) &&
-      wire::parse_heartbeat(http_result.body, heartbeat) && heartbeat.machine == m.id) {
+  const bool replied = http_result.status == 200 || http_result.status == 409;
+  const auto decoded = replied ? wire::parse_heartbeat(http_result.body)
+                               : wire::decode_error("status", "200 or 409");
+  if (decoded && decoded->machine == m.id) {
+    const wire::Heartbeat& heartbeat = *decoded;
     const bool again = Counters(heartbeat.incarnation, heartbeat.sequence) <= sent.counters;
     if (again) on_agent_restart(now, m, heartbeat);
     apply_heartbeat(now, m, heartbeat);
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -61,11 +61,12 @@
 }
 
 void Controller::on_heartbeat(Ms now, std::uint64_t request, const std::string& body) {
-  wire::Heartbeat heartbeat;
-  if (!wire::parse_heartbeat(body, heartbeat)) {
+  const auto decoded = wire::parse_heartbeat(body);
+  if (!decoded) {
     reply(request, 400, wire::error_body("malformed report"));
     return;
   }
+  const wire::Heartbeat& heartbeat = *decoded;
   if (!Relay::is_relayed(request)) links_.zone(heartbeat.zone).heartbeat_received(now);
   if (!state_client_.loaded() || !view_known_ || deposed(now) || resynchronising(now)) {
     reply_unavailable(request, kRetryAfterS);
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -53,9 +53,8 @@
     call(Target::worker, address, "GET", wire::kStatusPath, "", links::kProbeTimeoutMs,
          [this, round, done, pauses = pauses_](Ms at, const HttpResult& http_result) {
            --round->open;
-           wire::Heartbeat heartbeat;
            const bool answers =
-               http_result.status == 200 && wire::parse_heartbeat(http_result.body, heartbeat);
+               http_result.status == 200 && wire::parse_heartbeat(http_result.body).has_value();
            if (pauses != pauses_ || round->answered) return;
            round->answered = answers;
            if (answers || round->open == 0) done(at, answers);
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -278,9 +278,9 @@
   const auto placed = [this] {
     std::size_t tasks = 0;
     for (const auto& [key, item] : state_.items) {
-      wire::RangeRecord range;
-      if (key.starts_with(wire::kRangePrefix) && decode(item.value, range))
-        tasks += range.placed.size();
+      if (!key.starts_with(wire::kRangePrefix)) continue;
+      if (const auto range = wire::decode<wire::RangeRecord>(item.value))
+        tasks += range->placed.size();
     }
     return tasks;
   };
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -56,8 +56,10 @@
         std::to_string(tasks) +
         R"(,"cpus":4.0,"gpus":0.0,"memGb":4.0,"kit":"i","pullGb":0.1,"together":false,)"
         R"("scatter":false,"standby":true,"haulS":600.0,"tipS":0.0,"stowS":0.0})";
+    const auto spec = wire::parse_job(body);
+    ASSERT_TRUE(spec) << spec.error().text();
     wire::JobRecord job;
-    ASSERT_EQ(wire::parse_job(body, job.spec), "");
+    job.spec = *spec;
     job.shares = {{0, 0, tasks, kName}};
     put(wire::job_key(job.spec.id), encode(job));
   }
@@ -154,8 +156,9 @@
   have_machines(8);
   have_job(1);
   advance(120'000);
-  wire::JobRecord job;
-  ASSERT_TRUE(decode(state_.items[wire::job_key("req-000001")].value, job));
+  auto decoded = wire::decode<wire::JobRecord>(state_.items[wire::job_key("req-000001")].value);
+  ASSERT_TRUE(decoded) << decoded.error().message();
+  wire::JobRecord& job = *decoded;
   job.cancelled = true;
   put(wire::job_key("req-000001"), encode(job));
   advance(kScaleInIdleAfterMs - 2000);
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -398,30 +398,30 @@
   hint.links = {row, row_of("b", 12'000, Status::up)};
   hint.cancelled = {"req-000001"};
   const std::string bytes = encode(hint);
-  wire::GossipMessage read;
-  ASSERT_TRUE(decode(bytes, read));
-  EXPECT_EQ(encode(read), bytes);
-  ASSERT_EQ(read.links.size(), 2U);
-  EXPECT_EQ(read.links[0].workers.at("x").commands, Status::down);
-  EXPECT_EQ(read.links[0].heard.at("b"), Status::up);
-  EXPECT_EQ(read.cancelled, hint.cancelled);
+  const auto read = wire::decode<wire::GossipMessage>(bytes);
+  ASSERT_TRUE(read) << read.error().message();
+  EXPECT_EQ(encode(*read), bytes);
+  ASSERT_EQ(read->links.size(), 2U);
+  EXPECT_EQ(read->links[0].workers.at("x").commands, Status::down);
+  EXPECT_EQ(read->links[0].heard.at("b"), Status::up);
+  EXPECT_EQ(read->cancelled, hint.cancelled);
   for (std::size_t n = 0; n < bytes.size(); ++n)
-    EXPECT_TRUE(std::holds_alternative<std::monostate>(
-        wire::decode_peer_message(std::string_view(bytes).substr(0, n))));
+    EXPECT_FALSE(wire::decode<wire::PeerMessage>(std::string_view(bytes).substr(0, n)));
 }
 
 TEST(PeerMessages, RelayedMessagesRoundTripAndAreNotGossip) {
   const wire::RelayRequest request{"a", 7, 99, wire::RelayKind::heartbeat, "w:1", R"({"rig":"n"})"};
-  const auto message = wire::decode_peer_message(encode(request));
-  const auto* read = std::get_if<wire::RelayRequest>(&message);
+  const auto message = wire::decode<wire::PeerMessage>(encode(request));
+  ASSERT_TRUE(message) << message.error().message();
+  const auto* read = std::get_if<wire::RelayRequest>(&*message);
   ASSERT_NE(read, nullptr);
   EXPECT_EQ(read->kind, wire::RelayKind::heartbeat);
   EXPECT_EQ(read->body, request.body);
-  const auto answer = wire::decode_peer_message(encode(wire::RelayReply{"b", 7, 200, "{}"}));
-  ASSERT_NE(std::get_if<wire::RelayReply>(&answer), nullptr);
-  EXPECT_EQ(std::get<wire::RelayReply>(answer).status, 200U);
-  wire::GossipMessage hint;
-  EXPECT_FALSE(decode(encode(request), hint));
+  const auto answer = wire::decode<wire::PeerMessage>(encode(wire::RelayReply{"b", 7, 200, "{}"}));
+  ASSERT_TRUE(answer) << answer.error().message();
+  ASSERT_NE(std::get_if<wire::RelayReply>(&*answer), nullptr);
+  EXPECT_EQ(std::get<wire::RelayReply>(*answer).status, 200U);
+  EXPECT_FALSE(wire::decode<wire::GossipMessage>(encode(request)));
 }
 
 }  // namespace
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -60,9 +60,9 @@
 
 TEST_F(SingleControllerJobs, AServiceIsReadAndBadOnesAreRefused) {
   const std::string good = service_body("req-000001");
-  wire::JobSpec spec;
-  EXPECT_EQ(wire::parse_job(good, spec), "");
-  EXPECT_TRUE(spec.is_service());
+  const auto spec = wire::parse_job(good);
+  ASSERT_TRUE(spec) << spec.error().text();
+  EXPECT_TRUE(spec->is_service());
   const std::uint64_t with_estimate = post(replaced(good, R"("haulS":0.0)", R"("haulS":60.0)"));
   const std::uint64_t without_estimate = post(replaced(good, R"("haulS":0.0,)", ""));
   const std::uint64_t other_shape = post(replaced(good, "daemon", "service"));
@@ -373,9 +373,10 @@
   std::set<std::string> machines;
   for (const auto& [key, item] : state_.items) {
     EXPECT_LE(item.value.size(), 2048U) << key;
-    wire::FleetRecord record;
-    if (!key.starts_with(wire::kFleetPrefix) || !decode(item.value, record)) continue;
-    for (const auto& [id, machine] : record.machines) {
+    if (!key.starts_with(wire::kFleetPrefix)) continue;
+    const auto record = wire::decode<wire::FleetRecord>(item.value);
+    if (!record) continue;
+    for (const auto& [id, machine] : record->machines) {
       EXPECT_TRUE(machines.insert(id).second) << id;
     }
   }
@@ -394,8 +395,10 @@
   start_anew(low);
   constexpr std::uint32_t kRanges = 45;
   for (const bool cancelled : {false, true}) {
+    const auto spec = wire::parse_job(job_body(cancelled ? "req-000002" : "req-000001"));
+    ASSERT_TRUE(spec) << spec.error().text();
     wire::JobRecord job;
-    ASSERT_EQ(wire::parse_job(job_body(cancelled ? "req-000002" : "req-000001"), job.spec), "");
+    job.spec = *spec;
     job.spec.tasks = kRanges;
     job.submitted_ms = now_;
     std::string writes;
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -170,8 +170,8 @@
     history_.add(now_, history::ResultRemoved{id});
     return;
   }
-  wire::FinalStateRecord record;
-  if (decode(*value, record)) history_.add(now_, history::ResultRecorded{id, record.done});
+  if (const auto record = wire::decode<wire::FinalStateRecord>(*value))
+    history_.add(now_, history::ResultRecorded{id, record->done});
 }
 
 // Every job that users know to be over must have its result; of a run that ends in the middle only
@@ -180,9 +180,10 @@
   // A cancellation is recorded with the job; its final state follows when there are writes to
   // spare.
   for (const auto& [key, item] : state_->items) {
-    wire::JobRecord record;
-    if (!key.starts_with(wire::kJobPrefixKey) || !decode(item.value, record)) continue;
-    if (record.cancelled) history_.add(now_, history::ResultRecorded{record.spec.id, false});
+    if (!key.starts_with(wire::kJobPrefixKey)) continue;
+    const auto record = wire::decode<wire::JobRecord>(item.value);
+    if (record && record->cancelled)
+      history_.add(now_, history::ResultRecorded{record->spec.id, false});
   }
   if (result_.unfinished.empty()) history_.finish(now_);
   for (const auto& finding : history_.findings())
--- a/tests/sim/machines.cpp
+++ b/tests/sim/machines.cpp
@@ -181,8 +181,9 @@
 void SimulatedCluster::execute_commands(SimulatedWorker& w, const wire::Json& orders) {
   newest_epoch_ = std::max(newest_epoch_, ClusterView::epoch_of(w.token));
   for (const auto& o : orders.GetArray()) {
-    wire::TaskId task;
-    if (!wire::parse_task_name(o["load"].GetString(), task)) continue;
+    const auto name = wire::parse_task_name(o["load"].GetString());
+    if (!name) continue;
+    const wire::TaskId& task = *name;
     const std::uint64_t attempt = o["try"].GetUint64();
     const std::string verb = o["verb"].GetString();
     auto it = w.tasks.find(task);
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -43,18 +43,20 @@
 template <typename Record>
 Record read_fixture(const std::string& name) {
   const std::string text = fixture(name);
-  Record record;
-  EXPECT_TRUE(decode(text, record)) << name;
-  EXPECT_EQ(encode(record), text) << name;
-  return record;
+  const auto record = decode<Record>(text);
+  EXPECT_TRUE(record) << name << ": " << record.error().message();
+  if (!record) return {};
+  EXPECT_EQ(encode(*record), text) << name;
+  return *record;
 }
 
 std::vector<MachineType> read_catalog_fixture(const std::string& name) {
   const std::string text = fixture(name);
-  std::vector<MachineType> types;
-  EXPECT_TRUE(parse_catalog(text, types)) << name;
-  EXPECT_EQ(catalog_body(types), text) << name;
-  return types;
+  const auto types = parse_catalog(text);
+  EXPECT_TRUE(types) << name << ": " << types.error().message();
+  if (!types) return {};
+  EXPECT_EQ(catalog_body(*types), text) << name;
+  return *types;
 }
 
 std::string machine_name(std::uint32_t number) {
@@ -88,9 +90,9 @@
 void expect_unknown_field_ignored(const std::string& name) {
   const std::string text = fixture(name);
   for (const std::string& extended : with_unknown_field(text)) {
-    Record record;
-    ASSERT_TRUE(decode(extended, record)) << extended;
-    EXPECT_EQ(encode(record), text);
+    const auto record = decode<Record>(extended);
+    ASSERT_TRUE(record) << extended << ": " << record.error().message();
+    EXPECT_EQ(encode(*record), text);
   }
 }
 
@@ -378,8 +380,9 @@
 // Sums of decimals have no short text. The production version reads them to within the last digits
 // and writes those; a record is the same from its second writing on.
 TEST(UpgradeFormat, QuotaOfSumsIsRewrittenAsTheProductionVersionDoes) {
-  QuotaRecord quota;
-  ASSERT_TRUE(decode(fixture("quota_sums.json"), quota));
+  const auto decoded = decode<QuotaRecord>(fixture("quota_sums.json"));
+  ASSERT_TRUE(decoded) << decoded.error().message();
+  const QuotaRecord& quota = *decoded;
   EXPECT_DOUBLE_EQ(quota.leases.at("puffin-0").cpus, 0.1 + 0.2);
   EXPECT_DOUBLE_EQ(quota.demand.at("puffin-1").cpus, 1.1 * 3);
   EXPECT_EQ(encode(quota), fixture("quota_sums_rewritten.json"));
@@ -424,24 +427,25 @@
 
 TEST(UpgradeFormat, GossipMessage) {
   const std::string bytes = hex_fixture("peer_hint.hex");
-  GossipMessage hint;
-  ASSERT_TRUE(decode(bytes, hint));
-  EXPECT_EQ(hint.from, "puffin-0");
-  EXPECT_EQ(hint.incarnation, "00000000000000a1");
-  EXPECT_EQ(hint.epoch, 417U);
-  EXPECT_TRUE(hint.state_answers);
-  EXPECT_EQ(hint.free_cpus, 123.5);
-  EXPECT_EQ(hint.sent_ms, 1764651436123U);
-  EXPECT_EQ(encode(hint), bytes);
-  const std::string silent = hex_fixture("peer_hint_silent_state.hex");
-  ASSERT_TRUE(decode(silent, hint));
-  EXPECT_EQ(hint.from, "puffin-1");
-  EXPECT_EQ(hint.incarnation, "7f3a9c0000000001");
-  EXPECT_EQ(hint.epoch, 0U);
-  EXPECT_FALSE(hint.state_answers);
-  EXPECT_EQ(hint.free_cpus, 0.0);
-  EXPECT_EQ(hint.sent_ms, 0U);
-  EXPECT_EQ(encode(hint), silent);
+  const auto message = decode<GossipMessage>(bytes);
+  ASSERT_TRUE(message) << message.error().message();
+  EXPECT_EQ(message->from, "puffin-0");
+  EXPECT_EQ(message->incarnation, "00000000000000a1");
+  EXPECT_EQ(message->epoch, 417U);
+  EXPECT_TRUE(message->state_answers);
+  EXPECT_EQ(message->free_cpus, 123.5);
+  EXPECT_EQ(message->sent_ms, 1764651436123U);
+  EXPECT_EQ(encode(*message), bytes);
+  const std::string silent_bytes = hex_fixture("peer_hint_silent_state.hex");
+  const auto silent = decode<GossipMessage>(silent_bytes);
+  ASSERT_TRUE(silent) << silent.error().message();
+  EXPECT_EQ(silent->from, "puffin-1");
+  EXPECT_EQ(silent->incarnation, "7f3a9c0000000001");
+  EXPECT_EQ(silent->epoch, 0U);
+  EXPECT_FALSE(silent->state_answers);
+  EXPECT_EQ(silent->free_cpus, 0.0);
+  EXPECT_EQ(silent->sent_ms, 0U);
+  EXPECT_EQ(encode(*silent), silent_bytes);
 }
 
 TEST(UpgradeFormat, EveryFixtureIsOfAKnownType) {
@@ -494,17 +498,18 @@
   expect_unknown_field_ignored<QuotaRecord>("quota.json");
   expect_unknown_field_ignored<FinalStateRecord>("over_done.json");
   for (const std::string& extended : with_unknown_field(fixture("catalog.json"))) {
-    std::vector<MachineType> types;
-    ASSERT_TRUE(parse_catalog(extended, types));
-    EXPECT_EQ(catalog_body(types), fixture("catalog.json"));
+    const auto types = parse_catalog(extended);
+    ASSERT_TRUE(types) << types.error().message();
+    EXPECT_EQ(catalog_body(*types), fixture("catalog.json"));
   }
 }
 
 TEST(UpgradeFormat, LiveRecordThatNamesItsFormatsIsRead) {
-  LiveRecord live;
-  ASSERT_TRUE(decode(R"({"incarnation":"7f3a9c0000000001","epoch":418,"formats":2})", live));
-  EXPECT_EQ(live.incarnation, "7f3a9c0000000001");
-  EXPECT_EQ(live.epoch, 418U);
+  const auto live =
+      decode<LiveRecord>(R"({"incarnation":"7f3a9c0000000001","epoch":418,"formats":2})");
+  ASSERT_TRUE(live) << live.error().message();
+  EXPECT_EQ(live->incarnation, "7f3a9c0000000001");
+  EXPECT_EQ(live->epoch, 418U);
 }
 
 TEST(UpgradeFormat, PeerHintWithAnAdditionalEntryIsRead) {
@@ -522,9 +527,9 @@
                                   "\x81\x01"}) {
     for (const std::string& extended :
          {kMapOfSeven + bytes.substr(1) + entry, kMapOfSeven + entry + bytes.substr(1)}) {
-      GossipMessage hint;
-      ASSERT_TRUE(decode(extended, hint));
-      EXPECT_EQ(encode(hint), bytes);
+      const auto message = decode<GossipMessage>(extended);
+      ASSERT_TRUE(message) << message.error().message();
+      EXPECT_EQ(encode(*message), bytes);
     }
   }
 }
@@ -538,8 +543,7 @@
                                   R"("shape":null)", R"("shape":["batch"])", R"("form":"batch")"}) {
     std::string changed = text;
     changed.replace(at, shape.size(), other);
-    JobRecord record;
-    EXPECT_FALSE(decode(changed, record)) << other;
+    EXPECT_FALSE(decode<JobRecord>(changed)) << other;
     Replica replica;
     EXPECT_FALSE(replica.apply({"job/req-000412", changed, 1})) << other;
     EXPECT_EQ(replica.job("req-000412"), nullptr);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -24,8 +24,9 @@
 }
 
 TEST(Wire, JobIsReadWithUnknownFieldsIgnored) {
-  JobSpec job;
-  ASSERT_EQ(parse_job(job_text(), job), "");
+  const auto parsed = parse_job(job_text());
+  ASSERT_TRUE(parsed) << parsed.error().text();
+  const JobSpec& job = *parsed;
   EXPECT_EQ(job.id, "req-000412");
   EXPECT_TRUE(job.is_gang());
   EXPECT_EQ(job.priority, Priority::high);
@@ -36,60 +37,85 @@
 }
 
 TEST(Wire, BadJobsAreRefusedWithAReason) {
-  const std::pair<const char*, const char*> cases[] = {{R"("req-000412")", R"("job-000412")"},
-                                                       {R"("req-000412")", R"("req-12")"},
-                                                       {R"("req-000412")", R"("req-0004x2")"},
-                                                       {R"("ensemble")", R"("pile")"},
-                                                       {R"("high")", R"("highest")"},
-                                                       {R"("loads":16)", R"("loads":0)"},
-                                                       {R"("loads":16)", R"("loads":100001)"},
-                                                       {R"("loads":16)", R"("loads":1.5)"},
-                                                       {R"("cpus":8.0)", R"("cpus":-1)"},
-                                                       {R"("cpus":8.0)", R"("cpus":1e999)"},
-                                                       {R"("cpus":8.0)", R"("cpus":"8")"},
-                                                       {R"("memGb":64.0,)", ""},
-                                                       {R"(["g8"])", R"([])"},
-                                                       {R"(["g8"])", R"([7])"},
-                                                       {R"("yard":null)", R"("yard":7)"},
-                                                       {R"("together":true,)", ""},
-                                                       {R"("dueS":900.0)", R"("dueS":-1)"},
-                                                       {R"("kit":"img-07")", R"("kit":"")"}};
-  for (const auto& [from, to] : cases) {
-    JobSpec job;
-    EXPECT_NE(parse_job(job_text(from, to), job), "") << to;
+  struct Case {
+    const char *from, *to, *reason;
+  };
+  constexpr const char* kBadId = "id is missing or invalid";
+  constexpr const char* kBadLoads = "loads is missing or invalid";
+  constexpr const char* kBadCpus = "cpus is missing or invalid";
+  const Case cases[] = {{R"("req-000412")", R"("job-000412")", kBadId},
+                        {R"("req-000412")", R"("req-12")", kBadId},
+                        {R"("req-000412")", R"("req-0004x2")", kBadId},
+                        {R"("ensemble")", R"("pile")", "shape is missing or invalid"},
+                        {R"("high")", R"("highest")", "rank is missing or invalid"},
+                        {R"("loads":16)", R"("loads":0)", kBadLoads},
+                        {R"("loads":16)", R"("loads":100001)", kBadLoads},
+                        {R"("loads":16)", R"("loads":1.5)", kBadLoads},
+                        {R"("cpus":8.0)", R"("cpus":-1)", kBadCpus},
+                        {R"("cpus":8.0)", R"("cpus":1e999)", "body is not a JSON object"},
+                        {R"("cpus":8.0)", R"("cpus":"8")", kBadCpus},
+                        {R"("memGb":64.0,)", "", "memGb is missing or invalid"},
+                        {R"("pullGb":6.2,)", "", "pullGb is missing or invalid"},
+                        {R"("queue":"train",)", "", "queue is missing or invalid"},
+                        {R"("vision")", "null", "crew is missing or invalid"},
+                        {R"("gpus":1.0)", R"("gpus":true)", "gpus is missing or invalid"},
+                        {R"("scatter":false)", R"("scatter":0)", "scatter is missing or invalid"},
+                        {R"("standby":true,)", "", "standby is missing or invalid"},
+                        {R"("haulS":240.0)", R"("haulS":-1)", "haulS is missing or invalid"},
+                        {R"("ensemble")", R"("daemon")", "haulS of a daemon must be 0"},
+                        {R"("tipS":30.0,)", "", "tipS is missing or invalid"},
+                        {R"("stowS":4.0,)", "", "stowS is missing or invalid"},
+                        {R"(["g8"])", R"([])", "fleets is invalid"},
+                        {R"(["g8"])", R"([7])", "fleets is invalid"},
+                        {R"("yard":null)", R"("yard":7)", "yard is invalid"},
+                        {R"("together":true,)", "", "together is missing or invalid"},
+                        {R"("dueS":900.0)", R"("dueS":-1)", "dueS is invalid"},
+                        {R"("kit":"img-07")", R"("kit":"")", "kit is missing or invalid"}};
+  for (const auto& [from, to, reason] : cases) {
+    const auto job = parse_job(job_text(from, to));
+    ASSERT_FALSE(job) << to;
+    EXPECT_EQ(job.error().text(), reason) << to;
   }
-  JobSpec job;
-  for (const char* text : {"", "[]", "null", "{", "\xff\xfe", "{}", "7"})
-    EXPECT_NE(parse_job(text, job), "") << text;
-  EXPECT_NE(parse_job(std::string(60000, '['), job), "");  // nesting must not overflow the stack
+  for (const char* text : {"", "[]", "null", "{", "\xff\xfe", "7"}) {
+    const auto job = parse_job(text);
+    ASSERT_FALSE(job) << text;
+    EXPECT_EQ(job.error().text(), "body is not a JSON object") << text;
+  }
+  const auto empty = parse_job("{}");
+  ASSERT_FALSE(empty);
+  EXPECT_EQ(empty.error().text(), kBadId);
+  EXPECT_FALSE(parse_job(std::string(60000, '[')));  // nesting must not overflow the stack
 }
 
 TEST(Wire, JobRecordRoundTrip) {
-  JobRecord a, b;
-  ASSERT_EQ(parse_job(job_text(), a.spec), "");
-  a.submitted_ms = 1234567890123;
-  a.cancelled = true;
-  ASSERT_TRUE(decode(encode(a), b));
-  EXPECT_EQ(encode(a), encode(b));
-  EXPECT_TRUE(b.cancelled);
+  const auto spec = parse_job(job_text());
+  ASSERT_TRUE(spec) << spec.error().text();
+  JobRecord written;
+  written.spec = *spec;
+  written.submitted_ms = 1234567890123;
+  written.cancelled = true;
+  const auto read = decode<JobRecord>(encode(written));
+  ASSERT_TRUE(read) << read.error().message();
+  EXPECT_EQ(encode(written), encode(*read));
+  EXPECT_TRUE(read->cancelled);
 }
 
-TEST(Wire, ReportIsCheckedThroughout) {
+TEST(Wire, HeartbeatIsCheckedThroughout) {
   const std::string good =
       R"({"rig":"n-000231","endpoint":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,)"
       R"("shift":1,"tally":88,"baton":41,"warningS":null,"loads":[)"
       R"({"load":"req-000412/3","try":2,"status":"running"},)"
       R"({"load":"req-000398/0","try":1,"status":"exited","cause":"stopped","saved":true}]})";
-  Heartbeat r;
-  ASSERT_TRUE(parse_heartbeat(good, r));
-  ASSERT_EQ(r.tasks.size(), 2U);
-  EXPECT_EQ(r.tasks[0].task.index, 3U);
-  EXPECT_TRUE(r.tasks[1].checkpointed);
-  EXPECT_EQ(r.tasks[1].cause, ExitCause::stopped);
+  const auto heartbeat = parse_heartbeat(good);
+  ASSERT_TRUE(heartbeat) << heartbeat.error().message();
+  ASSERT_EQ(heartbeat->tasks.size(), 2U);
+  EXPECT_EQ(heartbeat->tasks[0].task.index, 3U);
+  EXPECT_TRUE(heartbeat->tasks[1].checkpointed);
+  EXPECT_EQ(heartbeat->tasks[1].cause, ExitCause::stopped);
   for (const char* word : {"rig", "shift", "tally", "baton", "try", "load\"", "cause"}) {
     std::string bad = good;
     bad.replace(bad.rfind(word), 1, "X");
-    EXPECT_FALSE(parse_heartbeat(bad, r)) << bad;
+    EXPECT_FALSE(parse_heartbeat(bad)) << bad;
   }
 }
 
@@ -104,14 +130,14 @@
   a.placed[104] = {4, "n-000002", 1, "puffin-1"};
   a.next_attempt = 5;
   a.stopping = true;
-  RangeRecord b;
-  ASSERT_TRUE(decode(encode(a), b));
-  EXPECT_EQ(encode(a), encode(b));
-  EXPECT_EQ(b.done, a.done);
-  EXPECT_EQ(b.placed.at(104).quota_holder, "puffin-1");
-  EXPECT_FALSE(decode(R"({"o":"x","b":3,"e":3,"d":"","n":1,"p":[]})", b));
-  EXPECT_FALSE(decode(R"({"o":"x","b":0,"e":4,"d":"z","n":1,"p":[]})", b));
-  EXPECT_FALSE(decode(R"({"o":"x","b":0,"e":4,"d":"0","n":1,"p":[["m",1,"g",9,1]]})", b));
+  const auto b = decode<RangeRecord>(encode(a));
+  ASSERT_TRUE(b) << b.error().message();
+  EXPECT_EQ(encode(a), encode(*b));
+  EXPECT_EQ(b->done, a.done);
+  EXPECT_EQ(b->placed.at(104).quota_holder, "puffin-1");
+  EXPECT_FALSE(decode<RangeRecord>(R"({"o":"x","b":3,"e":3,"d":"","n":1,"p":[]})"));
+  EXPECT_FALSE(decode<RangeRecord>(R"({"o":"x","b":0,"e":4,"d":"z","n":1,"p":[]})"));
+  EXPECT_FALSE(decode<RangeRecord>(R"({"o":"x","b":0,"e":4,"d":"0","n":1,"p":[["m",1,"g",9,1]]})"));
 }
 
 TEST(Wire, StateMessages) {
@@ -134,43 +160,178 @@
 }
 
 TEST(Wire, OtherRecordsRoundTrip) {
-  ViewRecord view{7, {{"a", "1"}, {"b", "2"}}, {{"c", "3"}}, {"b"}}, view2;
-  ASSERT_TRUE(decode(encode(view), view2));
-  EXPECT_EQ(encode(view), encode(view2));
-  QuotaRecord quota, quota2;
+  const ViewRecord view{7, {{"a", "1"}, {"b", "2"}}, {{"c", "3"}}, {"b"}};
+  const auto view2 = decode<ViewRecord>(encode(view));
+  ASSERT_TRUE(view2) << view2.error().message();
+  EXPECT_EQ(encode(view), encode(*view2));
+  QuotaRecord quota;
   quota.leases["a"] = {1.5, 2};
   quota.demand["b"] = {0, 1};
-  ASSERT_TRUE(decode(encode(quota), quota2));
-  EXPECT_EQ(encode(quota), encode(quota2));
-  FleetRecord fleet, fleet2;
+  const auto quota2 = decode<QuotaRecord>(encode(quota));
+  ASSERT_TRUE(quota2) << quota2.error().message();
+  EXPECT_EQ(encode(quota), encode(*quota2));
+  FleetRecord fleet;
   fleet.machines["n-1"] = {"1.2.3.4:5", "t", "z", true, MachineState::quarantined, 0};
   fleet.machines["n-2"] = {"", "t", "y", false, MachineState::terminated, 0};
-  ASSERT_TRUE(decode(encode(fleet), fleet2));
-  EXPECT_EQ(fleet.machines, fleet2.machines);
-  EXPECT_FALSE(decode(R"({"m":{"n-1":["","t","z",1,5]}})", fleet2));
-  EXPECT_FALSE(decode(R"({"m":{"n-1":["","t"]}})", fleet2));
-  ShardRecord part, part2;
-  part.machines["n-1"] = {"1.2.3.4:5", 9, MachineState::lost, 4};
-  ASSERT_TRUE(decode(encode(part), part2));
-  EXPECT_EQ(part.machines, part2.machines);
-  EXPECT_FALSE(decode(R"({"m":{"n-1":["",-1,0,1]}})", part2));
-  std::string name;
-  std::uint32_t group = 0;
-  EXPECT_TRUE(parse_shard_key(shard_key("puffin-0", 7), name, group));
-  EXPECT_EQ(name, "puffin-0");
-  EXPECT_EQ(group, 7U);
-  EXPECT_FALSE(parse_shard_key("part/7", name, group));
-  EXPECT_FALSE(parse_fleet_key("fleet/x", group));
-}
-
-TEST(Wire, PeerHintRoundTripAndGarbage) {
-  GossipMessage a{"puffin-0", "abc", 12, true, 3.5, 9, {}, {}}, b;
-  const std::string bytes = encode(a);
-  ASSERT_TRUE(decode(bytes, b));
-  EXPECT_EQ(b.epoch, 12U);
-  EXPECT_EQ(b.free_cpus, 3.5);
-  for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(decode(bytes.substr(0, n), b));
-  EXPECT_FALSE(decode("garbage", b));
+  const auto fleet2 = decode<FleetRecord>(encode(fleet));
+  ASSERT_TRUE(fleet2) << fleet2.error().message();
+  EXPECT_EQ(fleet.machines, fleet2->machines);
+  EXPECT_FALSE(decode<FleetRecord>(R"({"m":{"n-1":["","t","z",1,5]}})"));
+  EXPECT_FALSE(decode<FleetRecord>(R"({"m":{"n-1":["","t"]}})"));
+  ShardRecord shard;
+  shard.machines["n-1"] = {"1.2.3.4:5", 9, MachineState::lost, 4};
+  const auto shard2 = decode<ShardRecord>(encode(shard));
+  ASSERT_TRUE(shard2) << shard2.error().message();
+  EXPECT_EQ(shard.machines, shard2->machines);
+  EXPECT_FALSE(decode<ShardRecord>(R"({"m":{"n-1":["",-1,0,1]}})"));
+  const auto key = parse_shard_key(shard_key("puffin-0", 7));
+  ASSERT_TRUE(key) << key.error().message();
+  EXPECT_EQ(key->controller, "puffin-0");
+  EXPECT_EQ(key->group, 7U);
+  EXPECT_FALSE(parse_shard_key("part/7"));
+  EXPECT_FALSE(parse_fleet_key("fleet/x"));
+}
+
+TEST(Wire, GossipMessageRoundTripAndGarbage) {
+  const std::string bytes = encode(GossipMessage{"puffin-0", "abc", 12, true, 3.5, 9, {}, {}});
+  const auto read = decode<GossipMessage>(bytes);
+  ASSERT_TRUE(read) << read.error().message();
+  EXPECT_EQ(read->epoch, 12U);
+  EXPECT_EQ(read->free_cpus, 3.5);
+  for (std::size_t n = 0; n < bytes.size(); ++n)
+    EXPECT_FALSE(decode<GossipMessage>(bytes.substr(0, n)));
+  EXPECT_FALSE(decode<GossipMessage>("garbage"));
+}
+
+// ---- errors name the field that is wrong ----
+
+// What is wrong with a text that must not be readable: "field: expected ...".
+template <typename Value>
+std::string error_of(const Decoded<Value>& decoded) {
+  EXPECT_FALSE(decoded);
+  return decoded ? "" : decoded.error().message();
+}
+
+TEST(Wire, HeartbeatErrorsNameTheField) {
+  const auto heartbeat = [](const std::string& machine, const std::string& task) {
+    return R"({"rig":)" + machine +
+           R"(,"endpoint":"e:1","fleet":"g8","yard":"a","standby":true,"shift":1,"tally":8,)"
+           R"("baton":4,"loads":[{"load":"req-000412/3","try":2,"status":"running"},)" +
+           task + "]}";
+  };
+  const std::string machine = R"("n-1")";
+  const std::string good = R"({"load":"req-000412/4","try":1,"status":"exited","cause":"done"})";
+  ASSERT_TRUE(parse_heartbeat(heartbeat(machine, good)));
+  EXPECT_EQ(error_of(parse_heartbeat("[]")), "expected a JSON object");
+  EXPECT_EQ(error_of(parse_heartbeat(heartbeat("7", good))),
+            "rig: expected a text of 1 to 128 bytes");
+  const std::pair<const char*, const char*> tasks[] = {
+      {R"({"load":"req-000412/4","try":1,"status":"asleep"})",
+       "loads[1].status: expected one of fetching, gathering, running, saving, exited"},
+      {R"({"load":"req-000412/4","try":1,"status":"exited"})",
+       "loads[1].cause: expected one of done, stopped, peers, alone, error, no_room, busy, "
+       "no_such"},
+      {R"({"load":"req-000412/4","try":-1,"status":"running"})",
+       "loads[1].try: expected a whole number that is not negative"},
+      {R"({"load":"req-000412","try":1,"status":"running"})",
+       "loads[1].load: expected a task's name, JOB/INDEX"},
+      {R"({"load":"req-000412/4","try":1,"status":"running","saved":1})",
+       "loads[1].saved: expected true or false"},
+      {"7", "loads[1].load: expected a text"}};
+  for (const auto& [task, error] : tasks)
+    EXPECT_EQ(error_of(parse_heartbeat(heartbeat(machine, task))), error) << task;
+}
+
+TEST(Wire, CloudMessageErrorsNameTheField) {
+  EXPECT_EQ(error_of(parse_catalog("{}")), "fleets: expected a list of machine types");
+  EXPECT_EQ(error_of(parse_catalog(R"({"fleets":[{"label":"c16","cpus":-16,"memGb":64}]})")),
+            "fleets[0].cpus: expected a number that is not negative");
+  EXPECT_EQ(error_of(parse_catalog(
+                R"({"fleets":[{"label":"c16","cpus":16,"memGb":64,"yards":["a",2]}]})")),
+            "fleets[0].yards[1]: expected a text");
+  EXPECT_EQ(error_of(parse_scale_out_reply(R"({"rigs":["n-1",2]})")), "rigs[1]: expected a text");
+  EXPECT_EQ(error_of(parse_machine_list(R"({"rigs":[]})")), "hasNext: expected true or false");
+}
+
+// The machines before one that can't be read are of use: the list is read on from there.
+TEST(Wire, MachineListIsReadAsFarAsItCanBe) {
+  const auto page = parse_machine_list(
+      R"({"hasNext":true,"rigs":[{"id":"n-1","fleet":"g8","yard":"a","standby":false,)"
+      R"("status":"starting"},{"id":"n-2","fleet":"g8","yard":"a","standby":false,)"
+      R"("status":"unheard-of"},{"id":"n-3","fleet":"g8","yard":"a","standby":false,)"
+      R"("status":"running"}]})");
+  ASSERT_TRUE(page) << page.error().message();
+  EXPECT_TRUE(page->more);
+  ASSERT_EQ(page->machines.size(), 1U);
+  EXPECT_EQ(page->machines[0].id, "n-1");
+  ASSERT_TRUE(page->unreadable);
+  EXPECT_EQ(page->unreadable->message(),
+            "rigs[1].status: expected one of starting, running, failed");
+}
+
+TEST(Wire, RecordErrorsNameTheField) {
+  EXPECT_EQ(error_of(decode<ViewRecord>(R"({"epoch":1,"live":{"a":1},"departed":{}})")),
+            "live.a: expected a text");
+  EXPECT_EQ(error_of(decode<LiveRecord>(R"({"incarnation":"a"})")),
+            "epoch: expected a whole number that is not negative");
+  EXPECT_EQ(error_of(decode<FormatRecord>(R"({"formats":-1})")),
+            "formats: expected a whole number of at most 32 bits");
+  EXPECT_EQ(error_of(decode<RangeRecord>(R"({"o":"x","b":3,"e":3,"d":"","n":1,"p":[]})")),
+            "e: expected a number above that of the first task");
+  EXPECT_EQ(error_of(decode<RangeRecord>(R"({"o":"x","b":0,"e":4,"d":"z","n":1,"p":[]})")),
+            "d: expected a hexadecimal digit for each four tasks");
+  EXPECT_EQ(error_of(decode<RangeRecord>(R"({"o":"x","b":0,"e":4,"d":"00","n":1,"p":[]})")),
+            "d: expected a hexadecimal digit for each four tasks");
+  EXPECT_EQ(
+      error_of(decode<RangeRecord>(
+                   R"({"o":"x","b":0,"e":4,"d":"0","n":1,"p":[["m",1,"",2,1],["m",1,"g",9,1]]})"))
+          .substr(0, 5),
+      "p[1]:");
+  EXPECT_EQ(error_of(decode<FleetRecord>(R"({"m":{"n-1":["","t","z",1,5]}})")),
+            "m.n-1: expected [address, type, zone, spot, state]");
+  EXPECT_EQ(error_of(decode<ShardRecord>(R"({"m":{"n-1":["",-1,0,1]}})")),
+            "m.n-1: expected [address, incarnation, state, epoch]");
+  EXPECT_EQ(error_of(decode<QuotaRecord>(R"({"grants":{"a":[1,2]},"wanted":{"b":[1,"2"]}})")),
+            "wanted.b: expected [cpus, gpus]");
+  EXPECT_EQ(error_of(decode<QuotaRecord>(R"({"grants":{},"wanted":{},"services":[]})")),
+            "services: expected an object of amounts");
+  EXPECT_EQ(error_of(decode<ScaleOutRequest>(R"({"type":"g8","zone":"a","spot":1,"count":2})")),
+            "spot: expected true or false");
+  EXPECT_EQ(error_of(decode<FinalStateRecord>("null")), "expected a JSON object");
+}
+
+TEST(Wire, JobRecordErrorsNameTheField) {
+  JobRecord record;
+  const auto spec = parse_job(job_text());
+  ASSERT_TRUE(spec) << spec.error().text();
+  record.spec = *spec;
+  record.shares = {{0, 0, 8, "a"}, {1, 8, 17, "b"}};  // of a job of 16 tasks
+  EXPECT_EQ(error_of(decode<JobRecord>(encode(record))),
+            "shares[1]: expected [number, begin, end, owner] of tasks of the job");
+  EXPECT_EQ(error_of(decode<JobRecord>(job_text())), "submittedMs: expected a whole number");
+  EXPECT_EQ(error_of(decode<JobRecord>(job_text(R"("loads":16)", R"("loads":0)"))),
+            "loads: expected a valid field of a job specification");
+}
+
+TEST(Wire, KeyErrorsNameTheForm) {
+  EXPECT_EQ(error_of(parse_fleet_key("fleet/x")), "key: expected fleet/GROUP");
+  EXPECT_EQ(error_of(parse_shard_key("part/7")), "key: expected part/CONTROLLER/GROUP");
+  EXPECT_EQ(error_of(parse_range_key("range/req-000412")), "key: expected range/JOB/NUMBER");
+}
+
+TEST(Wire, PeerMessageErrorsNameTheField) {
+  EXPECT_EQ(error_of(decode<GossipMessage>("garbage")), "expected a CBOR map");
+  EXPECT_EQ(error_of(decode<PeerMessage>("garbage")), "expected a CBOR map");
+  EXPECT_EQ(error_of(decode<PeerMessage>("\xa0")), "from: expected a text");
+  EXPECT_EQ(error_of(decode<GossipMessage>(encode(RelayReply{"b", 7, 200, "{}"}))),
+            "incarnation: expected a text");
+  // {"relay": 9}
+  EXPECT_EQ(error_of(decode<PeerMessage>("\xa1\x65relay\x09")),
+            "relay: expected a kind of relayed message");
+  // {"relay": 255, "from": 1}
+  EXPECT_EQ(error_of(decode<PeerMessage>("\xa2\x65relay\x18\xff\x64"
+                                         "from\x01")),
+            "from: expected a text");
 }
 
 }  // namespace
