--- a/src/wire/decode_error.h
+++ b/src/wire/decode_error.h
@@ -5,6 +5,7 @@
 // between controllers. Both return the value, or the first field that is wrong.
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <string_view>
 #include <tl/expected.hpp>
@@ -37,6 +38,13 @@
   return tl::unexpected(DecodeError{std::move(field), std::move(expected)});
 }
 
+// What is expected of a field that is read into a value of that type.
+inline const char* expected_for(const std::string&) { return "a text"; }
+inline const char* expected_for(bool) { return "true or false"; }
+inline const char* expected_for(std::uint64_t) { return "a whole number that is not negative"; }
+inline const char* expected_for(std::uint32_t) { return "a whole number of at most 32 bits"; }
+inline const char* expected_for(double) { return "a finite number"; }
+
 // Reads a stored record or a message between controllers. Each such type has a specialisation,
 // declared beside the type; fields that it doesn't know are ignored.
 template <typename Value>
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -46,7 +46,7 @@
   // A field of the type of `out`.
   template <typename Value>
   FieldReader& required(const char* field, Value& out) {
-    return require(!failed() && read(object_, field, out), field, expected_of(out));
+    return require(!failed() && read(object_, field, out), field, expected_for(out));
   }
   // A finite number that is not negative.
   FieldReader& amount(const char* field, double& out);
@@ -60,12 +60,6 @@
   const DecodeError& error() const { return *error_; }
 
  private:
-  static const char* expected_of(const std::string&) { return "a text"; }
-  static const char* expected_of(bool) { return "true or false"; }
-  static const char* expected_of(std::uint64_t) { return "a whole number that is not negative"; }
-  static const char* expected_of(std::uint32_t) { return "a whole number of at most 32 bits"; }
-  static const char* expected_of(double) { return "a finite number"; }
-
   const Json& object_;
   std::optional<DecodeError> error_;
 };
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -114,8 +114,8 @@
   none,     // it has not
   done,     // it is complete
   stopped,  // it was told to stop
-  peers,    // of a gang whose other tasks did not start in time
-  alone,    // of a gang that lost another task
+  peers,    // because of other tasks of its gang
+  alone,    // of a gang whose other tasks did not start in time
   error,    // it failed
   no_room,  // the machine has too few free resources
   busy,     // the machine can't take it now
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -65,7 +65,7 @@
   template <typename Value>
   EntryReader& required(std::string_view key, Value& out) {
     if (!failed() && !cbor::read(map_, key, out))
-      error_ = DecodeError{std::string(key), expected_of(out)};
+      error_ = DecodeError{std::string(key), expected_for(out)};
     return *this;
   }
   bool failed() const { return error_.has_value(); }
@@ -73,11 +73,6 @@
   const DecodeError& error() const { return *error_; }
 
  private:
-  static const char* expected_of(const std::string&) { return "a text"; }
-  static const char* expected_of(bool) { return "true or false"; }
-  static const char* expected_of(std::uint64_t) { return "a whole number that is not negative"; }
-  static const char* expected_of(double) { return "a finite number"; }
-
   const cbor_item_t* map_;
   std::optional<DecodeError> error_;
 };
