--- a/src/app/service.h
+++ b/src/app/service.h
@@ -14,18 +14,24 @@
 
 namespace scheduler::app {
 
+// One controller as a process. Everything runs on the thread that calls run().
 class Service {
  public:
+  // Listens at once; throws std::system_error if it can't. Two runs must never have the same
+  // `seed`.
   Service(asio::io_context& io, const NodeSettings& settings, const Options& options,
           std::uint64_t seed);
+  // Serves until the process ends.
   void run();
 
  private:
-  static Ms steady_ms();
-  static Ms wall_ms();
+  static Ms steady_ms();  // steady clock; never 0
+  static Ms wall_ms();    // time of day
   void tick();
+  // Sends what the controller asks for until it asks for nothing more, and sets the timer.
   void carry_out();
   void arm();
+  // Connections to the server, if the options don't say.
   int most_connections() const;
 
   asio::io_context& io_;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -16,19 +16,28 @@
 
 namespace scheduler::net {
 
+// Takes requests and replies to each when told to. One request of a connection is under way at a
+// time; those sent ahead wait. Not for more than one thread.
 class HttpServer {
  public:
   struct Request {
-    std::string method, path, body;
+    std::string method;  // "GET"
+    std::string path;    // as sent, with its query
+    std::string body;    // at most limits::kBodyBytes
   };
+  // Gets each request with a number that is not used again, by which to reply.
   using Handler = std::function<void(std::uint64_t id, Request)>;
 
+  // Listens at once; throws std::system_error if it can't. `io` outlives the server and runs its
+  // calls.
   HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& listen, int max_connections,
              Handler handler);
   ~HttpServer();
 
-  // Answers a request once. Unknown numbers (the client has gone) are ignored.
+  // Replies to a request once, with a JSON body; `retry_after_s` above 0 is sent as Retry-After, in
+  // seconds. Unknown numbers (the client has gone) are ignored.
   void reply(std::uint64_t id, int status, const std::string& body, int retry_after_s);
+  // Open connections.
   std::size_t connections() const { return connections_.size(); }
   // Connections refused because all were in use, and those closed early to make room.
   std::uint64_t refused() const { return refused_; }
@@ -37,11 +46,14 @@
  private:
   class Connection;
   void accept();
+  // Closes connections that have been idle, or in the middle of a request, for too long; again and
+  // again.
   void sweep();
+  // Forgets a connection that has closed, and the request that it waits for.
   void drop(std::uint64_t connection);
   // Closes the connection that has been idle longest, if that is long enough.
   bool evict_idle();
-  // So many are open that each is closed with its answer.
+  // So many are open that each is closed with its reply.
   bool crowded() const;
 
   asio::io_context& io_;
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -16,14 +16,14 @@
 // Bytes read at once.
 constexpr std::size_t kReadBytes = 8 * 1024;
 // Milliseconds after which a connection of a client that sends nothing is closed. Users poll every
-// 5 s and workers report every few seconds, so one this quiet has been given up.
+// 5 s and workers send heartbeats every few seconds, so one this quiet has been given up.
 constexpr std::int64_t kServerIdleMs = 90'000;
 // Milliseconds in which a request that has begun must be complete.
 constexpr std::int64_t kServerRequestMs = 20'000;
 // Milliseconds between looks for connections to close.
 constexpr std::int64_t kSweepMs = 2'000;
 // Milliseconds for which our idle connections to others are kept for reuse.
-// A machine gets something to do every ten to sixty seconds, and a new connection costs as much as
+// A worker gets a command every ten to sixty seconds, and a new connection costs as much as
 // several messages.
 constexpr std::int64_t kClientIdleMs = 90'000;
 // Idle connections kept per address.
@@ -36,16 +36,16 @@
 // Links from peers, half-dead ones included: in all at least, and for each peer.
 constexpr std::size_t kPeerLinksLeast = 32;
 constexpr std::size_t kLinksPerPeer = 4;
-// Share of the connections that may be open at once from which on each is closed with its answer.
-// More machines than sockets can then report, one after the other.
+// Share of the connections that may be open at once from which on each is closed with its reply.
+// More workers than sockets can then send heartbeats, one after the other.
 constexpr double kCrowdedShare = 0.75;
 // Milliseconds for which a connection must have been idle to be closed for a new one: longer than
-// between two reports of a machine, or two questions of a user.
+// between two heartbeats of a worker, or two polls of a user.
 constexpr std::int64_t kEvictIdleMs = 10'000;
 // Milliseconds before a peer link that failed is tried again.
 constexpr std::int64_t kPeerRetryMs = 1'000;
 // Bytes that may wait on a peer link; more are dropped, since any message between controllers may
-// be lost. Two of the largest messages that are passed on for others.
+// be lost. Two of the largest messages that are relayed for others.
 constexpr std::size_t kPeerQueueBytes = 160 * 1024;
 
 }  // namespace scheduler::net::limits
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -101,7 +101,7 @@
   if (!out->connected) {
     if (!out->connecting && now >= out->retry_at) connect(out);
     if (!out->connecting) return;
-    out->waiting.clear();  // only the newest hint is worth sending later
+    out->waiting.clear();  // only the newest message is worth sending later
   }
   if (out->waiting.size() + frame.size() > limits::kPeerQueueBytes) return;
   const auto n = static_cast<std::uint32_t>(frame.size());
