--- a/src/wire/decode_error.h
+++ b/src/wire/decode_error.h
@@ -39,11 +39,15 @@
 }
 
 // What is expected of a field that is read into a value of that type.
-inline const char* expected_for(const std::string&) { return "a text"; }
-inline const char* expected_for(bool) { return "true or false"; }
-inline const char* expected_for(std::uint64_t) { return "a whole number that is not negative"; }
-inline const char* expected_for(std::uint32_t) { return "a whole number of at most 32 bits"; }
-inline const char* expected_for(double) { return "a finite number"; }
+inline const char* expected_for(const std::string& /*out*/) { return "a text"; }
+inline const char* expected_for(bool /*out*/) { return "true or false"; }
+inline const char* expected_for(std::uint64_t /*out*/) {
+  return "a whole number that is not negative";
+}
+inline const char* expected_for(std::uint32_t /*out*/) {
+  return "a whole number of at most 32 bits";
+}
+inline const char* expected_for(double /*out*/) { return "a finite number"; }
 
 // Reads a stored record or a message between controllers. Each such type has a specialisation,
 // declared beside the type; fields that it doesn't know are ignored.
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -37,16 +37,16 @@
                                               {"running", CloudState::running},
                                               {"failed", CloudState::failed}};
 
-template <typename Enum, std::size_t kSize>
-std::string_view name_of(const Named<Enum> (&table)[kSize], Enum value) {
+template <typename Enum, std::size_t Size>
+std::string_view name_of(const Named<Enum> (&table)[Size], Enum value) {
   for (const auto& [name, named] : table) {
     if (named == value) return name;
   }
   return "";
 }
 
-template <typename Enum, std::size_t kSize>
-std::optional<Enum> find_in_table(const Named<Enum> (&table)[kSize], std::string_view text) {
+template <typename Enum, std::size_t Size>
+std::optional<Enum> find_in_table(const Named<Enum> (&table)[Size], std::string_view text) {
   for (const auto& [name, value] : table) {
     if (name == text) return value;
   }
@@ -54,8 +54,8 @@
 }
 
 // "one of a, b, c", for errors.
-template <typename Enum, std::size_t kSize>
-std::string one_of(const Named<Enum> (&table)[kSize]) {
+template <typename Enum, std::size_t Size>
+std::string one_of(const Named<Enum> (&table)[Size]) {
   std::string names;
   for (const auto& [name, value] : table)
     names.append(names.empty() ? "one of " : ", ").append(name);
@@ -63,9 +63,9 @@
 }
 
 // Reads a required field whose value is one of the table's names.
-template <typename Enum, std::size_t kSize>
+template <typename Enum, std::size_t Size>
 void read_enum(FieldReader& fields, const Json& object, const char* field,
-               const Named<Enum> (&table)[kSize], Enum& out) {
+               const Named<Enum> (&table)[Size], Enum& out) {
   if (fields.failed()) return;
   const Json* text = member(object, field);
   std::optional<Enum> value;
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -6,6 +6,8 @@
 //              scatter: spread over zones; standby: spot machines allowed; haulS: estimated run
 //              time of a task; tipS and stowS: interval and time of checkpoints; dueS: deadline
 //   shapes     batch: job array; ensemble: gang; daemon: service
+//   ranks      standard: normal priority
+//   statuses   pending: queued; withdrawn: cancelled
 //   workers    rig: machine; endpoint: address; fleet: machine type; shift: agent incarnation;
 //              tally: heartbeat sequence; baton: fencing token; warningS: preemption notice;
 //              loads: tasks; try: attempt; gathering: waiting (for its gang); saving:
