--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -191,16 +191,18 @@
 
 void Controller::on_peer(Ms now, std::string_view bytes) {
   observe_input(now);
-  const wire::PeerMessage message = wire::decode_peer_message(bytes);
-  if (const auto* gossip = std::get_if<wire::GossipMessage>(&message)) {
+  const auto message = wire::decode<wire::PeerMessage>(bytes);
+  if (!message) {
+    log(LogLevel::info, "unreadable message from a peer");
+    return;
+  }
+  if (const auto* gossip = std::get_if<wire::GossipMessage>(&*message)) {
     if (is_peer(gossip->from)) gossip_.on_message(now, *gossip);
-  } else if (const auto* request = std::get_if<wire::RelayRequest>(&message)) {
+  } else if (const auto* request = std::get_if<wire::RelayRequest>(&*message)) {
     if (settings_.relays && is_peer(request->from))
       relay_.on_request(now, status_.wall(now), *request);
-  } else if (const auto* reply = std::get_if<wire::RelayReply>(&message)) {
+  } else if (const auto* reply = std::get_if<wire::RelayReply>(&*message)) {
     relay_.on_reply(now, *reply);
-  } else {
-    log(LogLevel::info, "unreadable message from a peer");
   }
 }
 
--- a/src/jobs/job_reader.cpp
+++ b/src/jobs/job_reader.cpp
@@ -114,11 +114,12 @@
 void JobReader::on_final_state_read(Ms now, std::uint64_t request, const std::string& id,
                                     const HttpResult& http_result, const OnJobRead& on_job_read) {
   const auto item = wire::parse_item(http_result.body);
-  wire::FinalStateRecord final_state;
-  if (http_result.status == 200 && item && item->value && decode(*item->value, final_state)) {
-    context_.replica.remember_final_state(id, final_state);
-    on_job_read(now, final_status(final_state));
-    return;
+  if (http_result.status == 200 && item && item->value) {
+    if (const auto final_state = wire::decode<wire::FinalStateRecord>(*item->value)) {
+      context_.replica.remember_final_state(id, *final_state);
+      on_job_read(now, final_status(*final_state));
+      return;
+    }
   }
   // Accepted between the two reads: then the replica may have it by now.
   if (http_result.status != 404 || context_.replica.job(id) || context_.replica.final_state(id)) {
--- a/src/jobs/job_submission.cpp
+++ b/src/jobs/job_submission.cpp
@@ -90,11 +90,12 @@
 }
 
 void JobSubmission::on_submit(Ms now, std::uint64_t request, const std::string& body) {
-  wire::JobSpec spec;
-  if (const std::string error = wire::parse_job(body, spec); !error.empty()) {
-    context_.reply(request, 400, wire::error_body(error));
+  const auto job = wire::parse_job(body);
+  if (!job) {
+    context_.reply(request, 400, wire::error_body(job.error().text()));
     return;
   }
+  const wire::JobSpec& spec = *job;
   if (refuse_early_service(request, spec)) return;
   if (const auto* final_state = context_.replica.final_state(spec.id)) {
     reply_state(request, spec.id, JobReader::final_status(*final_state).state);
--- a/src/state/machine_index.cpp
+++ b/src/state/machine_index.cpp
@@ -2,12 +2,15 @@
 
 #include <algorithm>
 
+#include "state/decode_record.h"
+
 namespace scheduler {
 
 bool MachineIndex::apply_fleet(std::uint32_t group, const std::optional<std::string>& value,
                                std::set<std::string>& changed) {
-  wire::FleetRecord record;
-  if (value && !decode(*value, record)) return false;
+  const auto decoded = decode_or_empty<wire::FleetRecord>(value);
+  if (!decoded) return false;
+  const wire::FleetRecord& record = *decoded;
   const wire::FleetRecord before = std::exchange(fleet_[group], record);
   for (const auto& [id, machine] : record.machines) group_of_[id] = group;
   for (const auto& [id, machine] : before.machines) {
@@ -25,8 +28,9 @@
 bool MachineIndex::apply_shard(const std::string& controller, std::uint32_t group,
                                const std::optional<std::string>& value,
                                std::set<std::string>& changed) {
-  wire::ShardRecord record;
-  if (value && !decode(*value, record)) return false;
+  const auto decoded = decode_or_empty<wire::ShardRecord>(value);
+  if (!decoded) return false;
+  const wire::ShardRecord& record = *decoded;
   const ShardId shard{controller, group};
   const wire::ShardRecord before = std::exchange(shards_[shard], record);
   for (const auto& [id, contact] : before.machines) {
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -1,6 +1,9 @@
 #include "state/replica.h"
 
 #include <algorithm>
+#include <utility>
+
+#include "state/decode_record.h"
 
 namespace scheduler {
 
@@ -17,9 +20,9 @@
     into.erase(name);
     return true;
   }
-  Record record;
-  if (!decode(*value, record)) return false;
-  into[name] = std::move(record);
+  auto record = wire::decode<Record>(*value);
+  if (!record) return false;
+  into[name] = std::move(*record);
   return true;
 }
 
@@ -59,10 +62,12 @@
 }
 
 bool Replica::apply_range(const wire::StoredItem& item) {
-  RangeId id;
-  if (!wire::parse_range_key(item.key, id.job, id.number)) return false;
-  wire::RangeRecord record;
-  if (item.value && !decode(*item.value, record)) return false;
+  auto key = wire::parse_range_key(item.key);
+  if (!key) return false;
+  const RangeId id{std::move(key->job), key->number};
+  auto decoded = decode_or_empty<wire::RangeRecord>(item.value);
+  if (!decoded) return false;
+  wire::RangeRecord& record = *decoded;
   changed_jobs_.insert(id.job);
   Job& job = jobs_[id.job];
   if (!item.value) {
@@ -94,12 +99,12 @@
     remove_job(id);
     return true;
   }
-  wire::JobRecord record;
-  if (!decode(*item.value, record)) return false;
+  auto record = wire::decode<wire::JobRecord>(*item.value);
+  if (!record) return false;
   Job& job = jobs_[id];
-  const bool cancelled_now = record.cancelled && !job.record.cancelled;
+  const bool cancelled_now = record->cancelled && !job.record.cancelled;
   if (job.known) uncount_placements(job);
-  job.record = std::move(record);
+  job.record = std::move(*record);
   job.known = true;
   count_placements(job);
   add_unrecorded_ranges(id, job);
@@ -138,23 +143,21 @@
 }
 
 bool Replica::apply_final_state(const wire::StoredItem& item) {
-  wire::FinalStateRecord record;
-  if (!item.value || !decode(*item.value, record)) return false;
-  remember_final_state(name_of(item.key, wire::kFinalStatePrefix), record);
+  const auto record = decode_present<wire::FinalStateRecord>(item.value);
+  if (!record) return false;
+  remember_final_state(name_of(item.key, wire::kFinalStatePrefix), *record);
   return true;
 }
 
 bool Replica::apply_fleet(const wire::StoredItem& item) {
-  std::uint32_t group = 0;
-  return wire::parse_fleet_key(item.key, group) &&
-         machine_index_.apply_fleet(group, item.value, changed_machines_);
+  const auto group = wire::parse_fleet_key(item.key);
+  return group && machine_index_.apply_fleet(*group, item.value, changed_machines_);
 }
 
 bool Replica::apply_shard(const wire::StoredItem& item) {
-  std::string controller;
-  std::uint32_t group = 0;
-  return wire::parse_shard_key(item.key, controller, group) &&
-         machine_index_.apply_shard(controller, group, item.value, changed_machines_);
+  const auto shard = wire::parse_shard_key(item.key);
+  return shard &&
+         machine_index_.apply_shard(shard->controller, shard->group, item.value, changed_machines_);
 }
 
 bool Replica::apply_live(const wire::StoredItem& item) {
@@ -163,25 +166,26 @@
 }
 
 bool Replica::apply_view(const wire::StoredItem& item) {
-  wire::ViewRecord record;
-  if (!item.value || !decode(*item.value, record)) return false;
-  view_ = std::move(record);
+  auto record = decode_present<wire::ViewRecord>(item.value);
+  if (!record) return false;
+  view_ = std::move(*record);
   view_changed_ = true;
   return true;
 }
 
 bool Replica::apply_format(const wire::StoredItem& item) {
-  wire::FormatRecord record;
-  if (!item.value || !decode(*item.value, record)) return false;
+  const auto record = decode_present<wire::FormatRecord>(item.value);
+  if (!record) return false;
   // Records of a format that was switched on once may exist for ever.
-  format_.format = std::max(format_.format, record.format);
+  format_.format = std::max(format_.format, record->format);
   return true;
 }
 
 bool Replica::apply_catalog(const wire::StoredItem& item) {
-  std::vector<wire::MachineType> types;
-  if (!item.value || !wire::parse_catalog(*item.value, types)) return false;
-  catalog_ = std::move(types);
+  if (!item.value) return false;
+  auto types = wire::parse_catalog(*item.value);
+  if (!types) return false;
+  catalog_ = std::move(*types);
   has_catalog_ = true;
   return true;
 }
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -225,39 +225,41 @@
   --(sent.suspect ? probes_in_flight_ : direct_commands_in_flight_);
   auto it = machines_.find(sent.machine);
   if (it == machines_.end()) return;
-  Machine& m = it->second;
-  m.commands_in_flight = false;
-  if (m.owned_since_epoch != sent.owned_since_epoch) return;
+  Machine& machine = it->second;
+  machine.commands_in_flight = false;
+  if (machine.owned_since_epoch != sent.owned_since_epoch) return;
   const bool current = sent.pauses == status_.pauses();
-  wire::Heartbeat heartbeat;
-  if ((http_result.status == 200 || http_result.status == 409) &&
-      wire::parse_heartbeat(http_result.body, heartbeat) && heartbeat.machine == m.id) {
+  const bool replied = http_result.status == 200 || http_result.status == 409;
+  const auto decoded = replied ? wire::parse_heartbeat(http_result.body)
+                               : wire::decode_error("status", "200 or 409");
+  if (decoded && decoded->machine == machine.id) {
+    const wire::Heartbeat& heartbeat = *decoded;
     const bool again =
         HeartbeatCounters{heartbeat.incarnation, heartbeat.sequence} <= sent.counters;
-    if (again) heartbeat_applier_.on_agent_restart(now, m, heartbeat);
-    heartbeat_applier_.apply(now, m, heartbeat);
-    m.suspect = false;
-    m.unanswered_commands = 0;
-    m.relayed_command_unanswered = false;
+    if (again) heartbeat_applier_.on_agent_restart(now, machine, heartbeat);
+    heartbeat_applier_.apply(now, machine, heartbeat);
+    machine.suspect = false;
+    machine.unanswered_commands = 0;
+    machine.relayed_command_unanswered = false;
     if (!sent.relayed) {
-      m.direct_command_failed_at = 0;
-      links_.zone(m.zone).answered(now);
+      machine.direct_command_failed_at = 0;
+      links_.zone(machine.zone).answered(now);
     }
     // It has answered, so it is within reach. A restarted one shows our token first.
-    if (!again) m.unreachable_since = 0;
-    m.next_command_at = http_result.status == 200 ? now : now + kCommandRetryMs / 4;
+    if (!again) machine.unreachable_since = 0;
+    machine.next_command_at = http_result.status == 200 ? now : now + kCommandRetryMs / 4;
     // What was stopped may be gone, and what waits for its capacity can start.
-    m.next_command_check = std::min(m.next_command_check, now + kMachineCheckMs);
+    machine.next_command_check = std::min(machine.next_command_check, now + kMachineCheckMs);
   } else if (!current) {
     // We were not there to hear it. It may have been executed, or may still be.
-    ++m.fence;
-    m.candidate_known = false;
-    m.resend_commands = true;
-    m.next_command_at = now;
+    ++machine.fence;
+    machine.candidate_known = false;
+    machine.resend_commands = true;
+    machine.next_command_at = now;
   } else {
-    on_commands_unanswered(now, m, sent);
+    on_commands_unanswered(now, machine, sent);
   }
-  if (m.resend_commands) send(now, m);
+  if (machine.resend_commands) send(now, machine);
 }
 
 void CommandDispatcher::on_commands_unanswered(Ms now, Machine& machine, const SentCommands& sent) {
--- a/src/workers/heartbeat_endpoint.cpp
+++ b/src/workers/heartbeat_endpoint.cpp
@@ -38,11 +38,12 @@
 }
 
 void HeartbeatEndpoint::on_heartbeat(Ms now, std::uint64_t request, const std::string& body) {
-  wire::Heartbeat heartbeat;
-  if (!wire::parse_heartbeat(body, heartbeat)) {
+  const auto decoded = wire::parse_heartbeat(body);
+  if (!decoded) {
     context_.reply(request, 400, wire::error_body("malformed report"));
     return;
   }
+  const wire::Heartbeat& heartbeat = *decoded;
   if (!Relay::is_relayed(request)) links_.zone(heartbeat.zone).heartbeat_received(now);
   if (!accepts(now, request, heartbeat, body)) return;
   auto machine = machines_.find(heartbeat.machine);
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -52,9 +52,8 @@
         Target::worker, address, "GET", wire::kStatusPath, "", links::kProbeTimeoutMs,
         [this, round, done, pauses = status_.pauses()](Ms at, const HttpResult& http_result) {
           --round->open;
-          wire::Heartbeat heartbeat;
           const bool answers =
-              http_result.status == 200 && wire::parse_heartbeat(http_result.body, heartbeat);
+              http_result.status == 200 && wire::parse_heartbeat(http_result.body).has_value();
           if (pauses != status_.pauses() || round->answered) return;
           round->answered = answers;
           if (answers || round->open == 0) done(at, answers);
