--- a/tests/concurrent_faults_control_test.cpp
+++ b/tests/concurrent_faults_control_test.cpp
@@ -24,7 +24,7 @@
   o.recovery_ms = 700'000;
   o.until_finished = true;
   o.machines = 12;
-  o.capacity = 6;
+  o.cloud_capacity = 6;
   o.job_every_ms = 2000;
   o.largest_array = 18;
   o.planned_faults = std::move(faults);
@@ -38,7 +38,7 @@
   EXPECT_TRUE(r.violations.empty()) << "seed " << o.seed << "\n" << list(r.violations);
   EXPECT_TRUE(r.unfinished.empty()) << "seed " << o.seed << "\n" << list(r.unfinished);
   EXPECT_GT(r.done, 5) << "seed " << o.seed;
-  EXPECT_EQ(r.over_limits, 0) << "seed " << o.seed;
+  EXPECT_EQ(r.oversized_txns, 0) << "seed " << o.seed;
   return r;
 }
 
@@ -128,8 +128,8 @@
     const Result r = run(o);
     EXPECT_FALSE(r.cancellations.empty()) << "seed " << seed;
     EXPECT_GT(r.most_used.at("tight"), 18) << "seed " << seed;
-    applied += r.late_applied;
-    failed += r.late_void;
+    applied += r.late_txns_applied;
+    failed += r.late_txns_failed;
   }
   EXPECT_GT(applied, 0);
   EXPECT_GT(failed, 0);
@@ -152,14 +152,14 @@
     o.longest_task_s = 60;
     // A late copy of a renewal keeps the controller that is away in the view beyond the leases of
     // its machines (1 of 24 such runs before, 2 of 24 now): not what is looked for here.
-    if (seed % 3 == 1) o.repeated = 0;
+    if (seed % 3 == 1) o.duplicated_requests = 0;
     o.cancels = {{20'500, 0.3}, {28'000, 0.3}, {37'000, 0.3}};
     const Result r = run(o);
     // A worker that has seen the next owner's token is not kept by the former one (reports.cpp).
     if (seed % 3 != 0) {
-      EXPECT_EQ(r.lost_by_lease, 0) << "seed " << seed;
+      EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
     }
-    reached += r.users_at_isolated;
+    reached += r.reads_at_isolated;
     for (const auto& [asked, told] : r.cancellations) meanwhile += told > 28'000 && told < 60'000;
   }
   EXPECT_GT(reached, 20);
@@ -174,7 +174,7 @@
     if (seed % 2 == 1) plan.push_back({30'000, Fault::controller_isolated, seed % 3, 20'000});
     Options o = meeting(seed, plan);
     o.longest_task_s = 8;
-    o.uneven = 0.8;
+    o.uneven_jobs = 0.8;
     o.job_every_ms = 4000;
     o.free_team_tenths = 5;
     o.limit_cpus = 8;  // so that some tasks begin after others have ended
@@ -243,7 +243,7 @@
     Options o = meeting(seed, plan);
     o.longest_task_s = 60;
     o.cancels = {{30'000, 0.2}};
-    lost += run(o).lost_by_lease;
+    lost += run(o).lease_expiries;
   }
   EXPECT_GT(lost, 0);
 }
@@ -260,7 +260,7 @@
     o.longest_task_s = 60;
     o.cancels = {{24'900, 0.3}, {40'000, 0.2}};
     const Result r = run(o);
-    lost += r.lost_by_lease;
+    lost += r.lease_expiries;
   }
   EXPECT_GT(lost, 10);
 }
--- a/tests/concurrent_faults_workers_test.cpp
+++ b/tests/concurrent_faults_workers_test.cpp
@@ -33,14 +33,14 @@
     // Controller::zones_open: what is still recorded in a zone counts, gone or not.
     {"ZoneBoundJobsLoseMachines", 3,
      [](Options& o, std::uint64_t seed) {
-       o.bound = 0.7;
+       o.zone_bound_jobs = 0.7;
        o.machines = 18;
-       o.capacity = 6;
+       o.cloud_capacity = 6;
        often(o, Fault::machine_dies, 10'000, 5'000, 0);
        often(o, Fault::machine_hangs, 12'000, 4'000, 5'000);
        if (seed % 2 == 0) often(o, Fault::spot_wave, 20'000, 25'000, 0);
      },
-     [](const Result& r) { return r.zone_losses; }, 10},
+     [](const Result& r) { return r.zone_bound_tasks_lost; }, 10},
     // Controller::reconcile: only a token above that of every start sent proves that a task which
     // is not listed cannot come any more.
     {"CommandsHeldUpByAHang", 4,
@@ -56,13 +56,13 @@
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.gang_tenths = 5;
-       o.copied = 1;
+       o.duplicated_heartbeats = 1;
        often(o, Fault::duplicate_heartbeats, 6'000, 8'000, 8'000);
        if (seed % 4 != 3) often(o, Fault::machine_restarts, 10'000, 6'000, 0);
        often(o, Fault::machine_hangs, 9'000, 1'500, 3'000 + 2'000 * static_cast<Ms>(seed % 3));
        if (seed % 2 == 0) often(o, Fault::quick_restart, 15'000, 20'000, 0, seed % 3);
      },
-     [](const Result& r) { return r.old_heartbeats; }, 100},
+     [](const Result& r) { return r.duplicate_heartbeats_arrived; }, 100},
     // Controller::finish and on_cancel: both rest on the version of the job's record; either alone
     // is not enough.
     {"CallsAtTheEnd", 4,
@@ -72,7 +72,7 @@
        o.largest_array = 12;
        o.machines = 18;
        o.limit_cpus = 80;
-       o.mistaken = 0;
+       o.failing_jobs = 0;
        often(o, Fault::cancel_at_end, 1'000, 10'000, 10'000);
      },
      [](const Result& r) { return r.requests_at_end; }, 200},
@@ -82,7 +82,7 @@
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.gang_tenths = 6;
-       o.mistaken = 0;
+       o.failing_jobs = 0;
        // A gang loses a task, others of it hang, their owner ends, and the next one hears of them
        // by what they reported before the gang began.
        for (Ms at = 14'000; at < 80'000; at += 11'000) {
@@ -106,7 +106,7 @@
        often(o, Fault::slow_links, 5'000, 30'000, 30'000);
        often(o, Fault::job_burst, 20'000, 25'000, 8'000);
      },
-     [](const Result& r) { return r.stopped_saved; }, 1},
+     [](const Result& r) { return r.checkpointed_stops; }, 1},
     // Controller::take_report: a new session's lease counts from when it was first heard of, by a
     // direct answer too.
     {"MachinesThatReachNobody", 3,
@@ -123,7 +123,7 @@
        o.limit_cpus = 80;
        often(o, Fault::cancel_now, 15'000, 13'000, 2'000 + 700 * static_cast<Ms>(seed));
      },
-     [](const Result& r) { return r.cancelled_hanging; }, 30},
+     [](const Result& r) { return r.hangs_during_cancellation; }, 30},
     // wire::parse_job, Controller::verdict and lookup.
     {"OddRequests", 2,
      [](Options& o, std::uint64_t seed) {
--- a/tests/fingerprint_test.cpp
+++ b/tests/fingerprint_test.cpp
@@ -29,7 +29,7 @@
 RecordedRun services_in_an_upgrade() {
   Options o = base(902);
   o.services = 0.3;
-  o.replicas_end = 0.2;
+  o.replicas_ending = 0.2;
   o.upgrade_from = 20'000;
   o.limits_drop_at = 60'000;
   return {"ServicesInAnUpgrade", o, 0x286e1c0501c6a853};
@@ -39,8 +39,8 @@
   Options o = base(903);
   o.relays = true;
   o.machines = 24;
-  o.capacity = 9;
-  o.bound = 0.3;
+  o.cloud_capacity = 9;
+  o.zone_bound_jobs = 0.3;
   o.cancels = {{30'000, 0.2}, {45'000, 0.2}};
   o.link_cuts = {{20'000, 30'000, "puffin-0", "workers/a", 0, 0},
                  {35'000, 30'000, "state", "puffin-1", 0, 0},
@@ -67,7 +67,7 @@
   Options o = base(905);
   o.controllers = 5;
   o.machines = 120;
-  o.capacity = 60;
+  o.cloud_capacity = 60;
   o.largest_array = 400;
   o.job_every_ms = 1000;
   o.limit_cpus = 300;
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -42,7 +42,7 @@
   o.recovery_ms = 700'000;
   o.until_finished = true;
   o.machines = 24;
-  o.capacity = 9;
+  o.cloud_capacity = 9;
   o.job_every_ms = 2000;
   o.largest_array = 18;
   o.cancels = {{30'000, 0.2}, {45'000, 0.2}};
@@ -71,7 +71,7 @@
   std::vector<Ms> times;
 
   void add(const Result& r) {
-    times.insert(times.end(), r.unserved_ms.begin(), r.unserved_ms.end());
+    times.insert(times.end(), r.without_contact_ms.begin(), r.without_contact_ms.end());
     std::sort(times.begin(), times.end());
   }
   Ms at_percent(std::size_t percent) const { return times.at(times.size() * percent / 100); }
@@ -84,7 +84,7 @@
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const auto& name = seed % 2 == 0 ? kFirst : kSecond;
     const Result r = run(with_cuts(seed, both({kCutAt, kCutLasts, name, kWorkers})));
-    EXPECT_EQ(r.lost_by_lease, 0) << "seed " << seed;
+    EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
     EXPECT_EQ(r.views, 3 + 2) << "seed " << seed;  // given up once, taken back once
     unserved.add(r);
   }
@@ -97,7 +97,7 @@
   Unserved unserved;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kWorkers, kSecond}}));
-    EXPECT_EQ(r.lost_by_lease, 0) << "seed " << seed;
+    EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
     unserved.add(r);
   }
   EXPECT_LE(unserved.at_percent(95), 3000);
@@ -108,7 +108,7 @@
   Unserved unserved;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kSecond, kWorkers}}));
-    EXPECT_EQ(r.lost_by_lease, 0) << "seed " << seed;
+    EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
     unserved.add(r);
   }
   EXPECT_LE(unserved.at_percent(95), 3500);
@@ -131,8 +131,8 @@
       o.lease_s = 10;  // a worker's first try at another controller takes up to six seconds
       const Result r = run(o);
       unserved.add(r);
-      returned += r.running_returned;
-      lost += r.lost_by_lease;
+      returned += r.running_tasks_returned;
+      lost += r.lease_expiries;
     }
   }
   EXPECT_LE(unserved.times.back(), 8000);
@@ -147,7 +147,7 @@
     o.fault_ms = kCutAt + kFiveMinutes;
     const Result r = run(o);
     EXPECT_LE(r.views, 3 + 2 * 5) << "seed " << seed;
-    EXPECT_EQ(r.lost_by_lease, 0) << "seed " << seed;
+    EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
   }
 }
 
@@ -158,7 +158,7 @@
     o.fault_ms = kCutAt + kFiveMinutes;
     const Result r = run(o);
     EXPECT_LE(r.views, 3 + 2 * 5) << "seed " << seed;
-    EXPECT_EQ(r.lost_by_lease, 0) << "seed " << seed;
+    EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
   }
 }
 
@@ -168,7 +168,7 @@
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kState, kSecond}}));
     EXPECT_EQ(r.views, 3 + 2) << "seed " << seed;
-    EXPECT_EQ(r.lost_by_lease, 0) << "seed " << seed;
+    EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
   }
 }
 
@@ -251,7 +251,7 @@
   if (seed % 5 == 0) o.limit_cpus = 24;
   if (seed % 7 == 0) o.upgrade_from = 20'000;
   const Result r = run(o);
-  EXPECT_EQ(r.over_limits, 0);
+  EXPECT_EQ(r.oversized_txns, 0);
 }
 
 std::uint64_t seeds() {
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -136,7 +136,7 @@
   o.recovery_ms = 200'000;
   o.until_finished = true;
   o.machines = 12;
-  o.capacity = 6;
+  o.cloud_capacity = 6;
   o.job_every_ms = 250;
   o.largest_array = 12;
   o.gang_tenths = 1;
@@ -204,7 +204,7 @@
     const Result r = SimulatedCluster(options).run();
     EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
     EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
-    read_again += r.watches_too_old;
+    read_again += r.compacted_watches;
   }
   EXPECT_GT(read_again, 10);
 }
--- a/tests/scale_sim_test.cpp
+++ b/tests/scale_sim_test.cpp
@@ -30,7 +30,7 @@
   o.planned_faults = std::move(faults);
   o.machines = machines;
   o.controllers = controllers;
-  o.capacity = machines / 3 + 100;  // of each zone and kind
+  o.cloud_capacity = machines / 3 + 100;  // of each zone and kind
   o.memory_mb = 136;
   o.sockets = 2500;
   o.state_rps = 150;
@@ -64,9 +64,9 @@
       "%d requests a second; %d refused for their rate; %d list pages, %d cloud refusals; %d "
       "answers "
       "too large; longest input %.1f ms\n",
-      r.machines, r.machines_heard, r.done, r.starts, static_cast<unsigned long long>(r.writes),
-      r.peak_writes, r.peak_requests, r.throttled, r.list_pages, r.cloud_throttled, r.too_large,
-      r.longest_pass_ms);
+      r.machines, r.machines_known, r.done, r.starts, static_cast<unsigned long long>(r.writes),
+      r.peak_writes, r.peak_requests, r.throttled_txns, r.list_pages, r.cloud_throttled,
+      r.oversized_replies, r.longest_input_ms);
 }
 
 Result run_large(const Options& options) {
@@ -74,7 +74,7 @@
   report(r);
   EXPECT_TRUE(r.violations.empty()) << lines(r.violations);
   EXPECT_TRUE(r.unfinished.empty()) << lines(r.unfinished);
-  EXPECT_EQ(r.over_limits, 0);
+  EXPECT_EQ(r.oversized_txns, 0);
   EXPECT_LE(r.peak_requests, 150);
   EXPECT_GT(r.done, 10);
   return r;
@@ -84,12 +84,12 @@
 TEST(LargeFleet, AllMachinesReconnectAfterAllControllersWereDown) {
   const Result r =
       run_large(large_fleet(4000, 3, {{20'000, Fault::all_controllers_down, 0, 35'000}}));
-  EXPECT_GE(r.machines_heard, r.machines * 99 / 100);
+  EXPECT_GE(r.machines_known, r.machines * 99 / 100);
 }
 
 TEST(LargeFleet, SixThousandMachinesOnFiveControllers) {
   const Result r = run_large(large_fleet(6000, 5, {{20'000, Fault::all_controllers_crash, 0, 0}}));
-  EXPECT_GE(r.machines_heard, r.machines * 99 / 100);
+  EXPECT_GE(r.machines_known, r.machines * 99 / 100);
 }
 
 TEST(LargeFleet, OneOfFiveControllersSurvives) {
@@ -98,7 +98,7 @@
     controller_down.push_back(
         {20'000 + static_cast<Ms>(node) * 300, Fault::controller_down, node, 40'000});
   const Result r = run_large(large_fleet(4000, 5, std::move(controller_down)));
-  EXPECT_GE(r.machines_heard, r.machines * 99 / 100);
+  EXPECT_GE(r.machines_known, r.machines * 99 / 100);
 }
 
 // It comes back while its machines are handed over, and ends again within a second.
@@ -114,7 +114,7 @@
       {{20'000, Fault::cut_from_state, 0, 15'000}, {40'000, Fault::cut_from_state, 1, 12'000}});
   o.changes_kept = 60;
   const Result r = run_large(o);
-  EXPECT_GT(r.watches_too_old, 0);
+  EXPECT_GT(r.compacted_watches, 0);
 }
 
 // The same with a service that keeps them all, so that the answer is larger than what is taken in.
@@ -125,14 +125,14 @@
   o.job_every_ms = 150;
   o.largest_array = 600;
   const Result r = run_large(o);
-  EXPECT_GT(r.too_large, 0);
+  EXPECT_GT(r.oversized_replies, 0);
 }
 
 // An array of 100,000 tasks: the fleet grows from 400 to some 4,000 machines for it, and is given
 // back.
 TEST(LargeFleet, AHundredThousandTasksGrowTheFleetTenfold) {
   Options o = large_fleet(400, 3);
-  o.capacity = 680;
+  o.cloud_capacity = 680;
   o.largest_array = 100'000;
   o.one_large_array = true;
   o.longest_task_s = 8;
--- a/tests/services_sim_test.cpp
+++ b/tests/services_sim_test.cpp
@@ -24,9 +24,9 @@
   Options o;
   o.seed = seed;
   o.services = 0.25;
-  o.replicas_end = 0.05;
+  o.replicas_ending = 0.05;
   o.machines = 12;
-  o.capacity = 6;
+  o.cloud_capacity = 6;
   o.recovery_ms = 600'000;
   o.until_finished = true;
   if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
@@ -72,7 +72,7 @@
     if (only_other_seed(seed)) continue;
     Options o = with_services(seed);
     o.faults = false;
-    o.replicas_end = 0.33;
+    o.replicas_ending = 0.33;
     const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
     EXPECT_GE(r.replica_restarts, r.replicas_ended / 2) << "seed " << seed;
@@ -88,7 +88,7 @@
   if (o.seed % 3 == 0) o.longest_task_s = 30;
   const Result r = SimulatedCluster(o).run();
   expect_rules_hold(r, o.seed);
-  EXPECT_EQ(r.over_limits, 0);
+  EXPECT_EQ(r.oversized_txns, 0);
 }
 
 // More seeds than CI runs, by SIM_SEEDS=200.
@@ -106,7 +106,7 @@
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.4;
-    o.replicas_end = 0;
+    o.replicas_ending = 0;
     often(o, Fault::machine_dies, 10'000, 4'000, 0);
     if (seed % 2 == 0) often(o, Fault::spot_wave, 20'000, 20'000, 0);
     if (seed % 3 == 0) often(o, Fault::preemption_notice, 12'000, 5'000, 0);
@@ -128,17 +128,17 @@
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.4;
-    o.replicas_end = 0;
+    o.replicas_ending = 0;
     o.heartbeat_interval_s = 5;
     o.lease_s = 22;
     o.dead_listed_ms = 30'000;
-    o.capacity = 12;
+    o.cloud_capacity = 12;
     o.fault_ms = 120'000;
     for (const Ms after : {0, 300, 600}) often(o, Fault::machine_dies, 20'000 + after, 25'000, 0);
     const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
-    back += r.replicas_back;
-    away_ms += r.replicas_away_ms;
+    back += r.replicas_recovered;
+    away_ms += r.replica_downtime_ms;
   }
   ASSERT_GT(back, 100);
   EXPECT_LT(away_ms / back, 8500) << back << " replicas";
@@ -155,11 +155,11 @@
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.2;
-    o.replicas_end = 0;
+    o.replicas_ending = 0;
     o.heartbeat_interval_s = 5;
     o.lease_s = 22;
     o.machines = 24;
-    o.capacity = 12;
+    o.cloud_capacity = 12;
     o.planned_faults = {{45'000, Fault::zone_cut, seed % 3, 15'000}};
     const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
@@ -198,7 +198,7 @@
     often(o, Fault::cancel_now, 15'000, 13'000, 2'000 + 900 * static_cast<Ms>(seed));
     const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
-    hanging += r.cancelled_hanging;
+    hanging += r.hangs_during_cancellation;
   }
   EXPECT_GT(hanging, 30);
 }
@@ -210,7 +210,7 @@
   Options o = with_services(seed);
   o.services = 0.15;
   o.machines = 150;
-  o.capacity = 60;
+  o.cloud_capacity = 60;
   o.largest_array = 600;
   o.job_every_ms = 800;
   o.limit_cpus = 800;
@@ -234,13 +234,13 @@
   if (o.seed > 2) o.planned_faults = {{70'000, Fault::all_controllers_crash, 0, 0}};
   const Result r = SimulatedCluster(o).run();
   expect_rules_hold(r, o.seed);
-  EXPECT_EQ(r.over_limits, 0);
+  EXPECT_EQ(r.oversized_txns, 0);
   if (after_an_upgrade) {
     EXPECT_GT(r.oversized_at_upgrade, 0);
   }
   if (std::getenv("SIM_MET"))
     std::printf("oversized %d, then %d, throttled %d\n", r.oversized_at_upgrade,
-                r.oversized_at_drop, r.throttled);
+                r.oversized_at_drop, r.throttled_txns);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, StateLimitsDrop, testing::Range<std::uint64_t>(1, 5));
@@ -258,7 +258,7 @@
   if (o.seed % 2 == 0) o.limits_drop_at = 80'000;
   const Result r = SimulatedCluster(o).run();
   expect_rules_hold(r, o.seed);
-  EXPECT_EQ(r.over_limits, 0);
+  EXPECT_EQ(r.oversized_txns, 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Upgrade, testing::Range<std::uint64_t>(1, 13));
@@ -305,7 +305,7 @@
 TEST(ServiceInvariantChecker, DetectsServicesReportedDone) {
   Options o = quiet_services();
   o.services = 1;
-  o.forge = [](const Request& r, Ms now, int& status, std::string& body) {
+  o.forge_reply = [](const Request& r, Ms now, int& status, std::string& body) {
     if (r.method != "GET" || status != 200 || now < 30'000) return;
     const auto at = body.find("running");
     if (at != std::string::npos) body.replace(at, 7, "done");
@@ -315,9 +315,9 @@
 
 TEST(ServiceInvariantChecker, DetectsReplicasNotRestarted) {
   Options o = quiet_services();
-  o.replicas_end = 0.1;
+  o.replicas_ending = 0.1;
   EXPECT_EQ(runs_with_violations(o, "service_down", 3), 0);
-  o.replicas_end = 1;
+  o.replicas_ending = 1;
   o.starts_ignored_from = 50'000;
   EXPECT_EQ(runs_with_violations(o, "service_down", 3), 3);
 }
@@ -325,7 +325,7 @@
 TEST(ServiceInvariantChecker, DetectsServicesOverTheirQuota) {
   Options o = quiet_services();
   o.services = 1;
-  o.forge = [](const Request& r, Ms, int& status, std::string& body) {
+  o.forge_reply = [](const Request& r, Ms, int& status, std::string& body) {
     if (r.path != "/v1/jobs" || status != 422) return;
     status = 201;
     body = R"({"id":"req-000001","status":"pending"})";
@@ -336,7 +336,7 @@
 TEST(ServiceInvariantChecker, DetectsRefusedServicesThatCanRun) {
   for (const int refusal : {400, 422}) {
     Options o = quiet_services();
-    o.forge = [refusal](const Request& r, Ms, int& status, std::string&) {
+    o.forge_reply = [refusal](const Request& r, Ms, int& status, std::string&) {
       if (r.path == "/v1/jobs" && r.body.find("\"daemon\"") != std::string::npos && status == 201)
         status = refusal;
     };
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -1,7 +1,5 @@
-// PROTOCOL's rules, checked at every step.
+// The invariants of PROTOCOL, checked at every step.
 #include <algorithm>
-#include <cmath>
-#include <cstdio>
 
 #include "sim/cluster_members.h"
 #include "sim/simulated_cluster.h"
@@ -10,7 +8,7 @@
 
 namespace scheduler::sim {
 
-void SimulatedCluster::check_start(SimulatedWorker& w, const wire::TaskId& task) {
+void SimulatedCluster::check_start(const SimulatedWorker& w, const wire::TaskId& task) {
   auto& job = jobs_.at(task.job);
   const std::string name = wire::task_name(task.job, task.index);
   if (!job.accepted && !job.asked_cancel && job.spec.id.empty()) report_violation("invented", name);
@@ -18,25 +16,36 @@
   if (w.spot && !job.spec.spot) report_violation("wrong_place", name + " on a spot machine");
   if (!job.spec.zone.empty() && w.zone != job.spec.zone)
     report_violation("wrong_place", name + " in " + w.zone);
+  check_runs_once(w, task);
+  if (job.spec.one_zone || job.spec.spread) check_zones(w, task);
+}
+
+void SimulatedCluster::check_runs_once(const SimulatedWorker& w, const wire::TaskId& task) {
   for (const auto& id : started_on_[task]) {
     const SimulatedWorker& other = *workers_.at(id);
     const auto there = other.tasks.find(task);
     if (&other != &w && !other.dead && there != other.tasks.end() && there->second.present)
-      report_violation("ran_twice", name + " starts on " + w.id + " while on " + id);
+      report_violation("ran_twice", wire::task_name(task.job, task.index) + " starts on " + w.id +
+                                        " while on " + id);
   }
-  if (!job.spec.one_zone && !job.spec.spread) return;
+}
+
+// Of a job whose tasks must all be in one zone, or be spread.
+void SimulatedCluster::check_zones(const SimulatedWorker& w, const wire::TaskId& task) {
+  const auto& spec = jobs_.at(task.job).spec;
+  const std::string name = wire::task_name(task.job, task.index);
   std::size_t here = 1;
-  for (auto& [id, other] : workers_) {
+  for (const auto& [id, other] : workers_) {
     if (other->dead) continue;
-    for (auto& [t, s] : other->tasks) {
-      if (t.job != task.job || !s.present || t.index == task.index) continue;
-      if (job.spec.one_zone && other->zone != w.zone)
+    for (const auto& [t, state] : other->tasks) {
+      if (t.job != task.job || !state.present || t.index == task.index) continue;
+      if (spec.one_zone && other->zone != w.zone)
         report_violation("wrong_place",
                          name + " starts in " + w.zone + ", others are in " + other->zone);
       if (other->zone == w.zone) ++here;
     }
   }
-  if (job.spec.spread && here > (job.spec.tasks + 1) / 2)
+  if (spec.spread && here > (spec.tasks + 1) / 2)
     report_violation("wrong_place", name + ": too many in " + w.zone);
 }
 
@@ -47,13 +56,14 @@
     report_violation("started_cancelled", wire::task_name(task.job, task.index) + " on " + w.id);
 }
 
-// Why the job can never run, or "". Machines of the one type have 8 CPUs and 32 GB.
+// Why the job can never run, or "".
 std::string SimulatedCluster::reason_never_to_run(const wire::JobSpec& s) const {
   const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
                                  [&](const auto& t) { return t.name == s.team; });
   const bool zone =
       s.zone.empty() || std::find(std::begin(kZones), std::end(kZones), s.zone) != std::end(kZones);
-  if (s.cpus > 8 || s.gpus > 0 || s.memory_gb > 32 || !zone || team == settings_.teams.end())
+  if (s.cpus > kMachineCpus || s.gpus > 0 || s.memory_gb > kMachineMemoryGb || !zone ||
+      team == settings_.teams.end())
     return "fits nothing";
   const bool all_at_once = s.is_gang() || s.is_service();
   if (team->cpus_max > 0 && s.cpus * (all_at_once ? s.tasks : 1) > team->cpus_max)
@@ -70,16 +80,13 @@
 }
 
 double SimulatedCluster::free_cpus(const SimulatedWorker& w) const {
-  if (!w.up || w.dead || w.hanging || w.notice_ends) return 0;
-  double free = 8;
-  for (const auto& [task, t] : w.tasks)
-    if (t.state != TaskState::exited) free -= jobs_.at(task.job).spec.cpus;
-  return free;
+  if (!w.up || w.dead || w.hanging || w.preempted_at) return 0;
+  return kMachineCpus - cpus_in_use(w);
 }
 
 // Whether anything of the job could start now: one task of an array, all of a gang.
-bool SimulatedCluster::has_room(const SubmittedJob& job,
-                                const std::map<std::string, double>& used) const {
+bool SimulatedCluster::has_capacity(const SubmittedJob& job,
+                                    const std::map<std::string, double>& used) const {
   const auto& s = job.spec;
   const std::size_t needed = s.is_gang() ? s.tasks : 1;
   for (const auto& t : settings_.teams) {
@@ -100,7 +107,7 @@
   return (s.one_zone ? most : all) >= needed;
 }
 
-// By team, counting what is still fetching its image.
+// By team; tasks that still fetch their image count.
 std::map<std::string, double> SimulatedCluster::used_cpus() const {
   std::map<std::string, double> used;
   for (const auto& [id, w] : workers_)
@@ -118,9 +125,10 @@
     for (const auto& [task, t] : w->tasks)
       if (!w->dead && t.state != TaskState::exited) placed.insert(task.job);
   for (auto& [id, j] : jobs_) {
-    // Who fails everywhere is tried again ever more rarely.
-    const bool waits = j.accepted && !j.asked_cancel && !j.mistake && !placed.contains(id) &&
-                       j.completed.size() < j.spec.tasks && has_room(j, used);
+    // Attempts of jobs that fail everywhere are backed off.
+    const bool waits = j.accepted && !j.asked_cancel && !j.fails_everywhere &&
+                       !placed.contains(id) && j.completed.size() < j.spec.tasks &&
+                       has_capacity(j, used);
     if (!waits) j.waits_since = 0;
     if (waits && j.waits_since == 0) j.waits_since = now_;
     if (waits && now_ - j.waits_since > kPatience) {
@@ -132,34 +140,43 @@
     const SubmittedJob& j = entry.second;
     return !j.accepted || j.told_done || j.told_cancelled;
   });
-  if (options_.until_finished && over && over_since_ == 0) over_since_ = now_;
+  if (options_.until_finished && over && finished_since_ == 0) finished_since_ = now_;
 }
 
 void SimulatedCluster::check_all() {
   std::map<std::string, double> used;
   for (auto& [id, w] : workers_) {
     if (w->dead || !w->up) continue;
-    expire_worker_lease(*w);  // a hanging machine's lease runs out as well
-    for (auto& [task, t] : w->tasks) {
+    expire_worker_lease(*w);  // a hanging machine's lease expires as well
+    for (const auto& [task, t] : w->tasks) {
       if (!t.present) continue;
-      auto& job = jobs_.at(task.job);
+      const auto& job = jobs_.at(task.job);
       used[job.spec.team] += job.spec.cpus;
       if (job.cancelled_at && now_ - job.cancelled_at > settings_.cancel_s * 1000)
         report_violation("ran_cancelled", wire::task_name(task.job, task.index) + " on " + id);
     }
   }
-  if (recovering_) {
-    for (auto& [id, j] : jobs_)
-      if (j.accepted && now_ - j.answered_at > 75'000) {
-        report_violation("forgotten", id + ": no question answered for 75 s");
-        j.answered_at = now_;
-      }
+  if (recovering_) check_answered();
+  check_quotas(used);
+}
+
+void SimulatedCluster::check_answered() {
+  for (auto& [id, j] : jobs_) {
+    if (!j.accepted || now_ - j.answered_at <= 75'000) continue;
+    report_violation("forgotten", id + ": no question answered for 75 s");
+    j.answered_at = now_;
   }
+}
+
+void SimulatedCluster::check_quotas(const std::map<std::string, double>& used) {
   for (const auto& [team, cpus] : used)
     result_.most_used[team] = std::max(result_.most_used[team], cpus);
-  for (const auto& t : settings_.teams)
-    if (t.cpus_max > 0 && used[t.name] > t.cpus_max + 1e-6)
-      report_violation("quota", t.name + " uses " + std::to_string(used[t.name]));
+  for (const auto& t : settings_.teams) {
+    const auto of_team = used.find(t.name);
+    const double cpus = of_team == used.end() ? 0 : of_team->second;
+    if (t.cpus_max > 0 && cpus > t.cpus_max + 1e-6)
+      report_violation("quota", t.name + " uses " + std::to_string(cpus));
+  }
 }
 
 void SimulatedCluster::note_result(const std::string& key,
@@ -174,11 +191,10 @@
   if (decode(*value, record)) history_.add(now_, history::ResultRecorded{id, record.done});
 }
 
-// Every job that users know to be over must have its result; of a run that ends in the middle only
-// what was seen is judged.
+// Every job that users know to have ended must have its final state; of a run that ends before all
+// jobs have, only what was observed is checked.
 void SimulatedCluster::report_history() {
-  // A cancellation is recorded with the job; its final state follows when there are writes to
-  // spare.
+  // A cancellation is recorded with the job; its final state follows when there is write headroom.
   for (const auto& [key, item] : state_->items) {
     wire::JobRecord record;
     if (!key.starts_with(wire::kJobPrefixKey) || !decode(item.value, record)) continue;
@@ -189,7 +205,7 @@
     report_violation("history", std::string(history::name(finding.fault)) + " " + finding.what);
 }
 
-void SimulatedCluster::told(const std::string& id, const std::string& status, Ms asked) {
+void SimulatedCluster::on_told(const std::string& id, const std::string& status, Ms asked) {
   auto& job = jobs_.at(id);
   history_.add(now_, history::Answered{id,
                                        status == "done"        ? wire::JobState::done
@@ -213,7 +229,7 @@
   } else if (status != "pending" && status != "running") {
     report_violation("answer", id + " is " + status);
   } else if ((job.told_done || job.told_cancelled) && asked > job.told_at) {
-    // Asked after the user knew better; answers to earlier questions may come late.
+    // Asked after the user was told; replies to earlier requests may arrive later.
     report_violation("went_back", id + " over, then " + status);
   }
 }
--- /dev/null
+++ b/tests/sim/measurements.cpp
@@ -0,0 +1,68 @@
+// What a run measures besides invariants: how many jobs were served, and answers to health checks.
+#include <algorithm>
+
+#include "sim/cluster_members.h"
+#include "sim/simulated_cluster.h"
+
+namespace scheduler::sim {
+
+void SimulatedCluster::count_served() {
+  constexpr Ms kBeginWithin = 240'000;  // PROTOCOL's additions: four minutes
+  std::map<std::string, std::vector<const SubmittedJob*>> classes;
+  for (const auto& [id, j] : jobs_) {
+    // Those of the last minutes may well be on their way.
+    if (!j.accepted || j.fails_everywhere) continue;
+    if (j.spec.is_service()) {
+      // It has been served when its user, who no longer needs it, has been told that it is over.
+      auto& [all, over] = result_.served["services"];
+      ++all;
+      over += j.told_cancelled ? 1 : 0;
+      continue;
+    }
+    if (j.asked_cancel || now_ - j.submitted_at < kBeginWithin) continue;
+    classes[j.spec.job_class].push_back(&j);
+  }
+  auto count = [this](const std::string& what, const SubmittedJob& j) {
+    auto& [all, done] = result_.served[what];
+    ++all;
+    done += j.told_done ? 1 : 0;
+  };
+  for (auto& [name, list] : classes) {
+    std::sort(list.begin(), list.end(), [](const SubmittedJob* a, const SubmittedJob* b) {
+      return a->spec.tasks * a->spec.cpus * a->work_ms > b->spec.tasks * b->spec.cpus * b->work_ms;
+    });
+    for (const auto* j : list) {
+      count("class " + name, *j);
+      count("team " + j->spec.team, *j);
+    }
+    for (std::size_t i = 0; i < (list.size() + 9) / 10; ++i) {
+      const SubmittedJob& j = *list[i];
+      count("largest " + name, j);
+      ++result_.large_jobs;
+      if (j.begun_at == 0 || j.begun_at - j.submitted_at > kBeginWithin) ++result_.large_jobs_late;
+    }
+  }
+}
+
+void SimulatedCluster::probe_health() {
+  for (std::size_t i = 0; i < controllers_.size(); ++i) {
+    if (!options_.link_cuts.empty() && !recovering_ && controllers_[i]->controller)
+      send_to_controller(i, {"GET", "/healthz", ""}, "", [this, i](int status, const std::string&) {
+        result_.unhealthy[controllers_[i]->name] += status != 200;
+      });
+    const bool controller_isolated =
+        controllers_[i]->isolated_since && now_ - controllers_[i]->isolated_since > 10'000;
+    const bool outage = state_->outage;
+    if (!controller_isolated && !outage) continue;
+    send_to_controller(
+        i, {"GET", "/healthz", ""}, "",
+        [this, controller_isolated](int status, const std::string&) {
+          if (status == 0) return;
+          (controller_isolated
+               ? (status == 200 ? result_.isolated_healthy : result_.isolated_unhealthy)
+               : (status == 200 ? result_.outage_healthy : result_.outage_unhealthy)) += 1;
+        });
+  }
+}
+
+}  // namespace scheduler::sim
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -1,4 +1,4 @@
-// Services: what their users ask for, how replicas end by themselves, and that they run.
+// Services: what users submit, how replicas exit by themselves, and the invariant that they run.
 #include <algorithm>
 #include <cmath>
 
@@ -10,9 +10,9 @@
 
 namespace {
 constexpr double kNeverDoneMs = 1e12;         // of work that a replica has
-constexpr Ms kReplicaMayBeDownMs = 20'000;    // in calm, beside room for it
-constexpr double kShareOverTheLimit = 0.04;   // of services, which are to be refused
-constexpr double kShareCancelledEarly = 0.5;  // of services; the others run on in calm
+constexpr Ms kReplicaMayBeDownMs = 20'000;    // in the second phase, beside capacity for it
+constexpr double kShareOverQuota = 0.04;      // of services: over their quota
+constexpr double kShareCancelledEarly = 0.5;  // of services; the others run into the second phase
 }  // namespace
 
 bool SimulatedCluster::service_is_next() {
@@ -50,12 +50,12 @@
     s.checkpoint_interval_s = 2;
     s.checkpoint_write_s = 1;
   }
-  if (chance(kShareOverTheLimit)) {
+  if (chance(kShareOverQuota)) {
     s.team = "tight";
     s.tasks = static_cast<std::uint32_t>(options_.limit_cpus / s.cpus) + 1;
   }
   job.work_ms = kNeverDoneMs;
-  job.mistake = chance(options_.mistaken);
+  job.fails_everywhere = chance(options_.failing_jobs);
   job.submitted_at = now_;
   const bool early = chance(kShareCancelledEarly);
   job.cancel_planned_at =
@@ -65,7 +65,7 @@
   submit(id, 0);
 }
 
-// Whether a service may be refused so. A controller of the production version would answer 400,
+// Whether a service may be refused. A controller of the production version would answer 400,
 // but services are submitted after the upgrade alone.
 void SimulatedCluster::check_refused(const SubmittedJob& job, int status) {
   if (!job.spec.is_service()) return;
@@ -77,11 +77,11 @@
   const bool first = replicas_begun_.insert(task).second;
   if (!first) ++result_.replica_restarts;
   if (const auto lost = replica_lost_at_.find(task); lost != replica_lost_at_.end()) {
-    ++result_.replicas_back;
-    result_.replicas_away_ms += now_ - lost->second;
+    ++result_.replicas_recovered;
+    result_.replica_downtime_ms += now_ - lost->second;
     replica_lost_at_.erase(lost);
   }
-  if (options_.replicas_end <= 0 || !chance(options_.replicas_end)) return;
+  if (options_.replicas_ending <= 0 || !chance(options_.replicas_ending)) return;
   SimulatedWorker::Task& t = w.tasks.at(task);
   t.ends_at = now_ + 1000 + random(30'000);
   t.ends_with = chance(0.5) ? ExitCause::done : ExitCause::error;
@@ -94,20 +94,32 @@
   end_task(w, task, t.attempt, t.ends_with, false);
 }
 
-// A machine on which the replica, which is on none, could be started now, or "".
-std::string SimulatedCluster::room_for_replica(const SubmittedJob& job, const wire::TaskId& replica,
-                                               const std::map<std::string, double>& used) const {
-  const auto& s = job.spec;
-  const auto of_team = used.find(s.team);
-  const double team_uses = of_team == used.end() ? 0 : of_team->second;
-  for (const auto& team : settings_.teams)
-    if (team.name == s.team && team.cpus_max > 0 && team_uses + s.cpus > team.cpus_max) return "";
-  std::map<std::string, std::uint32_t> others;  // of the job, by zone
+double SimulatedCluster::used_by(const std::string& team,
+                                 const std::map<std::string, double>& used) {
+  const auto of_team = used.find(team);
+  return of_team == used.end() ? 0 : of_team->second;
+}
+
+// Tasks of the job on machines, by zone.
+std::map<std::string, std::uint32_t> SimulatedCluster::tasks_by_zone(const std::string& job) const {
+  std::map<std::string, std::uint32_t> count;
   for (const auto& [id, w] : workers_) {
     if (w->dead) continue;
     for (const auto& [task, t] : w->tasks)
-      if (task.job == replica.job && t.state != TaskState::exited) ++others[w->zone];
+      if (task.job == job && t.state != TaskState::exited) ++count[w->zone];
   }
+  return count;
+}
+
+// A machine on which the replica, which is on none, could be started now, or "".
+std::string SimulatedCluster::machine_for_replica(const SubmittedJob& job,
+                                                  const wire::TaskId& replica,
+                                                  const std::map<std::string, double>& used) const {
+  const auto& s = job.spec;
+  for (const auto& team : settings_.teams)
+    if (team.name == s.team && team.cpus_max > 0 && used_by(s.team, used) + s.cpus > team.cpus_max)
+      return "";
+  const auto others = tasks_by_zone(replica.job);
   const auto fitting = std::find_if(workers_.begin(), workers_.end(), [&](const auto& entry) {
     const SimulatedWorker& w = *entry.second;
     const std::uint32_t here = others.contains(w.zone) ? others.at(w.zone) : 0;
@@ -120,7 +132,7 @@
   return fitting == workers_.end() ? "" : fitting->first;
 }
 
-// In calm: which replicas are down although there is room.
+// In the second phase: which replicas are down although there is capacity.
 void SimulatedCluster::check_services() {
   const std::map<std::string, double> used = used_cpus();
   std::set<wire::TaskId> placed, present;
@@ -131,29 +143,34 @@
       if (t.present) present.insert(task);
     }
   }
-  for (auto& [id, job] : jobs_) {
-    if (!job.spec.is_service() || !job.accepted || job.asked_cancel || job.mistake) continue;
+  for (const auto& [id, job] : jobs_) {
+    if (!job.spec.is_service() || !job.accepted || job.asked_cancel || job.fails_everywhere)
+      continue;
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
       const wire::TaskId replica{id, i};
-      const bool runs = present.contains(replica);
-      const std::string room = room_for_replica(job, replica, used);
-      const bool could_run = runs || placed.contains(replica) || !room.empty();
-      result_.replica_s_due += could_run;
-      result_.replica_s_served += runs;
-      if (runs || !could_run) {
-        replica_down_since_.erase(replica);
-        continue;
-      }
-      Ms& since = replica_down_since_.emplace(replica, now_).first->second;
-      if (now_ - since <= kReplicaMayBeDownMs) continue;
-      const auto of_team = used.find(job.spec.team);
-      const double team_uses = of_team == used.end() ? 0 : of_team->second;
-      report_violation("service_down", wire::task_name(id, i) + ": on no machine since " +
-                                           std::to_string(since) + ", room on " + room + ", team " +
-                                           job.spec.team + " uses " + std::to_string(team_uses));
-      since = now_;
+      check_replica(job, replica, present.contains(replica), placed.contains(replica), used);
     }
   }
 }
 
+void SimulatedCluster::check_replica(const SubmittedJob& job, const wire::TaskId& replica,
+                                     bool runs, bool placed,
+                                     const std::map<std::string, double>& used) {
+  const std::string machine = machine_for_replica(job, replica, used);
+  const bool could_run = runs || placed || !machine.empty();
+  result_.replica_s_due += could_run;
+  result_.replica_s_served += runs;
+  if (runs || !could_run) {
+    replica_down_since_.erase(replica);
+    return;
+  }
+  Ms& since = replica_down_since_.emplace(replica, now_).first->second;
+  if (now_ - since <= kReplicaMayBeDownMs) return;
+  report_violation("service_down", wire::task_name(replica.job, replica.index) +
+                                       ": on no machine since " + std::to_string(since) +
+                                       ", room on " + machine + ", team " + job.spec.team +
+                                       " uses " + std::to_string(used_by(job.spec.team, used)));
+  since = now_;
+}
+
 }  // namespace scheduler::sim
--- /dev/null
+++ b/tests/sim/tasks.cpp
@@ -0,0 +1,263 @@
+// Tasks on machines: commands, and how tasks start, run, write checkpoints and exit.
+#include <algorithm>
+#include <cmath>
+
+#include "sim/cluster_members.h"
+#include "sim/simulated_cluster.h"
+
+namespace scheduler::sim {
+
+namespace {
+auto& task_of(const auto& member) { return member.first->tasks.at(member.second); }
+}  // namespace
+
+// ---- commands ----
+
+void SimulatedCluster::execute_commands(SimulatedWorker& w, const wire::Json& commands) {
+  newest_epoch_ = std::max(newest_epoch_, ClusterView::epoch_of(w.token));
+  for (const auto& command : commands.GetArray()) {
+    wire::TaskId task;
+    if (!wire::parse_task_name(command["load"].GetString(), task)) continue;
+    const std::uint64_t attempt = command["try"].GetUint64();
+    const std::string verb = command["verb"].GetString();
+    const auto found = w.tasks.find(task);
+    const bool has_attempt = found != w.tasks.end() && found->second.attempt == attempt;
+    if (verb == "start") {
+      if (!has_attempt) start_task(w, task, attempt);
+    } else if (!has_attempt) {
+      continue;
+    } else if (verb == "clear") {
+      if (found->second.state == TaskState::exited) w.tasks.erase(found);
+    } else {
+      stop_task(w, task, command["leewayS"].GetDouble());
+    }
+  }
+}
+
+void SimulatedCluster::start_task(SimulatedWorker& w, const wire::TaskId& task,
+                                  std::uint64_t attempt) {
+  if (options_.starts_ignored_from && now_ > options_.starts_ignored_from) return;
+  ++result_.starts;
+  if (w.heartbeats_lost_since) ++result_.starts_without_heartbeats;
+  if (w.unreachable_since && now_ - w.unreachable_since > 8000) ++result_.starts_on_unreachable;
+  // The fake keeps one attempt of a task: a second one is ignored while the first has not exited.
+  const auto found = w.tasks.find(task);
+  if (found != w.tasks.end() && found->second.state != TaskState::exited) return;
+  SimulatedWorker::Task t;
+  t.attempt = attempt;
+  t.since = now_;
+  const auto job = jobs_.find(task.job);
+  if (job == jobs_.end()) {
+    t.state = TaskState::exited;
+    t.cause = ExitCause::unknown;
+  } else if (cpus_in_use(w) + job->second.spec.cpus > kMachineCpus + 1e-9) {
+    t.state = TaskState::exited;
+    t.cause = ExitCause::no_room;
+  } else {
+    check_cancelled_start(job->second, task, w);
+  }
+  w.tasks[task] = t;
+  started_on_[task].insert(w.id);
+  w.changed = true;
+}
+
+double SimulatedCluster::cpus_in_use(const SimulatedWorker& w) const {
+  double cpus = 0;
+  for (const auto& [task, t] : w.tasks)
+    if (t.state != TaskState::exited) cpus += jobs_.at(task.job).spec.cpus;
+  return cpus;
+}
+
+// With a checkpoint if its grace period suffices for one. A repeated command changes nothing while
+// the checkpoint is written, unless it gives no grace.
+void SimulatedCluster::stop_task(SimulatedWorker& w, const wire::TaskId& task, double grace_s) {
+  auto& t = w.tasks.at(task);
+  if (t.state == TaskState::exited) return;
+  const auto& spec = jobs_.at(task.job).spec;
+  const bool saves = spec.checkpoint_interval_s > 0 && grace_s >= spec.checkpoint_write_s;
+  if (t.state == TaskState::running && saves) {
+    t.state = TaskState::checkpointing;
+    t.since = now_;
+    w.changed = true;
+  } else if (t.state != TaskState::checkpointing || grace_s <= 0) {
+    end_task(w, task, t.attempt, ExitCause::stopped, false);
+  }
+}
+
+// ---- steps ----
+
+void SimulatedCluster::step_worker(SimulatedWorker& w) {
+  if (w.preempted_at && now_ >= w.preempted_at) {
+    w.dead = true;
+    clear_tasks(w);
+    cloud_->machines.erase(w.id);
+    return;
+  }
+  std::vector<wire::TaskId> tasks;
+  for (const auto& [task, t] : w.tasks) tasks.push_back(task);
+  for (const auto& task : tasks) step_task(w, task);
+}
+
+void SimulatedCluster::step_task(SimulatedWorker& w, const wire::TaskId& task) {
+  auto& t = w.tasks.at(task);
+  switch (t.state) {
+    case TaskState::fetching:
+      if (static_cast<double>(now_ - t.since) >= kFetchMs) begin_task(w, task);
+      break;
+    case TaskState::waiting:
+      if (now_ - t.since > static_cast<Ms>(settings_.gang_wait_s * 1000))
+        end_task(w, task, t.attempt, ExitCause::alone, false);
+      break;
+    case TaskState::running:
+      // Tasks of a gang run in step_gangs().
+      if (!jobs_.at(task.job).spec.is_gang()) run_task(w, task);
+      break;
+    case TaskState::checkpointing:
+      finish_checkpoint(w, task);
+      break;
+    case TaskState::exited:
+      break;
+  }
+}
+
+// Its image is there.
+void SimulatedCluster::begin_task(SimulatedWorker& w, const wire::TaskId& task) {
+  auto& t = w.tasks.at(task);
+  auto& job = jobs_.at(task.job);
+  check_start(w, task);
+  if (job.begun_at == 0) job.begun_at = now_;
+  if (const auto lost = lost_.find(task); lost != lost_.end()) {
+    result_.restarts_during_zone_cut += cut_zone_.empty() ? 0 : 1;
+    lost_.erase(lost);
+  }
+  t.present = true;
+  history_.add(now_, history::TaskBegan{task, w.id});
+  t.since = now_;
+  if (w.fails_tasks || job.fails_everywhere) {
+    end_task(w, task, t.attempt, ExitCause::error, false);
+  } else if (job.completed.contains(task.index) || w.results_kept.contains(task)) {
+    end_task(w, task, t.attempt, ExitCause::done, false);
+  } else {
+    t.state = job.spec.is_gang() ? TaskState::waiting : TaskState::running;
+    t.work_ms = job.progress[task.index];
+    if (job.spec.is_service()) replica_begins(w, task);
+    w.changed = true;
+  }
+}
+
+void SimulatedCluster::run_task(SimulatedWorker& w, const wire::TaskId& task) {
+  auto& t = w.tasks.at(task);
+  auto& job = jobs_.at(task.job);
+  if (t.ends_at != 0 && now_ >= t.ends_at) return replica_ends(w, task);
+  t.work_ms += static_cast<double>(options_.worker_step_ms);
+  double& saved = job.progress[task.index];
+  saved = std::max(saved, progress_at_checkpoint(job, t.work_ms));
+  if (t.work_ms < job.work_of(task.index)) return;
+  job.completed.insert(task.index);
+  end_task(w, task, t.attempt, ExitCause::done, false);
+  if (job.completed.size() == job.spec.tasks) on_last_task_ended(task.job);
+}
+
+// What the last periodic checkpoint has of this much work.
+double SimulatedCluster::progress_at_checkpoint(const SubmittedJob& job, double work_ms) {
+  const double interval_ms = job.spec.checkpoint_interval_s * 1000;
+  return interval_ms > 0 ? std::floor(work_ms / interval_ms) * interval_ms : 0;
+}
+
+void SimulatedCluster::finish_checkpoint(SimulatedWorker& w, const wire::TaskId& task) {
+  const auto& t = w.tasks.at(task);
+  auto& job = jobs_.at(task.job);
+  if (now_ - t.since < static_cast<Ms>(job.spec.checkpoint_write_s * 1000)) return;
+  job.progress[task.index] = std::max(job.progress[task.index], t.work_ms);
+  end_task(w, task, t.attempt, ExitCause::stopped, true);
+}
+
+void SimulatedCluster::end_task(SimulatedWorker& w, const wire::TaskId& task, std::uint64_t attempt,
+                                ExitCause cause, bool saved) {
+  const auto found = w.tasks.find(task);
+  if (found == w.tasks.end() || found->second.attempt != attempt) return;
+  history_.add(now_, history::TaskEnded{task, w.id, cause == ExitCause::done});
+  auto& t = found->second;
+  t.state = TaskState::exited;
+  t.cause = cause;
+  t.saved = saved;
+  t.present = false;
+  w.changed = true;
+  w.next_heartbeat_at = std::min(w.next_heartbeat_at, now_ + 250);
+  if (saved) ++result_.checkpointed_stops;
+}
+
+// The task's work is to start elsewhere as soon as the expiry is provable.
+void SimulatedCluster::note_lease_expiry(const wire::TaskId& task) {
+  const SubmittedJob& job = jobs_.at(task.job);
+  if (job.spec.is_gang() || job.asked_cancel || job.completed.contains(task.index)) return;
+  lost_[task] = now_;
+  ++result_.lease_expiries;
+}
+
+// ---- gangs ----
+
+// Tasks of a gang find one another by attempt, start together, and end together.
+void SimulatedCluster::step_gangs() {
+  std::map<std::string, std::map<std::uint64_t, GangMembers>> gangs;  // by job and attempt
+  for (auto& [id, w] : workers_) {
+    if (w->dead || !w->up) continue;
+    for (auto& [task, t] : w->tasks)
+      if (t.state != TaskState::exited && jobs_.at(task.job).spec.is_gang())
+        gangs[task.job][t.attempt].emplace_back(w.get(), task);
+  }
+  for (const auto& [id, attempts] : gangs)
+    for (const auto& [attempt, members] : attempts) step_gang(id, members);
+}
+
+void SimulatedCluster::step_gang(const std::string& id, const GangMembers& members) {
+  const SubmittedJob& job = jobs_.at(id);
+  const auto count = [&](TaskState state) {
+    return static_cast<std::uint32_t>(std::count_if(
+        members.begin(), members.end(), [&](const auto& m) { return task_of(m).state == state; }));
+  };
+  const bool whole = members.size() == job.spec.tasks;
+  const bool hanging =
+      std::any_of(members.begin(), members.end(), [](const auto& m) { return m.first->hanging; });
+  if (whole && count(TaskState::waiting) == job.spec.tasks && !hanging) {
+    start_gang(job, members);
+  } else if (count(TaskState::running) > 0 && (!whole || hanging)) {
+    end_gang_without_peers(members);
+  } else if (whole && count(TaskState::running) == job.spec.tasks) {
+    run_gang(id, members);
+  }
+}
+
+void SimulatedCluster::start_gang(const SubmittedJob& job, const GangMembers& members) {
+  for (const auto& m : members) {
+    task_of(m).state = TaskState::running;
+    task_of(m).work_ms = job.gang_progress;
+    m.first->changed = true;
+  }
+}
+
+// A task that loses a peer runs on for a while, and then exits.
+void SimulatedCluster::end_gang_without_peers(const GangMembers& members) {
+  for (const auto& m : members) {
+    auto& t = task_of(m);
+    if (t.state != TaskState::running) continue;
+    if (t.lost_peer_until == 0)
+      t.lost_peer_until = now_ + static_cast<Ms>(settings_.gang_peer_s * 1000);
+    if (now_ >= t.lost_peer_until && !m.first->hanging)
+      end_task(*m.first, m.second, t.attempt, ExitCause::peers, false);
+  }
+}
+
+void SimulatedCluster::run_gang(const std::string& id, const GangMembers& members) {
+  SubmittedJob& job = jobs_.at(id);
+  for (const auto& m : members) task_of(m).work_ms += static_cast<double>(options_.check_every_ms);
+  const double work = task_of(members.front()).work_ms;
+  job.gang_progress = std::max(job.gang_progress, progress_at_checkpoint(job, work));
+  if (work < job.work_ms) return;
+  for (std::uint32_t i = 0; i < job.spec.tasks; ++i) job.completed.insert(i);
+  for (const auto& m : members)
+    end_task(*m.first, m.second, task_of(m).attempt, ExitCause::done, false);
+  on_last_task_ended(id);
+}
+
+}  // namespace scheduler::sim
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -32,10 +32,10 @@
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Options o;
     o.seed = seed;
-    o.repeated = 0.5;
+    o.duplicated_requests = 0.5;
     const Result r = SimulatedCluster(o).run();
     EXPECT_TRUE(r.violations.empty()) << list(r.violations);
-    saved += r.stopped_saved;
+    saved += r.checkpointed_stops;
     spread += r.spread_done;
   }
   // That the runs do cover preemption with saving, and jobs spread over zones.
@@ -48,7 +48,7 @@
   Options o;
   o.seed = 5;
   o.machines = 240;
-  o.capacity = 120;
+  o.cloud_capacity = 120;
   o.largest_array = 900;
   o.job_every_ms = 1000;
   o.limit_cpus = 800;
@@ -58,7 +58,7 @@
   EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
   EXPECT_GT(r.done, 40);
   EXPECT_TRUE(r.large_gang_done);
-  EXPECT_EQ(r.over_limits, 0);
+  EXPECT_EQ(r.oversized_txns, 0);
 }
 
 Options planned_faults(std::uint64_t seed, std::vector<PlannedFault> faults) {
@@ -116,8 +116,8 @@
     o.limit_cpus = 60;
     const Result r = SimulatedCluster(o).run();
     EXPECT_TRUE(r.violations.empty()) << list(r.violations);
-    EXPECT_EQ(r.largest_late, 0) << "seed " << seed << " of " << r.largest_seen;
-    largest += r.largest_seen;
+    EXPECT_EQ(r.large_jobs_late, 0) << "seed " << seed << " of " << r.large_jobs;
+    largest += r.large_jobs;
     for (const auto& [what, n] : r.served) {
       served[what].first += n.first;
       served[what].second += n.second;
@@ -139,7 +139,7 @@
     const Result r = SimulatedCluster(planned_faults(seed, plan)).run();
     EXPECT_TRUE(r.violations.empty()) << list(r.violations);
     EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
-    deaf_starts += r.quarantined_starts;
+    deaf_starts += r.starts_on_unreachable;
     starts += r.starts;
   }
   EXPECT_EQ(deaf_starts, 0);
@@ -174,11 +174,11 @@
     if (seed % 2 == 0) plan.push_back({24'000, Fault::controller_crash, (seed + 1) % 3, 0});
     if (seed % 3 == 1) plan.push_back({22'000, Fault::duplicate_heartbeats, 0, 20'000});
     Options o = planned_faults(seed, plan);
-    o.mistaken = 0;  // two of them would condemn a machine
+    o.failing_jobs = 0;  // two of them would condemn a machine
     const Result r = SimulatedCluster(o).run();
     EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
     EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
-    EXPECT_EQ(r.live_returns, 0) << "seed " << seed;
+    EXPECT_EQ(r.healthy_scale_ins, 0) << "seed " << seed;
   }
 }
 
@@ -189,11 +189,11 @@
     Options o = planned_faults(seed, {{20'000, Fault::process_pause, 0, lasts},
                                       {20'300, Fault::process_pause, 1, lasts},
                                       {20'600, Fault::process_pause, 2, lasts}});
-    o.mistaken = 0;
+    o.failing_jobs = 0;
     const Result r = SimulatedCluster(o).run();
     EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
     EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
-    EXPECT_EQ(r.live_returns, 0) << "seed " << seed;
+    EXPECT_EQ(r.healthy_scale_ins, 0) << "seed " << seed;
   }
 }
 
@@ -207,14 +207,14 @@
     if (seed > 6) plan.push_back({40'000, Fault::process_pause, (seed + 1) % 3, 10'000});
     Options o = planned_faults(seed, plan);
     o.machines = 18;
-    o.capacity = 9;
+    o.cloud_capacity = 9;
     o.job_every_ms = 2000;
     const Result r = SimulatedCluster(o).run();
     EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
     EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
     if (seed % 3 != 0) continue;
-    lost += r.lost_by_lease;
-    back += r.back_in_cut;
+    lost += r.lease_expiries;
+    back += r.restarts_during_zone_cut;
   }
   EXPECT_GT(lost, 10);
   EXPECT_GE(2 * back, lost);
@@ -230,7 +230,7 @@
                              : PlannedFault{20'000, Fault::controller_isolated, n, 60'000}});
     o.longest_task_s = 90;
     o.machines = 18;
-    o.capacity = 9;
+    o.cloud_capacity = 9;
     o.limit_cpus = 400;
     o.cancel_all_at = 26'500;  // after others have taken over
     const Result r = SimulatedCluster(o).run();
@@ -247,7 +247,7 @@
     o.longest_task_s = 60;
     const Result r = SimulatedCluster(o).run();
     EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
-    EXPECT_EQ(r.lost_by_lease, 0) << "seed " << seed;
+    EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
   }
 }
 
@@ -293,7 +293,7 @@
                                  {16'000, Fault::all_controllers_crash, 0, 0},
                                  {24'000, Fault::zone_cut, 0, 14'000}});
   o.machines = 1050;
-  o.capacity = 400;
+  o.cloud_capacity = 400;
   o.largest_array = 900;
   o.job_every_ms = 700;
   o.limit_cpus = 2000;
@@ -304,7 +304,7 @@
   EXPECT_TRUE(r.violations.empty()) << list(r.violations);
   EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
   EXPECT_GT(r.done, 20);
-  EXPECT_EQ(r.over_limits, 0);
+  EXPECT_EQ(r.oversized_txns, 0);
   EXPECT_LE(r.peak_requests, 400);
 }
 
@@ -336,7 +336,7 @@
   EXPECT_TRUE(r.violations.empty()) << list(r.violations);
   EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
   EXPECT_GT(r.done, 10);
-  EXPECT_EQ(r.over_limits, 0);
+  EXPECT_EQ(r.oversized_txns, 0);
 }
 
 // More seeds than CI runs, by SIM_SEEDS=200.
@@ -368,7 +368,7 @@
   Options o;
   o.workers_ignore_tokens = true;
   o.workers_ignore_incarnations = true;
-  o.repeated = 0.5;
+  o.duplicated_requests = 0.5;
   EXPECT_GT(runs_with_violations(o, "ran_twice"), 0);
 }
 
@@ -384,7 +384,7 @@
   o.faults = false;
   o.fault_ms = 60'000;
   o.recovery_ms = 120'000;
-  o.forge = std::move(forge);
+  o.forge_reply = std::move(forge);
   return o;
 }
 
