--- a/tests/concurrent_faults_control_test.cpp
+++ b/tests/concurrent_faults_control_test.cpp
@@ -3,40 +3,27 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
-#include <cstdlib>
 
-#include "sim/simulated_cluster.h"
+#include "support/simulation_runs.h"
 
 namespace scheduler::sim {
 namespace {
 
-std::string list(const std::vector<std::string>& lines) {
-  std::string out;
-  for (const auto& l : lines) out += l + "\n";
-  return out;
-}
-
-Options meeting(std::uint64_t seed, std::vector<PlannedFault> faults) {
-  Options o;
-  o.seed = seed;
-  o.faults = false;
-  o.longest_task_s = 30;
-  o.recovery_ms = 700'000;
+Options concurrent_faults(std::uint64_t seed, std::vector<PlannedFault> faults) {
+  Options o = planned_faults(seed, std::move(faults));
   o.until_finished = true;
   o.machines = 12;
   o.cloud_capacity = 6;
   o.job_every_ms = 2000;
   o.largest_array = 18;
-  o.planned_faults = std::move(faults);
-  if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
   return o;
 }
 
 // No rule is broken and all comes to an end.
 Result run_once(const Options& o) {
   Result r = SimulatedCluster(o).run();
-  EXPECT_TRUE(r.violations.empty()) << "seed " << o.seed << "\n" << list(r.violations);
-  EXPECT_TRUE(r.unfinished.empty()) << "seed " << o.seed << "\n" << list(r.unfinished);
+  EXPECT_THAT(r, has_no_violations()) << "seed " << o.seed;
+  EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << o.seed;
   EXPECT_GT(r.done, 5) << "seed " << o.seed;
   EXPECT_EQ(r.oversized_txns, 0) << "seed " << o.seed;
   return r;
@@ -64,7 +51,7 @@
     std::vector<PlannedFault> plan{{12'000, Fault::state_slow, 0, 8'000},
                                    {30'000, Fault::refused_then_outage, node, 26'000}};
     if (seed % 2 == 0) plan.push_back({25'000, Fault::state_refuses_one, node, 6'000});
-    Options o = meeting(seed, plan);
+    Options o = concurrent_faults(seed, plan);
     o.cancels = {{15'000, 0.3}, {25'100, 0.3}, {30'000, 0.5},
                  {30'500, 0.5}, {45'000, 0.5}, {58'000, 0.3}};
     const Result r = run(o);
@@ -100,7 +87,7 @@
             {at, at % 20'000 == 0 ? Fault::machine_unreachable : Fault::machine_hangs, 0, 7'500});
       plan.push_back({15'000, Fault::late_writes, 0, 120'000});
     }
-    Options o = meeting(seed, plan);
+    Options o = concurrent_faults(seed, plan);
     o.fault_ms = 140'000;
     o.limit_cpus = 24;
     o.cancels = {{40'000, 0.3}, {75'500, 0.3}, {100'000, 0.3}};
@@ -121,7 +108,7 @@
       plan.push_back({26'000, Fault::controller_crash, seed % 3, 0});
       plan.push_back({40'000, Fault::quick_restart, (seed + 1) % 3, 0});
     }
-    Options o = meeting(seed, plan);
+    Options o = concurrent_faults(seed, plan);
     o.free_team_tenths = 3;
     o.limit_cpus = 24;
     o.cancels = {{18'000, 0.3}, {27'000, 0.3}, {45'000, 0.3}};
@@ -148,7 +135,7 @@
       plan.push_back({19'900, Fault::cut_from_workers, (node + 1) % 3, 40'000});
       plan.push_back({19'900, Fault::cut_from_workers, (node + 2) % 3, 40'000});
     }
-    Options o = meeting(seed, plan);
+    Options o = concurrent_faults(seed, plan);
     o.longest_task_s = 60;
     // A late copy of a renewal keeps the controller that is away in the view beyond the leases of
     // its machines (1 of 24 such runs before, 2 of 24 now): not what is looked for here.
@@ -172,7 +159,7 @@
     std::vector<PlannedFault> plan{{12'000, Fault::view_changes, seed % 3, 70'000}};
     if (seed % 2 == 0) plan.push_back({30'000, Fault::late_writes, 0, 20'000});
     if (seed % 2 == 1) plan.push_back({30'000, Fault::controller_isolated, seed % 3, 20'000});
-    Options o = meeting(seed, plan);
+    Options o = concurrent_faults(seed, plan);
     o.longest_task_s = 8;
     o.uneven_jobs = 0.8;
     o.job_every_ms = 4000;
@@ -190,7 +177,7 @@
   if (seed % 3 == 0) plan.push_back({25'000, Fault::cut_from_workers, seed % 2, 20'000});
   plan.push_back({28'000, Fault::controller_down, seed % 3, 12'000});
   if (seed % 2 == 0) plan.push_back({36'000, Fault::quick_restart, (seed + 1) % 3, 0});
-  Options o = meeting(seed, plan);
+  Options o = concurrent_faults(seed, plan);
   o.free_team_tenths = 1;
   o.limit_cpus = 24;
   o.cancels = {{27'000, 0.4}, {30'000, 0.3}, {34'000, 0.3}};
@@ -220,7 +207,7 @@
     std::vector<PlannedFault> plan{{20'000, Fault::zone_cut, zone, 40'000}};
     if (seed > 2) plan.push_back({26'000, Fault::controller_down, zone == 1 ? 1U : 0U, 9'000});
     if (seed > 4) plan.push_back({59'000, Fault::quick_restart, zone == 1 ? 0U : 1U, 0});
-    Options o = meeting(seed, plan);
+    Options o = concurrent_faults(seed, plan);
     o.longest_task_s = 60;
     o.cancels = {{20'000, 0.2}, {35'000, 0.3}, {60'500, 0.3}};
     const Result r = run(o);
@@ -240,7 +227,7 @@
     plan.push_back({25'500, Fault::controller_down, seed % 3, 10'000});
     plan.push_back({27'000, Fault::controller_crash, (seed + 1) % 3, 0});
     if (seed > 4) plan.push_back({31'500, Fault::controller_down, (seed + 2) % 3, 15'000});
-    Options o = meeting(seed, plan);
+    Options o = concurrent_faults(seed, plan);
     o.longest_task_s = 60;
     o.cancels = {{30'000, 0.2}};
     lost += run(o).lease_expiries;
@@ -256,7 +243,7 @@
         {25'000, Fault::all_controllers_down, seed % 3, 7'700 + 1500 * (Ms)seed}};
     if (seed % 2 == 0) plan.push_back({24'000, Fault::late_writes, 0, 30'000});
     if (seed % 3 == 0) plan.push_back({26'000, Fault::refused_then_outage, 0, 21'000});
-    Options o = meeting(seed, plan);
+    Options o = concurrent_faults(seed, plan);
     o.longest_task_s = 60;
     o.cancels = {{24'900, 0.3}, {40'000, 0.2}};
     const Result r = run(o);
@@ -272,7 +259,7 @@
                                    {45'000, Fault::failback, (seed + 1) % 3, 12'000}};
     if (seed % 2 == 0) plan.push_back({26'000, Fault::duplicate_heartbeats, 0, 30'000});
     if (seed % 3 == 0) plan.push_back({26'500, Fault::late_writes, 0, 10'000});
-    Options o = meeting(seed, plan);
+    Options o = concurrent_faults(seed, plan);
     o.longest_task_s = 60;
     o.cancels = {{27'200, 0.3}, {55'000, 0.3}};
     const Result r = run(o);
--- a/tests/concurrent_faults_workers_test.cpp
+++ b/tests/concurrent_faults_workers_test.cpp
@@ -3,11 +3,10 @@
 #include <gtest/gtest.h>
 
 #include <cstdio>
-#include <cstdlib>
 #include <functional>
 #include <ostream>
 
-#include "sim/simulated_cluster.h"
+#include "support/simulation_runs.h"
 
 namespace scheduler::sim {
 namespace {
@@ -23,12 +22,6 @@
 
 void PrintTo(const FaultPair& m, std::ostream* out) { *out << m.name; }
 
-// Of one kind, every so often.
-void often(Options& o, Fault kind, Ms from, Ms every, Ms lasts, std::size_t node = 0) {
-  for (Ms at = from; at < o.fault_ms - 5000; at += every)
-    o.planned_faults.push_back({at, kind, node, lasts});
-}
-
 const FaultPair kMeetings[] = {
     // Controller::zones_open: what is still recorded in a zone counts, gone or not.
     {"ZoneBoundJobsLoseMachines", 3,
@@ -36,9 +29,9 @@
        o.zone_bound_jobs = 0.7;
        o.machines = 18;
        o.cloud_capacity = 6;
-       often(o, Fault::machine_dies, 10'000, 5'000, 0);
-       often(o, Fault::machine_hangs, 12'000, 4'000, 5'000);
-       if (seed % 2 == 0) often(o, Fault::spot_wave, 20'000, 25'000, 0);
+       add_periodic_faults(o, Fault::machine_dies, 10'000, 5'000, 0);
+       add_periodic_faults(o, Fault::machine_hangs, 12'000, 4'000, 5'000);
+       if (seed % 2 == 0) add_periodic_faults(o, Fault::spot_wave, 20'000, 25'000, 0);
      },
      [](const Result& r) { return r.zone_bound_tasks_lost; }, 10},
     // Controller::reconcile: only a token above that of every start sent proves that a task which
@@ -47,8 +40,9 @@
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.gang_tenths = 5;
-       often(o, Fault::machine_hangs, 8'000, 1'200, 1'000 + 700 * static_cast<Ms>(seed % 6));
-       if (seed % 2 == 0) often(o, Fault::slow_links, 20'000, 25'000, 15'000);
+       add_periodic_faults(o, Fault::machine_hangs, 8'000, 1'200,
+                           1'000 + 700 * static_cast<Ms>(seed % 6));
+       if (seed % 2 == 0) add_periodic_faults(o, Fault::slow_links, 20'000, 25'000, 15'000);
      },
      [](const Result& r) { return r.late_commands; }, 20},
     // Controller::take_report: counters order the messages of a machine.
@@ -57,10 +51,11 @@
        o.machines = 12;
        o.gang_tenths = 5;
        o.duplicated_heartbeats = 1;
-       often(o, Fault::duplicate_heartbeats, 6'000, 8'000, 8'000);
-       if (seed % 4 != 3) often(o, Fault::machine_restarts, 10'000, 6'000, 0);
-       often(o, Fault::machine_hangs, 9'000, 1'500, 3'000 + 2'000 * static_cast<Ms>(seed % 3));
-       if (seed % 2 == 0) often(o, Fault::quick_restart, 15'000, 20'000, 0, seed % 3);
+       add_periodic_faults(o, Fault::duplicate_heartbeats, 6'000, 8'000, 8'000);
+       if (seed % 4 != 3) add_periodic_faults(o, Fault::machine_restarts, 10'000, 6'000, 0);
+       add_periodic_faults(o, Fault::machine_hangs, 9'000, 1'500,
+                           3'000 + 2'000 * static_cast<Ms>(seed % 3));
+       if (seed % 2 == 0) add_periodic_faults(o, Fault::quick_restart, 15'000, 20'000, 0, seed % 3);
      },
      [](const Result& r) { return r.duplicate_heartbeats_arrived; }, 100},
     // Controller::finish and on_cancel: both rest on the version of the job's record; either alone
@@ -73,7 +68,7 @@
        o.machines = 18;
        o.limit_cpus = 80;
        o.failing_jobs = 0;
-       often(o, Fault::cancel_at_end, 1'000, 10'000, 10'000);
+       add_periodic_faults(o, Fault::cancel_at_end, 1'000, 10'000, 10'000);
      },
      [](const Result& r) { return r.requests_at_end; }, 200},
     // Controller::reconcile: nothing that a machine does not list counts as gone before it has
@@ -103,8 +98,8 @@
      [](Options& o, std::uint64_t) {
        o.longest_task_s = 12;
        o.free_team_tenths = 3;
-       often(o, Fault::slow_links, 5'000, 30'000, 30'000);
-       often(o, Fault::job_burst, 20'000, 25'000, 8'000);
+       add_periodic_faults(o, Fault::slow_links, 5'000, 30'000, 30'000);
+       add_periodic_faults(o, Fault::job_burst, 20'000, 25'000, 8'000);
      },
      [](const Result& r) { return r.checkpointed_stops; }, 1},
     // Controller::take_report: a new session's lease counts from when it was first heard of, by a
@@ -112,7 +107,7 @@
     {"MachinesThatReachNobody", 3,
      [](Options& o, std::uint64_t) {
        o.machines = 9;
-       often(o, Fault::machine_heartbeats_lost, 10'000, 6'000, 25'000);
+       add_periodic_faults(o, Fault::machine_heartbeats_lost, 10'000, 6'000, 25'000);
      },
      [](const Result& r) { return r.starts_without_heartbeats; }, 10},
     // Controller::state_of: nobody is told while anything is recorded on a machine.
@@ -121,13 +116,14 @@
        o.machines = 12;
        o.cancel_s = 12;
        o.limit_cpus = 80;
-       often(o, Fault::cancel_now, 15'000, 13'000, 2'000 + 700 * static_cast<Ms>(seed));
+       add_periodic_faults(o, Fault::cancel_now, 15'000, 13'000,
+                           2'000 + 700 * static_cast<Ms>(seed));
      },
      [](const Result& r) { return r.hangs_during_cancellation; }, 30},
     // wire::parse_job, Controller::verdict and lookup.
     {"OddRequests", 2,
      [](Options& o, std::uint64_t seed) {
-       often(o, Fault::invalid_requests, 5'000, 10'000, 10'000);
+       add_periodic_faults(o, Fault::invalid_requests, 5'000, 10'000, 10'000);
        o.planned_faults.push_back({30'000, Fault::all_controllers_crash, 0, 0});
        if (seed % 2 == 0) o.planned_faults.push_back({50'000, Fault::state_outage, 0, 10'000});
      },
@@ -146,29 +142,21 @@
   o.until_finished = true;
   o.services = services;
   meeting.day(o, seed);
-  if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
+  o.trace = trace_from_environment();
   Result r = SimulatedCluster(o).run();
-  std::string text;
-  for (const auto& b : r.violations) text += "  " + b + "\n";
-  for (const auto& u : r.unfinished) text += "  unfinished: " + u + "\n";
-  EXPECT_TRUE(r.violations.empty() && r.unfinished.empty()) << "seed " << seed << "\n" << text;
+  EXPECT_THAT(r, testing::AllOf(has_no_violations(), has_no_unfinished_jobs())) << "seed " << seed;
   EXPECT_GT(r.done, 10) << "seed " << seed;
   return r;
 }
 
-bool only_other_seed(std::uint64_t seed) {
-  const char* only = std::getenv("SIM_ONLY");  // one seed, to trace it
-  return only && std::strtoull(only, nullptr, 10) != seed;
-}
-
 TEST_P(ConcurrentFaults, InvariantsHoldAndAllJobsEnd) {
   const FaultPair& meeting = GetParam();
   int met = 0;
   for (std::uint64_t seed = 1; seed <= meeting.seeds; ++seed) {
-    if (!only_other_seed(seed)) met += meeting.met(run(meeting, seed, 0));
+    if (!skips_seed(seed)) met += meeting.met(run(meeting, seed, 0));
   }
   RecordProperty("met", met);
-  if (std::getenv("SIM_MET")) std::printf("met %d\n", met);
+  if (prints_counts()) std::printf("met %d\n", met);
   EXPECT_GE(met, meeting.least) << "the runs do not bring about what they are for";
 }
 
@@ -177,7 +165,7 @@
   constexpr double kServices = 0.1;  // of the jobs
   int services = 0;
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    if (!only_other_seed(seed)) services += run(GetParam(), seed, kServices).services;
+    if (!skips_seed(seed)) services += run(GetParam(), seed, kServices).services;
   }
   EXPECT_GT(services, 3);
 }
--- a/tests/fingerprint_test.cpp
+++ b/tests/fingerprint_test.cpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string>
 
-#include "sim/simulated_cluster.h"
+#include "support/simulation_runs.h"
 
 namespace scheduler::sim {
 namespace {
@@ -81,7 +81,7 @@
 
 TEST_P(RecordedRuns, ReproduceRecordedBehaviour) {
   const Result r = SimulatedCluster(GetParam().options).run();
-  EXPECT_TRUE(r.violations.empty()) << r.violations.front();
+  EXPECT_THAT(r, has_no_violations());
   EXPECT_GT(r.accepted, 20);
   EXPECT_EQ(r.fingerprint, GetParam().fingerprint) << std::hex << "0x" << r.fingerprint;
 }
--- a/tests/links_test.cpp
+++ b/tests/links_monitor_test.cpp
@@ -1,153 +1,19 @@
-// The links package by itself: detectors, damping, the matrix, and the decisions.
+// The matrix of links that controllers gossip, and the decisions that follow from it.
 #include <gtest/gtest.h>
 
 #include <string>
-#include <vector>
 
 #include "links/constants.h"
-#include "links/flap_damper.h"
 #include "links/monitor.h"
-#include "wire/peer.h"
+#include "support/link_rows.h"
 
 namespace scheduler::links {
 namespace {
 
-constexpr Ms kHintMs = 500;
-constexpr Ms kReportMs = 1000;
+constexpr Ms kGossipIntervalMs = 500;
+constexpr Ms kHeartbeatIntervalMs = 1000;
 constexpr Ms kWallOffset = 1'700'000'000'000;
 
-TEST(PhiDetector, SuspectsSilenceButNotOneLostMessage) {
-  PhiDetector detector(kHintMs);
-  EXPECT_EQ(detector.status(1000), Status::unknown);
-  Ms now = 1000;
-  for (int i = 0; i < 200; ++i, now += kHintMs)
-    if (i % 20 != 7) detector.heard(now);
-  EXPECT_EQ(detector.status(detector.last_heard() + 2 * kHintMs), Status::up);
-  EXPECT_EQ(detector.status(detector.last_heard() + 6 * kHintMs), Status::down);
-  double before = 0;
-  for (Ms silent = kHintMs; silent < 20 * kHintMs; silent += 50) {
-    const double suspicion = detector.suspicion(detector.last_heard() + silent);
-    EXPECT_GE(suspicion, before);
-    before = suspicion;
-  }
-}
-
-// Guards against suspecting a peer whose processor is busy: the detector learns its usual spread.
-TEST(PhiDetector, LearnsMessageJitter) {
-  PhiDetector even(kHintMs), uneven(kHintMs);
-  Ms now = 1000;
-  for (int i = 0; i < 100; ++i) {
-    now += kHintMs;
-    even.heard(now);
-    uneven.heard(now + (i % 2 == 0 ? 0 : 900));
-  }
-  EXPECT_LT(uneven.suspicion(uneven.last_heard() + 2200), even.suspicion(even.last_heard() + 2200));
-  EXPECT_EQ(uneven.status(uneven.last_heard() + 2200), Status::up);
-}
-
-TEST(PhiDetector, IgnoresOutagesAndProcessPauses) {
-  PhiDetector detector(kHintMs);
-  for (Ms now = 1000; now < 20'000; now += kHintMs) detector.heard(now);
-  detector.heard(90'000);
-  EXPECT_EQ(detector.status(90'000 + 6 * kHintMs), Status::down);
-  detector.on_pause(120'000);
-  EXPECT_EQ(detector.status(120'000 + kHintMs), Status::up);
-}
-
-TEST(RequestLink, RefusalIsContactButNoReply) {
-  RequestLink link;
-  EXPECT_EQ(link.status(1000), Status::unknown);
-  link.answered(1000);
-  EXPECT_EQ(link.status(1500), Status::up);
-  link.refused(2000);
-  EXPECT_FALSE(link.answering(2100));
-  EXPECT_FALSE(link.silent(2000 + kSilentMs - 1));
-  EXPECT_TRUE(link.silent(2000 + kSilentMs));
-  link.answered(6000);
-  EXPECT_FALSE(link.answering(6000 + kSilentMs));  // without a failure, but long ago
-}
-
-TEST(FlapDamper, PenaltyGrowsWithFailuresAndDecays) {
-  FlapDamper damper{1};
-  EXPECT_EQ(damper.steady_ms(1000), 0);
-  damper.failed(1000);
-  EXPECT_EQ(damper.steady_ms(1000), 0);  // most cuts come alone
-  damper.failed(6000);
-  const Ms second = damper.steady_ms(6000);
-  EXPECT_GT(second, kSteadyMs / 2);
-  FlapDamper strict{0};
-  strict.failed(1000);
-  EXPECT_EQ(strict.steady_ms(1000), kSteadyMs);
-  damper.failed(11'000);
-  EXPECT_GT(damper.steady_ms(11'000), 2 * second);
-  for (Ms now = 10'000; now < 200'000; now += 5000) damper.failed(now);
-  EXPECT_EQ(damper.steady_ms(200'000), kSteadyMostMs);
-  EXPECT_EQ(damper.steady_ms(200'000 + 600'000), 0);
-}
-
-TEST(ZoneLinks, SilenceOfManyIsDetectedSooner) {
-  ZoneLinks many(kReportMs), one(kReportMs);
-  many.expect(1000, 50);
-  one.expect(1000, 1);
-  for (Ms now = 1000; now <= 10'000; now += 20) many.heartbeat_received(now);
-  one.heartbeat_received(10'000);
-  many.sample_unanswered();
-  one.sample_unanswered();
-  EXPECT_EQ(many.reports(11'900), Status::down);
-  EXPECT_EQ(one.reports(11'900), Status::up);
-  EXPECT_EQ(one.reports(13'300), Status::down);
-}
-
-// That workers answer probes leaves their reports the longer time: they may only be slow.
-TEST(ZoneLinks, SilenceWithoutFailedProbeIsDetectedLater) {
-  ZoneLinks links(kReportMs);
-  links.expect(1000, 50);
-  links.heartbeat_received(10'000);
-  EXPECT_TRUE(links.probe_due(11'000));
-  links.probe_sent(11'000);
-  links.answered(11'050);
-  EXPECT_EQ(links.reports(12'500), Status::up);
-  EXPECT_EQ(links.reports(13'300), Status::down);
-  EXPECT_EQ(links.commands(13'300), Status::up);
-}
-
-TEST(ZoneLinks, CommandsAreDownAfterTwoUnansweredSamples) {
-  ZoneLinks links(kReportMs);
-  links.expect(1000, 10);
-  links.heartbeat_received(1000);
-  EXPECT_FALSE(links.probe_due(1200));
-  links.suspect_commands();
-  EXPECT_TRUE(links.probe_due(1200));
-  links.sample_unanswered();
-  EXPECT_NE(links.commands(1300), Status::down);
-  links.sample_unanswered();
-  EXPECT_EQ(links.commands(1300), Status::down);
-  EXPECT_FALSE(links.usable(1300));
-  links.answered(1400);
-  EXPECT_TRUE(links.usable(1400));
-}
-
-// Workers that have not reported here yet, and a pause of our own, are no silence.
-TEST(ZoneLinks, OnlyExpectedWorkersCanBeSilent) {
-  ZoneLinks links(kReportMs);
-  links.heartbeat_received(1000);
-  links.expect(50'000, 0);
-  EXPECT_EQ(links.reports(50'000), Status::unknown);
-  links.expect(50'000, 20);
-  EXPECT_NE(links.reports(51'000), Status::down);
-  EXPECT_EQ(links.reports(54'000), Status::down);
-  links.on_pause(60'000);
-  EXPECT_NE(links.reports(61'000), Status::down);
-}
-
-wire::LinkRow row_of(const std::string& name, Ms as_of, Status state) {
-  wire::LinkRow row;
-  row.controller = name;
-  row.as_of_ms = static_cast<std::uint64_t>(as_of);
-  row.state = state;
-  return row;
-}
-
 TEST(Matrix, NewestRowWinsRegardlessOfPath) {
   Matrix matrix("a");
   matrix.merge(100, 10'000, row_of("b", 9'900, Status::up));
@@ -181,7 +47,7 @@
 class MonitorTest : public testing::Test {
  protected:
   MonitorTest() {
-    for (Ms t = 1000; t <= now_; t += kHintMs) {
+    for (Ms t = 1000; t <= now_; t += kGossipIntervalMs) {
       monitor_.peer_heard(t, "b");
       monitor_.peer_heard(t, "c");
       monitor_.tick(t);
@@ -190,7 +56,9 @@
     monitor_.tick(now_);
   }
 
-  static MonitorSettings settings() { return {"a", {"b", "c"}, kReportMs, kHintMs, true}; }
+  static MonitorSettings settings() {
+    return {"a", {"b", "c"}, kHeartbeatIntervalMs, kGossipIntervalMs, true};
+  }
   Moment at(Ms now) const { return {now, now + kWallOffset}; }
 
   wire::LinkRow row(const std::string& name, Status state, Ms as_of) const {
@@ -218,31 +86,31 @@
   EXPECT_TRUE(monitor_.may_serve_users(at(now_)).allowed);
   state_.refused(now_ + 100);
   monitor_.merge(at(now_ + 200), row("b", Status::down, now_ + 150));
-  const Decision verdict = monitor_.may_serve_users(at(now_ + 4000));
-  EXPECT_TRUE(verdict.allowed);
-  EXPECT_EQ(verdict.reason, Reason::outage);
+  const Decision decision = monitor_.may_serve_users(at(now_ + 4000));
+  EXPECT_TRUE(decision.allowed);
+  EXPECT_EQ(decision.reason, Reason::outage);
 }
 
 // The row of c comes through b; there is no link between a and c.
 TEST_F(MonitorTest, UsersMoveOnIndirectEvidenceOfTheStateService) {
   state_.refused(now_ + 100);
-  Decision verdict;
-  for (Ms t = now_ + 200; t < now_ + 3000; t += kHintMs) {
+  Decision decision;
+  for (Ms t = now_ + 200; t < now_ + 3000; t += kGossipIntervalMs) {
     monitor_.merge(at(t), row("b", Status::down, t - 20));
     monitor_.merge(at(t), row("c", Status::up, t - 60));
-    verdict = monitor_.may_serve_users(at(t));
+    decision = monitor_.may_serve_users(at(t));
     // Not before it has said so for a while: at the ends of an outage one notices first.
-    EXPECT_EQ(verdict.allowed, t - now_ <= 200 + kStateWordMs) << t;
+    EXPECT_EQ(decision.allowed, t - now_ <= 200 + kStateWordMs) << t;
   }
-  EXPECT_EQ(verdict.reason, Reason::peer_reaches);
-  EXPECT_EQ(verdict.through, "c");
+  EXPECT_EQ(decision.reason, Reason::peer_reaches);
+  EXPECT_EQ(decision.through, "c");
 }
 
 TEST_F(MonitorTest, UsersLeaveIsolatedControllers) {
   EXPECT_TRUE(monitor_.may_serve_users(at(now_ + kSilentMs - 100)).allowed);
-  const Decision verdict = monitor_.may_serve_users(at(now_ + kSilentMs + 100));
-  EXPECT_FALSE(verdict.allowed);
-  EXPECT_EQ(verdict.reason, Reason::isolated);
+  const Decision decision = monitor_.may_serve_users(at(now_ + kSilentMs + 100));
+  EXPECT_FALSE(decision.allowed);
+  EXPECT_EQ(decision.reason, Reason::isolated);
 }
 
 TEST_F(MonitorTest, MachinesGoToReachableControllersOrStay) {
@@ -332,9 +200,9 @@
   wire::LinkRow b = row("b", Status::up, now_ - 100);
   b.workers["x"] = {Status::up, Status::up, 0};
   monitor_.merge(at(now_), b);
-  const Decision verdict = monitor_.may_declare_dead(at(now_), "x", census, 5000);
-  EXPECT_FALSE(verdict.allowed);
-  EXPECT_EQ(verdict.through, "b");
+  const Decision decision = monitor_.may_declare_dead(at(now_), "x", census, 5000);
+  EXPECT_FALSE(decision.allowed);
+  EXPECT_EQ(decision.through, "b");
   EXPECT_TRUE(monitor_.may_declare_dead(at(now_), "x", census, kZoneCutPatienceMs + 1).allowed);
 }
 
@@ -386,43 +254,5 @@
   EXPECT_FALSE(monitor_.should_forward(at(now_ + 10'000), "b", "x"));  // not heard of since
 }
 
-TEST(PeerMessages, RowsAndCancelledJobsRoundTrip) {
-  wire::GossipMessage hint;
-  hint.from = "a";
-  hint.incarnation = "7";
-  wire::LinkRow row = row_of("a", 12'345, Status::down);
-  row.cloud = Status::up;
-  row.relays = true;
-  row.heard = {{"b", Status::up}, {"c", Status::unknown}};
-  row.workers["x"] = {Status::up, Status::down, 12'300};
-  hint.links = {row, row_of("b", 12'000, Status::up)};
-  hint.cancelled = {"req-000001"};
-  const std::string bytes = encode(hint);
-  wire::GossipMessage read;
-  ASSERT_TRUE(decode(bytes, read));
-  EXPECT_EQ(encode(read), bytes);
-  ASSERT_EQ(read.links.size(), 2U);
-  EXPECT_EQ(read.links[0].workers.at("x").commands, Status::down);
-  EXPECT_EQ(read.links[0].heard.at("b"), Status::up);
-  EXPECT_EQ(read.cancelled, hint.cancelled);
-  for (std::size_t n = 0; n < bytes.size(); ++n)
-    EXPECT_TRUE(std::holds_alternative<std::monostate>(
-        wire::decode_peer_message(std::string_view(bytes).substr(0, n))));
-}
-
-TEST(PeerMessages, RelayedMessagesRoundTripAndAreNotGossip) {
-  const wire::RelayRequest request{"a", 7, 99, wire::RelayKind::heartbeat, "w:1", R"({"rig":"n"})"};
-  const auto message = wire::decode_peer_message(encode(request));
-  const auto* read = std::get_if<wire::RelayRequest>(&message);
-  ASSERT_NE(read, nullptr);
-  EXPECT_EQ(read->kind, wire::RelayKind::heartbeat);
-  EXPECT_EQ(read->body, request.body);
-  const auto answer = wire::decode_peer_message(encode(wire::RelayReply{"b", 7, 200, "{}"}));
-  ASSERT_NE(std::get_if<wire::RelayReply>(&answer), nullptr);
-  EXPECT_EQ(std::get<wire::RelayReply>(answer).status, 200U);
-  wire::GossipMessage hint;
-  EXPECT_FALSE(decode(encode(request), hint));
-}
-
 }  // namespace
 }  // namespace scheduler::links
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -3,11 +3,10 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
-#include <cstdlib>
 #include <iterator>
 #include <pcg_random.hpp>
 
-#include "sim/simulated_cluster.h"
+#include "support/simulation_runs.h"
 #include "support/single_controller_test.h"
 #include "wire/peer.h"
 
@@ -35,11 +34,7 @@
 }
 
 Options with_cuts(std::uint64_t seed, std::vector<LinkCut> cuts) {
-  Options o;
-  o.seed = seed;
-  o.faults = false;
-  o.longest_task_s = 30;
-  o.recovery_ms = 700'000;
+  Options o = planned_faults(seed, {});
   o.until_finished = true;
   o.machines = 24;
   o.cloud_capacity = 9;
@@ -47,21 +42,14 @@
   o.largest_array = 18;
   o.cancels = {{30'000, 0.2}, {45'000, 0.2}};
   o.link_cuts = std::move(cuts);
-  if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
   return o;
 }
 
-std::string list(const std::vector<std::string>& lines) {
-  std::string out;
-  for (const auto& l : lines) out += l + "\n";
-  return out;
-}
-
 // No rule is broken and all comes to an end.
 Result run(const Options& o) {
   Result r = SimulatedCluster(o).run();
-  EXPECT_TRUE(r.violations.empty()) << "seed " << o.seed << "\n" << list(r.violations);
-  EXPECT_TRUE(r.unfinished.empty()) << "seed " << o.seed << "\n" << list(r.unfinished);
+  EXPECT_THAT(r, has_no_violations()) << "seed " << o.seed;
+  EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << o.seed;
   EXPECT_GT(r.done, 5) << "seed " << o.seed;
   return r;
 }
@@ -254,11 +242,7 @@
   EXPECT_EQ(r.oversized_txns, 0);
 }
 
-std::uint64_t seeds() {
-  const char* n = std::getenv("SIM_SEEDS");
-  return n ? std::strtoull(n, nullptr, 10) : 24;
-}
-INSTANTIATE_TEST_SUITE_P(Seeds, AnyLinks, testing::Range<std::uint64_t>(1, seeds() + 1));
+INSTANTIATE_TEST_SUITE_P(Seeds, AnyLinks, testing::Range<std::uint64_t>(1, seeds_or(24) + 1));
 
 }  // namespace
 }  // namespace scheduler::sim
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -2,11 +2,10 @@
 // that a job is accepted, done or cancelled, no controller gives that user an older answer.
 #include <gtest/gtest.h>
 
-#include <cstdlib>
 #include <string>
 #include <vector>
 
-#include "sim/simulated_cluster.h"
+#include "support/simulation_runs.h"
 #include "support/single_controller_test.h"
 
 namespace scheduler {
@@ -119,12 +118,6 @@
 namespace scheduler::sim {
 namespace {
 
-std::string list(const std::vector<std::string>& lines) {
-  std::string out;
-  for (const auto& l : lines) out += l + "\n";
-  return out;
-}
-
 // Small jobs that find room at once, each asked about at all nodes within milliseconds and most of
 // them cancelled at once. The state service's rates are low, so that watches are reopened about ten
 // times a second.
@@ -144,34 +137,20 @@
   o.planned_faults = {{3000, Fault::concurrent_reads, 0, 37'000}};
   for (const Fault inject_fault : faults)
     o.planned_faults.push_back({3000, inject_fault, 0, 37'000});
-  if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
+  o.trace = trace_from_environment();
   return o;
 }
 
-// Seeds to run instead of those of CI, a list of numbers separated by commas or one range "1-1000".
-std::vector<std::uint64_t> seeds_or(std::vector<std::uint64_t> in_ci) {
-  const char* text = std::getenv("SEEDS");
-  if (!text) return in_ci;
-  std::vector<std::uint64_t> seeds;
-  char* end = nullptr;
-  for (const char* at = text; *at != '\0'; at = *end == ',' ? end + 1 : end) {
-    std::uint64_t first = std::strtoull(at, &end, 10);
-    const std::uint64_t last = *end == '-' ? std::strtoull(end + 1, &end, 10) : first;
-    while (first <= last) seeds.push_back(first++);
-  }
-  return seeds;
-}
-
 // How many seeds break a rule.
 int seeds_with_violations(const std::vector<std::uint64_t>& in_ci, const std::vector<Fault>& faults,
                           bool random_troubles = false) {
   int violations = 0;
-  for (const std::uint64_t seed : seeds_or(in_ci)) {
+  for (const std::uint64_t seed : seed_list_or(in_ci)) {
     Options options = concurrent_reads(seed, faults);
     options.faults = random_troubles;
     const Result r = SimulatedCluster(options).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
-    EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
+    EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
+    EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
     EXPECT_GT(r.concurrent_reads, random_troubles ? 10 : 100) << "seed " << seed;
     EXPECT_GT(r.cancelled, 20) << "seed " << seed;
     violations += r.violations.empty() ? 0 : 1;
@@ -198,12 +177,12 @@
 // after page, while it changes.
 TEST(Answers, StayMonotonicDuringAFullReload) {
   int read_again = 0;
-  for (const std::uint64_t seed : seeds_or({1, 8, 12, 27, 48, 131})) {
+  for (const std::uint64_t seed : seed_list_or({1, 8, 12, 27, 48, 131})) {
     Options options = concurrent_reads(seed, {Fault::state_reorders});
     options.changes_kept = 5;
     const Result r = SimulatedCluster(options).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
-    EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
+    EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
+    EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
     read_again += r.compacted_watches;
   }
   EXPECT_GT(read_again, 10);
--- a/tests/scale_sim_test.cpp
+++ b/tests/scale_sim_test.cpp
@@ -12,17 +12,11 @@
 #include <string>
 #include <vector>
 
-#include "sim/simulated_cluster.h"
+#include "support/simulation_runs.h"
 
 namespace scheduler::sim {
 namespace {
 
-std::string lines(const std::vector<std::string>& list) {
-  std::string out;
-  for (const auto& line : list) out += line + "\n";
-  return out;
-}
-
 Options large_fleet(int machines, int controllers, std::vector<PlannedFault> faults = {}) {
   Options o;
   o.seed = 11;
@@ -72,8 +66,8 @@
 Result run_large(const Options& options) {
   const Result r = SimulatedCluster(options).run();
   report(r);
-  EXPECT_TRUE(r.violations.empty()) << lines(r.violations);
-  EXPECT_TRUE(r.unfinished.empty()) << lines(r.unfinished);
+  EXPECT_THAT(r, has_no_violations());
+  EXPECT_THAT(r, has_no_unfinished_jobs());
   EXPECT_EQ(r.oversized_txns, 0);
   EXPECT_LE(r.peak_requests, 150);
   EXPECT_GT(r.done, 10);
@@ -184,8 +178,8 @@
   o.fault_ms = 90'000;
   const Result r = SimulatedCluster(o).run();
   report(r);
-  EXPECT_TRUE(r.violations.empty()) << lines(r.violations);
-  EXPECT_TRUE(r.unfinished.empty()) << lines(r.unfinished);
+  EXPECT_THAT(r, has_no_violations());
+  EXPECT_THAT(r, has_no_unfinished_jobs());
   EXPECT_GT(r.oversized_at_upgrade, 20);
 }
 
--- a/tests/services_sim_test.cpp
+++ b/tests/services_sim_test.cpp
@@ -4,22 +4,15 @@
 
 #include <algorithm>
 #include <cstdio>
-#include <cstdlib>
 #include <ostream>
 #include <string>
 #include <vector>
 
-#include "sim/simulated_cluster.h"
+#include "support/simulation_runs.h"
 
 namespace scheduler::sim {
 namespace {
 
-std::string list(const std::vector<std::string>& lines) {
-  std::string out;
-  for (const auto& l : lines) out += l + "\n";
-  return out;
-}
-
 Options with_services(std::uint64_t seed) {
   Options o;
   o.seed = seed;
@@ -29,24 +22,13 @@
   o.cloud_capacity = 6;
   o.recovery_ms = 600'000;
   o.until_finished = true;
-  if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
+  o.trace = trace_from_environment();
   return o;
 }
 
-// Of one kind, every so often.
-void often(Options& o, Fault kind, Ms from, Ms every, Ms lasts, std::size_t node = 0) {
-  for (Ms at = from; at < o.fault_ms - 5000; at += every)
-    o.planned_faults.push_back({at, kind, node, lasts});
-}
-
-bool only_other_seed(std::uint64_t seed) {
-  const char* only = std::getenv("SIM_ONLY");  // one seed, to trace it
-  return only && std::strtoull(only, nullptr, 10) != seed;
-}
-
 void expect_rules_hold(const Result& r, std::uint64_t seed) {
-  EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
-  EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
+  EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
+  EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
   EXPECT_GT(r.services, 0) << "seed " << seed;
 }
 
@@ -69,7 +51,7 @@
 TEST(Services, EndedReplicasRunAgain) {
   int ended = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    if (only_other_seed(seed)) continue;
+    if (skips_seed(seed)) continue;
     Options o = with_services(seed);
     o.faults = false;
     o.replicas_ending = 0.33;
@@ -92,24 +74,20 @@
 }
 
 // More seeds than CI runs, by SIM_SEEDS=200.
-std::uint64_t seeds() {
-  const char* n = std::getenv("SIM_SEEDS");
-  return n ? std::strtoull(n, nullptr, 10) : 20;
-}
 INSTANTIATE_TEST_SUITE_P(Seeds, ServicesUnderTroubles,
-                         testing::Range<std::uint64_t>(1, seeds() + 1));
+                         testing::Range<std::uint64_t>(1, seeds_or(20) + 1));
 
 TEST(Services, RunOnAsMachinesDie) {
   int restarts = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    if (only_other_seed(seed)) continue;
+    if (skips_seed(seed)) continue;
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.4;
     o.replicas_ending = 0;
-    often(o, Fault::machine_dies, 10'000, 4'000, 0);
-    if (seed % 2 == 0) often(o, Fault::spot_wave, 20'000, 20'000, 0);
-    if (seed % 3 == 0) often(o, Fault::preemption_notice, 12'000, 5'000, 0);
+    add_periodic_faults(o, Fault::machine_dies, 10'000, 4'000, 0);
+    if (seed % 2 == 0) add_periodic_faults(o, Fault::spot_wave, 20'000, 20'000, 0);
+    if (seed % 3 == 0) add_periodic_faults(o, Fault::preemption_notice, 12'000, 5'000, 0);
     const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
     restarts += r.replica_restarts;
@@ -124,7 +102,7 @@
   int back = 0;
   Ms away_ms = 0;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
-    if (only_other_seed(seed)) continue;
+    if (skips_seed(seed)) continue;
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.4;
@@ -134,7 +112,8 @@
     o.dead_listed_ms = 30'000;
     o.cloud_capacity = 12;
     o.fault_ms = 120'000;
-    for (const Ms after : {0, 300, 600}) often(o, Fault::machine_dies, 20'000 + after, 25'000, 0);
+    for (const Ms after : {0, 300, 600})
+      add_periodic_faults(o, Fault::machine_dies, 20'000 + after, 25'000, 0);
     const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
     back += r.replicas_recovered;
@@ -151,7 +130,7 @@
 TEST(Services, ShortPartitionMovesFewReplicas) {
   int services = 0, restarts = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    if (only_other_seed(seed)) continue;
+    if (skips_seed(seed)) continue;
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.2;
@@ -173,7 +152,7 @@
 TEST(Services, ZonesPartitioned) {
   int restarts = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    if (only_other_seed(seed)) continue;
+    if (skips_seed(seed)) continue;
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.4;
@@ -189,13 +168,13 @@
 TEST(Services, CancelledOnHangingMachines) {
   int hanging = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    if (only_other_seed(seed)) continue;
+    if (skips_seed(seed)) continue;
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.5;
     o.cancel_s = 12;
     o.limit_cpus = 80;
-    often(o, Fault::cancel_now, 15'000, 13'000, 2'000 + 900 * static_cast<Ms>(seed));
+    add_periodic_faults(o, Fault::cancel_now, 15'000, 13'000, 2'000 + 900 * static_cast<Ms>(seed));
     const Result r = SimulatedCluster(o).run();
     expect_rules_hold(r, seed);
     hanging += r.hangs_during_cancellation;
@@ -238,7 +217,7 @@
   if (after_an_upgrade) {
     EXPECT_GT(r.oversized_at_upgrade, 0);
   }
-  if (std::getenv("SIM_MET"))
+  if (prints_counts())
     std::printf("oversized %d, then %d, throttled %d\n", r.oversized_at_upgrade,
                 r.oversized_at_drop, r.throttled_txns);
 }
@@ -266,7 +245,7 @@
 // Controllers that end before or after their turn, and once between two turns all of them.
 TEST(Services, ControllersCrashDuringTheUpgrade) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    if (only_other_seed(seed)) continue;
+    if (skips_seed(seed)) continue;
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.5;
@@ -283,17 +262,6 @@
 
 // ---- the referee ----
 
-int runs_with_violations(Options o, const std::string& rule, std::uint64_t seeds) {
-  int n = 0;
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    o.seed = seed;
-    const Result r = SimulatedCluster(o).run();
-    n += std::any_of(r.violations.begin(), r.violations.end(),
-                     [&](const auto& b) { return b.starts_with(rule); });
-  }
-  return n;
-}
-
 Options quiet_services() {
   Options o = with_services(1);
   o.faults = false;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -2,26 +2,19 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
-#include <cstdlib>
 
-#include "sim/simulated_cluster.h"
+#include "support/simulation_runs.h"
 
 namespace scheduler::sim {
 namespace {
 
-std::string list(const std::vector<std::string>& lines) {
-  std::string out;
-  for (const auto& l : lines) out += l + "\n";
-  return out;
-}
-
 TEST(Simulation, QuietDayEverythingIsDone) {
   Options o;
   o.seed = 42;
   o.faults = false;
   const Result r = SimulatedCluster(o).run();
-  EXPECT_TRUE(r.violations.empty()) << list(r.violations);
-  EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
+  EXPECT_THAT(r, has_no_violations());
+  EXPECT_THAT(r, has_no_unfinished_jobs());
   EXPECT_GT(r.done, 30);
   EXPECT_GT(r.gangs_done, 3);
 }
@@ -34,7 +27,7 @@
     o.seed = seed;
     o.duplicated_requests = 0.5;
     const Result r = SimulatedCluster(o).run();
-    EXPECT_TRUE(r.violations.empty()) << list(r.violations);
+    EXPECT_THAT(r, has_no_violations());
     saved += r.checkpointed_stops;
     spread += r.spread_done;
   }
@@ -43,35 +36,6 @@
   EXPECT_GT(spread, 0);
 }
 
-// Hundreds of machines and arrays spread over all of them.
-TEST(Simulation, LargeFleetAndLongArrays) {
-  Options o;
-  o.seed = 5;
-  o.machines = 240;
-  o.cloud_capacity = 120;
-  o.largest_array = 900;
-  o.job_every_ms = 1000;
-  o.limit_cpus = 800;
-  o.large_gang = 150;
-  const Result r = SimulatedCluster(o).run();
-  EXPECT_TRUE(r.violations.empty()) << list(r.violations);
-  EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
-  EXPECT_GT(r.done, 40);
-  EXPECT_TRUE(r.large_gang_done);
-  EXPECT_EQ(r.oversized_txns, 0);
-}
-
-Options planned_faults(std::uint64_t seed, std::vector<PlannedFault> faults) {
-  Options o;
-  o.seed = seed;
-  o.faults = false;
-  o.longest_task_s = 30;
-  o.recovery_ms = 700'000;
-  o.planned_faults = std::move(faults);
-  if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
-  return o;
-}
-
 // A controller with workers and nothing else must send users elsewhere; in an outage that all share
 // nobody can serve better, so all stay.
 TEST(Simulation, HealthTellsIsolationFromOutage) {
@@ -80,8 +44,8 @@
         SimulatedCluster(
             planned_faults(seed, {{20'000, Fault::controller_isolated, seed % 3, 40'000}}))
             .run();
-    EXPECT_TRUE(alone.violations.empty()) << list(alone.violations);
-    EXPECT_TRUE(alone.unfinished.empty()) << list(alone.unfinished);
+    EXPECT_THAT(alone, has_no_violations());
+    EXPECT_THAT(alone, has_no_unfinished_jobs());
     EXPECT_EQ(alone.isolated_healthy, 0);
     EXPECT_GT(alone.isolated_unhealthy, 10);
     // Nobody is left to take over, so nothing shows a newer view.
@@ -90,45 +54,17 @@
                                                {20'000, Fault::controller_isolated, 1, 40'000},
                                                {20'000, Fault::controller_isolated, 2, 40'000}}))
             .run();
-    EXPECT_TRUE(each.violations.empty()) << list(each.violations);
+    EXPECT_THAT(each, has_no_violations());
     EXPECT_EQ(each.isolated_healthy, 0);
     EXPECT_GT(each.isolated_unhealthy, 30);
     const Result all =
         SimulatedCluster(planned_faults(seed, {{20'000, Fault::state_outage, 0, 60'000}})).run();
-    EXPECT_TRUE(all.violations.empty()) << list(all.violations);
+    EXPECT_THAT(all, has_no_violations());
     EXPECT_EQ(all.outage_unhealthy, 0);
     EXPECT_GT(all.outage_healthy, 40);
   }
 }
 
-// An overload that lasts: the order of work puts the large ones behind, but nobody is starved.
-TEST(Simulation, OverloadStarvesNoJob) {
-  int largest = 0;
-  std::map<std::string, std::pair<int, int>> served;  // of all seeds: jobs, and those done
-  for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    Options o;
-    o.seed = seed;
-    o.faults = false;
-    o.fault_ms = 600'000;
-    o.recovery_ms = 0;
-    o.job_every_ms = 1200;
-    o.largest_array = 90;
-    o.limit_cpus = 60;
-    const Result r = SimulatedCluster(o).run();
-    EXPECT_TRUE(r.violations.empty()) << list(r.violations);
-    EXPECT_EQ(r.large_jobs_late, 0) << "seed " << seed << " of " << r.large_jobs;
-    largest += r.large_jobs;
-    for (const auto& [what, n] : r.served) {
-      served[what].first += n.first;
-      served[what].second += n.second;
-    }
-    EXPECT_FALSE(r.unfinished.empty());  // or it was no overload
-  }
-  for (const auto& [what, n] : served)
-    EXPECT_GE(10 * n.second, 6 * n.first) << what << ": " << n.second << " of " << n.first;
-  EXPECT_GT(largest, 20);
-}
-
 // Reports alone do not make a machine fit for work.
 TEST(Simulation, UnreachableMachinesGetNothingNew) {
   int deaf_starts = 0, starts = 0;
@@ -137,8 +73,8 @@
     for (Ms at = 10'000; at < 60'000; at += 6000)
       plan.push_back({at, Fault::machine_unreachable, 0, 40'000});
     const Result r = SimulatedCluster(planned_faults(seed, plan)).run();
-    EXPECT_TRUE(r.violations.empty()) << list(r.violations);
-    EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
+    EXPECT_THAT(r, has_no_violations());
+    EXPECT_THAT(r, has_no_unfinished_jobs());
     deaf_starts += r.starts_on_unreachable;
     starts += r.starts;
   }
@@ -158,8 +94,8 @@
       if (at % 2 == 0) plan.push_back({at + 6000, Fault::machine_dies, 0, 0});
     }
     const Result r = SimulatedCluster(planned_faults(seed, plan)).run();
-    EXPECT_TRUE(r.violations.empty()) << list(r.violations);
-    EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
+    EXPECT_THAT(r, has_no_violations());
+    EXPECT_THAT(r, has_no_unfinished_jobs());
   }
 }
 
@@ -176,8 +112,8 @@
     Options o = planned_faults(seed, plan);
     o.failing_jobs = 0;  // two of them would condemn a machine
     const Result r = SimulatedCluster(o).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
-    EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
+    EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
+    EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
     EXPECT_EQ(r.healthy_scale_ins, 0) << "seed " << seed;
   }
 }
@@ -191,8 +127,8 @@
                                       {20'600, Fault::process_pause, 2, lasts}});
     o.failing_jobs = 0;
     const Result r = SimulatedCluster(o).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
-    EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
+    EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
+    EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
     EXPECT_EQ(r.healthy_scale_ins, 0) << "seed " << seed;
   }
 }
@@ -210,8 +146,8 @@
     o.cloud_capacity = 9;
     o.job_every_ms = 2000;
     const Result r = SimulatedCluster(o).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
-    EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
+    EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
+    EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
     if (seed % 3 != 0) continue;
     lost += r.lease_expiries;
     back += r.restarts_during_zone_cut;
@@ -234,8 +170,8 @@
     o.limit_cpus = 400;
     o.cancel_all_at = 26'500;  // after others have taken over
     const Result r = SimulatedCluster(o).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
-    EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
+    EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
+    EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
     EXPECT_GT(r.cancelled, 5);
   }
 }
@@ -246,26 +182,11 @@
     Options o = planned_faults(seed, {{20'000, Fault::state_outage, 0, 60'000}});
     o.longest_task_s = 60;
     const Result r = SimulatedCluster(o).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
+    EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
     EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
   }
 }
 
-// Twenty times slower, the state service is asked no more often than it allows, and nothing is
-// lost.
-TEST(Simulation, SlowStateServiceIsNotOverloaded) {
-  for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    std::vector<PlannedFault> plan{{15'000, Fault::state_slow, 0, 40'000},
-                                   {20'000, Fault::job_burst, 0, 10'000}};
-    if (seed % 2 == 0) plan.push_back({25'000, Fault::all_controllers_crash, 0, 0});
-    const Result r = SimulatedCluster(planned_faults(seed, plan)).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
-    EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
-    EXPECT_LE(r.peak_requests, 400) << "seed " << seed;
-    EXPECT_LE(r.peak_writes, 2 * 150) << "seed " << seed;  // with the burst of a second's worth
-  }
-}
-
 // Waves of spot machines, rolling restarts, refused links and bursts, two and three at a time.
 TEST(Simulation, FleetFaultsTogether) {
   const Fault kinds[] = {Fault::spot_wave, Fault::rolling_restart, Fault::peers_refuse,
@@ -282,32 +203,11 @@
     o.recovery_ms = 1'400'000;
     o.until_finished = true;
     const Result r = SimulatedCluster(o).run();
-    EXPECT_TRUE(r.violations.empty()) << "seed " << seed << "\n" << list(r.violations);
-    EXPECT_TRUE(r.unfinished.empty()) << "seed " << seed << "\n" << list(r.unfinished);
+    EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
+    EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
   }
 }
 
-// Over a thousand machines, a wave of them taken, all controllers down, a zone cut.
-TEST(Simulation, AThousandMachines) {
-  Options o = planned_faults(3, {{12'000, Fault::spot_wave, 0, 0},
-                                 {16'000, Fault::all_controllers_crash, 0, 0},
-                                 {24'000, Fault::zone_cut, 0, 14'000}});
-  o.machines = 1050;
-  o.cloud_capacity = 400;
-  o.largest_array = 900;
-  o.job_every_ms = 700;
-  o.limit_cpus = 2000;
-  o.longest_task_s = 12;
-  o.fault_ms = 40'000;
-  o.recovery_ms = 80'000;
-  const Result r = SimulatedCluster(o).run();
-  EXPECT_TRUE(r.violations.empty()) << list(r.violations);
-  EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
-  EXPECT_GT(r.done, 20);
-  EXPECT_EQ(r.oversized_txns, 0);
-  EXPECT_LE(r.peak_requests, 400);
-}
-
 // Found by these runs: a job bound to one zone, divided into as many ranges as one may have, with
 // tasks left to a part without machines there.
 TEST(Simulation, WorkIsStolenFromShardsThatCannotRunIt) {
@@ -317,8 +217,8 @@
   o.longest_task_s = 30;
   o.recovery_ms = 700'000;
   const Result r = SimulatedCluster(o).run();
-  EXPECT_TRUE(r.violations.empty()) << list(r.violations);
-  EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
+  EXPECT_THAT(r, has_no_violations());
+  EXPECT_THAT(r, has_no_unfinished_jobs());
 }
 
 class RandomFaults : public testing::TestWithParam<std::uint64_t> {};
@@ -331,169 +231,16 @@
     o.longest_task_s = 30;
     o.recovery_ms = 700'000;
   }
-  if (const char* t = std::getenv("SIM_TRACE")) o.trace = t;
+  o.trace = trace_from_environment();
   const Result r = SimulatedCluster(o).run();
-  EXPECT_TRUE(r.violations.empty()) << list(r.violations);
-  EXPECT_TRUE(r.unfinished.empty()) << list(r.unfinished);
+  EXPECT_THAT(r, has_no_violations());
+  EXPECT_THAT(r, has_no_unfinished_jobs());
   EXPECT_GT(r.done, 10);
   EXPECT_EQ(r.oversized_txns, 0);
 }
 
 // More seeds than CI runs, by SIM_SEEDS=200.
-std::uint64_t seeds() {
-  const char* n = std::getenv("SIM_SEEDS");
-  return n ? std::strtoull(n, nullptr, 10) : 40;
-}
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, testing::Range<std::uint64_t>(1, seeds() + 1));
-
-// The checks must be able to fail: with a safeguard taken out, some run breaks a rule.
-int runs_with_violations(Options o, const std::string& rule, std::uint64_t seeds = 10) {
-  int n = 0;
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    o.seed = seed;
-    const Result r = SimulatedCluster(o).run();
-    n += std::any_of(r.violations.begin(), r.violations.end(),
-                     [&](const auto& b) { return b.starts_with(rule); });
-  }
-  return n;
-}
-
-TEST(InvariantChecker, DetectsUnconditionalWrites) {
-  Options o;
-  o.state_ignores_conditions = true;
-  EXPECT_GT(runs_with_violations(o, ""), 0);
-}
-
-TEST(InvariantChecker, DetectsCommandsUnderStaleTokens) {
-  Options o;
-  o.workers_ignore_tokens = true;
-  o.workers_ignore_incarnations = true;
-  o.duplicated_requests = 0.5;
-  EXPECT_GT(runs_with_violations(o, "ran_twice"), 0);
-}
-
-TEST(InvariantChecker, DetectsLeasesCountedTooShort) {
-  Options o;
-  o.believed_lease_share = 0.2;
-  EXPECT_GT(runs_with_violations(o, "ran_twice"), 0);
-}
-
-// Answers of controllers are changed on their way to the users, as a fault of the core would.
-Options forged(std::function<void(const Request&, Ms, int&, std::string&)> forge) {
-  Options o;
-  o.faults = false;
-  o.fault_ms = 60'000;
-  o.recovery_ms = 120'000;
-  o.forge_reply = std::move(forge);
-  return o;
-}
-
-bool cancels(const Request& r) { return r.path.ends_with("/withdraw"); }
-
-std::string told(const std::string& path, const std::string& status) {
-  const std::string id = path.substr(std::string("/v1/jobs/").size(), 10);
-  return R"({"id":")" + id + R"(","status":")" + status + R"("})";
-}
-
-// Users are told at once; the halts follow.
-Options cancelled_too_early() {
-  return forged([](const Request& r, Ms, int& status, std::string& body) {
-    if (!cancels(r) || status != 503) return;
-    status = 200;
-    body = told(r.path, "withdrawn");
-  });
-}
-
-// Jobs that wait are called withdrawn in answer to a question, and then start.
-TEST(InvariantChecker, DetectsStartsAfterCancellation) {
-  Options o = forged([](const Request& r, Ms, int& status, std::string& body) {
-    if (r.method == "GET" && status == 200 && body.find("pending") != std::string::npos)
-      body = told(r.path, "withdrawn");
-  });
-  EXPECT_GT(runs_with_violations(o, "started_cancelled", 3), 0);
-}
-
-// A machine hangs with cancelled tasks and goes on within its lease.
-TEST(InvariantChecker, DetectsCancelledTasksOnHangingMachines) {
-  Options o = cancelled_too_early();
-  o.cancel_s = 3;  // the refusals that are forged come up to a second after the request
-  o.longest_task_s = 20;
-  for (Ms at = 10'000; at < 55'000; at += 4000)
-    o.planned_faults.push_back({at, Fault::cancel_now, 0, 7600});
-  EXPECT_GE(runs_with_violations(o, "ran_cancelled", 24), 12);
-  for (auto& p : o.planned_faults) p.lasts = 100;
-  EXPECT_LT(runs_with_violations(o, "ran_cancelled", 24), 2);  // it is the hang that it sees
-}
-
-TEST(InvariantChecker, DetectsStaleReplies) {
-  // To a repeated submission.
-  EXPECT_GT(runs_with_violations(forged([](const Request& r, Ms, int& status, std::string& body) {
-                                   if (r.method != "POST" || cancels(r) || status != 200) return;
-                                   const auto at = body.find("done");
-                                   if (at != std::string::npos) body.replace(at, 4, "pending");
-                                 }),
-                                 "went_back", 3),
-            0);
-  // To a request to cancel: what is done is not withdrawn.
-  Options o = forged([](const Request& r, Ms, int& status, std::string& body) {
-    const auto at = body.find("\"done\"");
-    if (cancels(r) && status == 200 && at != std::string::npos) body = told(r.path, "withdrawn");
-  });
-  o.planned_faults = {{10'000, Fault::invalid_requests, 0, 40'000}};
-  EXPECT_GT(runs_with_violations(o, "went_back", 3), 0);
-  // To a question, one in a hundred times.
-  int n = 0;
-  EXPECT_GT(runs_with_violations(
-                forged([n](const Request& r, Ms, int& status, std::string& body) mutable {
-                  if (r.method != "GET" || status != 200 || ++n % 100) return;
-                  body = told(r.path, "running");
-                }),
-                "went_back", 3),
-            0);
-}
-
-TEST(InvariantChecker, DetectsAcceptedJobsThatCannotRun) {
-  for (const int refusal : {400, 422}) {
-    Options o = forged([refusal](const Request& r, Ms, int& status, std::string& body) {
-      if (r.path != "/v1/jobs" || status != refusal) return;
-      status = 201;
-      body = R"({"id":"req-000001","status":"pending"})";
-    });
-    o.planned_faults = {{10'000, Fault::invalid_requests, 0, 40'000}};
-    EXPECT_EQ(runs_with_violations(o, "accepted_wrong", 2), 2) << refusal;
-  }
-}
-
-TEST(InvariantChecker, DetectsJobsNobodySubmitted) {
-  Options o = forged([](const Request& r, Ms, int& status, std::string& body) {
-    if (status != 404) return;
-    status = 200;
-    body = told(r.path, "pending");
-  });
-  o.planned_faults = {{10'000, Fault::invalid_requests, 0, 40'000}};
-  EXPECT_EQ(runs_with_violations(o, "invented", 2), 2);
-}
-
-TEST(InvariantChecker, DetectsForgottenJobs) {
-  EXPECT_GT(
-      runs_with_violations(forged([](const Request& r, Ms now, int& status, std::string&) {
-                             if (now > 55'000 && (r.path.find("req-000005") != std::string::npos ||
-                                                  r.body.find("req-000005") != std::string::npos))
-                               status = 503;
-                           }),
-                           "forgotten", 3),
-      0);
-}
-
-TEST(InvariantChecker, DetectsWaitingBesideFreeCapacity) {
-  Options o;
-  o.faults = false;
-  o.fault_ms = 60'000;
-  o.recovery_ms = 150'000;
-  EXPECT_EQ(runs_with_violations(o, "waited", 3), 0);
-  o.starts_ignored_from = 55'000;
-  EXPECT_EQ(runs_with_violations(o, "waited", 3), 3);
-}
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, testing::Range<std::uint64_t>(1, seeds_or(40) + 1));
 
 }  // namespace
 }  // namespace scheduler::sim
--- /dev/null
+++ b/tests/support/simulation_runs.h
@@ -0,0 +1,109 @@
+// For tests on simulated runs: matchers of results, plans of faults, and what the environment of a
+// test run may set:
+//   SIM_TRACE=TEXT  prints the lines of a run that contain it ("*": all) to standard error
+//   SIM_SEEDS=N     runs seeds 1 to N of the tests by seed instead of those of CI
+//   SIM_ONLY=SEED   runs this seed alone where a test runs several, to trace it
+//   SIM_MET=1       prints how often planned faults brought about what they are for
+//   SEEDS=LIST      runs these seeds of read_consistency_test.cpp: "1,5,9" or "1-1000"
+#pragma once
+
+#include <gmock/gmock.h>
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdint>
+#include <cstdlib>
+#include <ostream>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "sim/simulated_cluster.h"
+
+namespace scheduler::sim {
+
+// ---- results ----
+
+// What a failed expectation shows of a run.
+inline void PrintTo(const Result& result, std::ostream* out) {
+  *out << "a run of " << result.accepted << " accepted jobs, " << result.done << " done, "
+       << result.cancelled << " cancelled";
+  for (const auto& violation : result.violations) *out << "\n  " << violation;
+  for (const auto& job : result.unfinished) *out << "\n  unfinished: " << job;
+}
+
+inline testing::Matcher<const Result&> has_no_violations() {
+  return testing::Field("violations", &Result::violations, testing::IsEmpty());
+}
+
+inline testing::Matcher<const Result&> has_no_unfinished_jobs() {
+  return testing::Field("unfinished", &Result::unfinished, testing::IsEmpty());
+}
+
+// In how many of the runs with seeds 1 to `seeds` an invariant is violated whose name begins so.
+inline int runs_with_violations(Options options, const std::string& rule, std::uint64_t seeds) {
+  int runs = 0;
+  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+    options.seed = seed;
+    const Result result = SimulatedCluster(options).run();
+    runs += std::any_of(result.violations.begin(), result.violations.end(),
+                        [&](const auto& violation) { return violation.starts_with(rule); });
+  }
+  return runs;
+}
+
+// ---- the environment ----
+
+inline std::string trace_from_environment() {
+  const char* text = std::getenv("SIM_TRACE");
+  return text ? text : "";
+}
+
+// The number of seeds to run, 1 to this.
+inline std::uint64_t seeds_or(std::uint64_t in_ci) {
+  const char* number = std::getenv("SIM_SEEDS");
+  return number ? std::strtoull(number, nullptr, 10) : in_ci;
+}
+
+inline std::vector<std::uint64_t> seed_list_or(std::vector<std::uint64_t> in_ci) {
+  const char* text = std::getenv("SEEDS");
+  if (!text) return in_ci;
+  std::vector<std::uint64_t> seeds;
+  char* end = nullptr;
+  for (const char* at = text; *at != '\0'; at = *end == ',' ? end + 1 : end) {
+    std::uint64_t first = std::strtoull(at, &end, 10);
+    const std::uint64_t last = *end == '-' ? std::strtoull(end + 1, &end, 10) : first;
+    while (first <= last) seeds.push_back(first++);
+  }
+  return seeds;
+}
+
+inline bool skips_seed(std::uint64_t seed) {
+  const char* only = std::getenv("SIM_ONLY");
+  return only && std::strtoull(only, nullptr, 10) != seed;
+}
+
+inline bool prints_counts() { return std::getenv("SIM_MET") != nullptr; }
+
+// ---- options ----
+
+// A run without random faults, long enough for tasks beyond a lease to end after the planned ones.
+inline Options planned_faults(std::uint64_t seed, std::vector<PlannedFault> faults) {
+  Options o;
+  o.seed = seed;
+  o.faults = false;
+  o.longest_task_s = 30;
+  o.recovery_ms = 700'000;
+  o.planned_faults = std::move(faults);
+  o.trace = trace_from_environment();
+  return o;
+}
+
+// Adds faults of one kind at a fixed interval until shortly before the first phase ends.
+inline void add_periodic_faults(Options& o, Fault kind, Ms from, Ms every, Ms lasts,
+                                std::size_t node = 0) {
+  for (Ms at = from; at < o.fault_ms - 5000; at += every)
+    o.planned_faults.push_back({at, kind, node, lasts});
+}
+
+}  // namespace scheduler::sim
