--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -139,7 +139,7 @@
   start_two();
   reachable_ = false;
   const std::uint64_t first = cancel("req-000001");
-  deliver_old_heartbeat(session_, 49);
+  deliver_old_heartbeat(incarnation_, 49);
   run(2500);
   ASSERT_EQ(status(first), 503);
   EXPECT_EQ(controller_->replica().job("req-000001")->placed_tasks(), 2U);
@@ -150,10 +150,10 @@
 TEST_F(SingleControllerTest, StartInFlightCarriesALowerTokenThanItsRelease) {
   EXPECT_EQ(heartbeat(50).status, 200);
   // The first start reaches the machine, which does not obey, and its answer is late.
-  holds_reply_ = [](const Call& call) { return call.target == Target::worker; };
+  delays_reply_ = [](const Call& call) { return call.target == Target::worker; };
   submit("req-000001");
   run(200);
-  ASSERT_FALSE(held_replies_.empty());
+  ASSERT_FALSE(delayed_replies_.empty());
   submit("req-000002");
   run(200);
   cancel("req-000001");
@@ -166,7 +166,7 @@
   ASSERT_TRUE(wire::parse_object(late.body, doc));
   const std::uint64_t carried = doc["baton"].GetUint64();
   const std::uint64_t cancelled = cancel("req-000002");
-  holds_reply_ = nullptr;
+  delays_reply_ = nullptr;
   release_replies([](const Call&) { return true; });
   run(900);
   ASSERT_EQ(status(cancelled), 200);
@@ -181,7 +181,7 @@
   cancel("req-000001");
   run(200);
   restart();
-  deliver_old_heartbeat(session_, 49);
+  deliver_old_heartbeat(incarnation_, 49);
   run(500);
   const std::uint64_t first = cancel("req-000001");
   run(2500);
@@ -274,7 +274,7 @@
   const auto places = [](const Call& call) {
     return call.path == "/multi" && call.body.find(R"("write":"range/)") != std::string::npos;
   };
-  holds_reply_ = [&](const Call& call) { return is_watch(call) || places(call); };
+  delays_reply_ = [&](const Call& call) { return is_watch(call) || places(call); };
   const auto placed = [this] {
     std::size_t tasks = 0;
     for (const auto& [key, item] : state_.items) {
@@ -294,14 +294,14 @@
   submit("req-000001");
   wait(600);
   ASSERT_EQ(placed(), 2U);
-  for (auto& [call, http_result] : held_replies_)
+  for (auto& [call, http_result] : delayed_replies_)
     if (places(call)) http_result = {409, R"({"failed":["range/req-000001/1"],"ledger":99})"};
   release_replies(places);
   submit("req-000002");
   wait(600);
   EXPECT_EQ(placed(), 2U);
   EXPECT_EQ(starts_, 0);
-  holds_reply_ = nullptr;
+  delays_reply_ = nullptr;
   release_replies(is_watch);
   run(2000);
   EXPECT_EQ(placed(), 2U);
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -1,16 +1,16 @@
-// The coordinator of the fleet by itself: renting, adopting, shrinking and returning.
+// The coordinator of the fleet by itself: scale out, scale in, and adoption of machines.
 #include "fleet/fleet_coordinator.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
-#include <map>
 #include <set>
 #include <string>
 #include <vector>
 
 #include "fleet/cloud_inventory.h"
 #include "support/component_test.h"
+#include "support/fake_cloud.h"
 #include "wire/json.h"
 
 namespace scheduler {
@@ -20,10 +20,6 @@
 
 class FleetCoordinatorTest : public ComponentTest {
  protected:
-  static constexpr const char* kCatalog =
-      R"({"fleets":[{"label":"g","cpus":4,"gpus":0,"memGb":16,"localGb":50,"fetchGbPerS":1,)"
-      R"("rate":1,"marketPrice":0.3,"readyS":3,"yards":["a"]}]})";
-
   // Machines that are up and recorded as such, and listed by the cloud.
   void have_machines(int count) {
     constexpr int kPerGroup = 50;
@@ -42,7 +38,7 @@
       record.address = id + ":1";
       fleet.machines[id] = record;
       part.machines[id] = {record.address, 1, MachineState::ready, 1};
-      listed_[id] = "running";
+      cloud_.machines[id] = "running";
     }
     const auto number = static_cast<std::uint32_t>(group);
     put(wire::fleet_key(number), encode(fleet));
@@ -78,46 +74,30 @@
   }
 
   HttpResult answer(const Call& call) {
-    if (call.path == wire::kCatalogPath) return {200, kCatalog};
-    if (call.path == wire::kScaleInPath) return take_back(call.body);
+    if (call.path == wire::kCatalogPath) return {200, cloud_.catalog()};
+    if (call.path == wire::kScaleInPath) return scale_in(call.body);
     if (call.path == wire::kScaleOutPath) {
-      rentals_.push_back(call.body);
-      return rental_answer_;
+      scale_outs_.push_back(call.body);
+      return scale_out_reply_;
     }
-    return {200, list_body()};
+    return {200, cloud_.list()};
   }
 
-  HttpResult take_back(const std::string& body) {
+  HttpResult scale_in(const std::string& body) {
     rapidjson::Document document;
     EXPECT_TRUE(wire::parse_object(body, document));
     for (const auto& id : document["rigs"].GetArray()) {
       returned_.insert(id.GetString());
-      listed_.erase(id.GetString());
+      cloud_.machines.erase(id.GetString());
     }
     return {200, "{}"};
   }
 
-  std::string list_body() const {
-    std::string machines;
-    for (const auto& [id, status] : listed_) {
-      sim::Put machine;
-      machine.str("id", id);
-      machine.str("endpoint", id + ":1");
-      machine.str("fleet", "g");
-      machine.str("yard", "a");
-      machine.raw("standby", "false");
-      machine.str("status", status);
-      machine.raw("heldS", "9");
-      machines += (machines.empty() ? "" : ",") + machine.done();
-    }
-    return R"({"rigs":[)" + machines + R"(],"hasNext":false})";
-  }
-
   FleetCoordinator coordinator_{context_};
-  std::map<std::string, std::string> listed_;  // machine -> status
+  FakeCloud cloud_{4, 16, {}};
   std::set<std::string> returned_;
-  std::vector<std::string> rentals_;  // bodies of the requests
-  HttpResult rental_answer_{503, R"({"error":"no capacity"})"};
+  std::vector<std::string> scale_outs_;  // bodies of the requests
+  HttpResult scale_out_reply_ = FakeCloud::no_capacity();
 };
 
 // Guards against machines that are paid for all night: five with nothing to do were kept for five
@@ -129,7 +109,7 @@
   advance(35'000);
   EXPECT_EQ(returned_.size(), 5U);
   advance(60'000);
-  EXPECT_TRUE(rentals_.empty());  // and none is rented again
+  EXPECT_TRUE(scale_outs_.empty());  // and there is no scale out
 }
 
 TEST_F(FleetCoordinatorTest, IdleFleetOfHundredsScalesInWithinMinutes) {
@@ -140,7 +120,7 @@
   EXPECT_EQ(returned_.size(), 300U);
 }
 
-// While there is work, more may come at any moment, and a machine takes a boot to come back.
+// While there is work, more may arrive at any moment, and a new machine takes time to boot.
 TEST_F(FleetCoordinatorTest, MachinesBeyondTheWorkAreKeptForMinutes) {
   have_machines(8);
   have_job(1);
@@ -165,18 +145,18 @@
   EXPECT_TRUE(returned_.empty());
 }
 
-// Guards against paying for machines that nobody knows of: the same name rents nothing twice.
+// Guards against paying for machines that nobody knows of: scale out is idempotent by its name.
 TEST_F(FleetCoordinatorTest, ScaleOutIsRetriedUnderItsName) {
-  rental_answer_ = {0, ""};
+  scale_out_reply_ = {0, ""};
   have_job(2);
   advance(3000);
-  ASSERT_FALSE(rentals_.empty());
-  const std::string first = rentals_.front();
+  ASSERT_FALSE(scale_outs_.empty());
+  const std::string first = scale_outs_.front();
   EXPECT_EQ(replica_.scale_out_requests().size(), 1U);
   advance(10'000);
-  EXPECT_GE(rentals_.size(), 3U);
-  for (const std::string& body : rentals_) EXPECT_EQ(body, first);
-  rental_answer_ = {200, R"({"rigs":["n-900"]})"};
+  EXPECT_GE(scale_outs_.size(), 3U);
+  for (const std::string& body : scale_outs_) EXPECT_EQ(body, first);
+  scale_out_reply_ = {200, R"({"rigs":["n-900"]})"};
   advance(10'000);
   EXPECT_TRUE(replica_.machine("n-900"));
   rapidjson::Document document;
@@ -185,7 +165,7 @@
 }
 
 TEST_F(FleetCoordinatorTest, UnexpectedMachinesAreAdoptedAndFailedOnesReturned) {
-  listed_ = {{"n-700", "running"}, {"n-701", "failed"}};
+  cloud_.machines = {{"n-700", "running"}, {"n-701", "failed"}};
   advance(3000);
   EXPECT_TRUE(replica_.machine("n-700"));
   EXPECT_FALSE(replica_.machine("n-701"));
@@ -232,7 +212,7 @@
   });
   for (const auto& id : machines) EXPECT_TRUE(replica_.machine(id)) << id;
   EXPECT_FALSE(state_.items.contains(wire::scale_out_key("r")));
-  EXPECT_EQ(state_.over_limits, 0);
+  EXPECT_EQ(state_.oversized_txns, 0);
 }
 
 }  // namespace
--- a/tests/load/fleet_load.cpp
+++ b/tests/load/fleet_load.cpp
@@ -246,7 +246,7 @@
       _exit(127);
     }
     Repeater watches(io_, 5, [this] {
-      state_.end_holds(steady_ms());
+      state_.expire_session_leases(steady_ms());
       state_.serve_watchers(steady_ms(), [](std::size_t) { return true; });
     });
     Repeater submissions(io_, kSubmitEveryMs, [this] { submit(); });
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -20,10 +20,10 @@
 class SingleControllerReads : public SingleControllerTest {
  protected:
   // Another job ends the watch that is open, so that the test holds the next one.
-  void hold_watches() {
+  void delay_watches() {
     executes_commands_ = true;
     ASSERT_EQ(heartbeat(50).status, 200);
-    holds_reply_ = is_watch;
+    delays_reply_ = is_watch;
     submit("req-000009");
     for (int i = 0; i < 30; ++i) {
       run(100);
@@ -40,8 +40,8 @@
   // Lets time pass, in which no watch is answered.
   bool placement_is_sent() {
     const auto sent = [this] {
-      return std::any_of(held_replies_.begin(), held_replies_.end(),
-                         [](const auto& held) { return writes_range(held.first); });
+      return std::any_of(delayed_replies_.begin(), delayed_replies_.end(),
+                         [](const auto& reply) { return writes_range(reply.first); });
     };
     for (const Ms end = now_ + 400; now_ < end && !sent(); now_ += 20) {
       controller_->tick(now_, now_);
@@ -50,13 +50,6 @@
     return sent();
   }
 
-  std::uint64_t poll(const std::string& id) {
-    const std::uint64_t request = next_++;
-    controller_->on_request(now_, request, {"GET", "/v1/jobs/" + id, ""});
-    pump();
-    return request;
-  }
-
   bool says(std::uint64_t request, const std::string& state) const {
     const auto answer = answers_.find(request);
     return answer != answers_.end() && answer->second.body.find(state) != std::string::npos;
@@ -66,8 +59,8 @@
 // The placement's answer is late, the cancellation's is not, and a watch answer from before both
 // comes between them: the controller knows its later write without the earlier one.
 TEST_F(SingleControllerReads, PollNeverShowsAStateThatNeverExisted) {
-  hold_watches();
-  holds_reply_ = [](const Call& call) { return is_watch(call) || writes_range(call); };
+  delay_watches();
+  delays_reply_ = [](const Call& call) { return is_watch(call) || writes_range(call); };
   submit("req-000001");
   pump();
   const std::uint64_t first = poll("req-000001");
@@ -79,7 +72,7 @@
   EXPECT_FALSE(says(first, "withdrawn"));  // two tasks are placed
   release_replies(writes_range);
   const std::uint64_t second = poll("req-000001");
-  holds_reply_ = nullptr;
+  delays_reply_ = nullptr;
   release_replies([](const Call&) { return true; });
   run(1000);
   ASSERT_EQ(status(first), 200);
@@ -93,19 +86,19 @@
 TEST_F(SingleControllerReads, LateSubmissionReplyTellsTheCurrentState) {
   executes_commands_ = true;
   ASSERT_EQ(heartbeat(50).status, 200);
-  holds_reply_ = [](const Call& call) {
+  delays_reply_ = [](const Call& call) {
     return call.body.find(R"("write":"job/)") != std::string::npos;
   };
   const std::uint64_t submitted = next_;
   submit("req-000001");
   run(400);  // the watch brings the job, and it is placed
   ASSERT_EQ(status(submitted), 0);
-  const std::vector<std::pair<Call, HttpResult>> late = std::exchange(held_replies_, {});
-  holds_reply_ = nullptr;
+  const std::vector<std::pair<Call, HttpResult>> late = std::exchange(delayed_replies_, {});
+  delays_reply_ = nullptr;
   const std::uint64_t cancelled = cancel("req-000001");
   run(1000);
   ASSERT_TRUE(says(cancelled, "withdrawn"));
-  held_replies_ = late;
+  delayed_replies_ = late;
   release_replies([](const Call&) { return true; });
   run(100);
   EXPECT_EQ(status(submitted), 201);
--- a/tests/record_split_test.cpp
+++ b/tests/record_split_test.cpp
@@ -228,7 +228,7 @@
               0)
         << cancelled;
   }
-  EXPECT_EQ(state_.over_limits, 0);
+  EXPECT_EQ(state_.oversized_txns, 0);
 }
 
 }  // namespace
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -126,7 +126,7 @@
   heartbeat(200);
   run(1000);
   EXPECT_GT(starts_, before);
-  const std::string answer = poll("req-000001");
+  const std::string answer = state_of("req-000001");
   EXPECT_EQ(answer.find(R"("status":"done")"), std::string::npos) << answer;
   EXPECT_NE(answer.find(R"("done":0)"), std::string::npos) << answer;
 }
--- a/tests/sim/fake_state_service.h
+++ b/tests/sim/fake_state_service.h
@@ -1,5 +1,5 @@
-// A stand-in for the state service, written from PROTOCOL: guarded transactions, pages, watches
-// and holds. It is told the time and answers through callbacks.
+// A fake of the state service, written from PROTOCOL: compare-and-swap transactions, pages, watches
+// and session leases. Time is an argument, and replies go to callbacks.
 #pragma once
 
 #include <algorithm>
@@ -52,18 +52,21 @@
 
 struct FakeStateService {
   StateLimits limits;
-  int over_limits = 0;  // transactions refused with 400 for their size
-  int throttled = 0;    // transactions refused with 429 for their rate
+  int oversized_txns = 0;  // transactions refused with 400 for their size
+  int throttled_txns = 0;  // transactions refused with 429 for their rate
   struct Item {
     std::string value;
     std::uint64_t version = 0;
-    std::uint64_t permit = 0;
+    std::uint64_t lease_id = 0;  // it is removed when the lease expires; 0: none
   };
   struct Change {
     std::uint64_t revision;
     std::string key;
     std::optional<std::string> value;
   };
+  struct SessionLease {
+    Ms expires_at = 0, lasts = 0;
+  };
   struct Watcher {
     std::uint64_t after;
     Ms until;
@@ -72,19 +75,19 @@
   };
   std::map<std::string, Item> items;
   std::vector<Change> changes;
-  std::map<std::uint64_t, std::pair<Ms, Ms>> holds;  // permit -> end, life
+  std::map<std::uint64_t, SessionLease> session_leases;  // by id
   std::vector<Watcher> watchers;
-  std::uint64_t revision = 0, next_permit = 1, writes = 0;
+  std::uint64_t revision = 0, next_lease_id = 1, writes = 0;
   bool outage = false;
-  bool holds_wait = false;  // none ends in this outage
+  bool leases_suspended = false;  // none expires in this outage
   bool ignore_conditions = false;
-  std::uint64_t changes_kept = 10'000;  // older ones are told to no watch: 410
-  int watches_too_old = 0;              // that were answered so
+  std::uint64_t changes_kept = 10'000;  // watches that need older ones are answered 410
+  int compacted_watches = 0;            // answered 410
   // Of the changes that the rate allows now, and when that was counted.
   double burst_left = 0;
   Ms burst_counted_at = 0;
 
-  // Told of every change.
+  // Called at every change.
   std::function<void(const std::string& key, const std::optional<std::string>& value)> on_change;
 
   void change(const std::string& key, std::optional<std::string> value) {
@@ -92,15 +95,15 @@
     changes.push_back({revision, key, std::move(value)});
   }
 
-  void end_holds(Ms now) {
-    if (outage && holds_wait) return;
-    for (auto it = holds.begin(); it != holds.end();) {
-      if (now <= it->second.first) {
+  void expire_session_leases(Ms now) {
+    if (outage && leases_suspended) return;
+    for (auto it = session_leases.begin(); it != session_leases.end();) {
+      if (now <= it->second.expires_at) {
         ++it;
         continue;
       }
       for (auto item = items.begin(); item != items.end();) {
-        if (item->second.permit == it->first) {
+        if (item->second.lease_id == it->first) {
           ++revision;
           change(item->first, std::nullopt);
           item = items.erase(item);
@@ -108,7 +111,7 @@
           ++item;
         }
       }
-      it = holds.erase(it);
+      it = session_leases.erase(it);
     }
   }
 
@@ -159,7 +162,7 @@
     burst_counted_at = now;
   }
 
-  // Takes the changes of a transaction out of the rate, of which a second's worth may come at once.
+  // Whether the rate allows these changes; bursts of a second's worth are allowed.
   bool within_rate(Ms now, unsigned changes_wanted) {
     if (limits.writes_per_s <= 0) return true;
     const double refill =
@@ -175,46 +178,55 @@
     rapidjson::Document doc;
     if (!wire::parse_object(body, doc)) return respond(400, "{}");
     if (too_large(body, doc)) {
-      ++over_limits;
+      ++oversized_txns;
       return respond(400, R"({"error":"too large"})");
     }
-    // Before the conditions: those that fail count as well.
+    // Before the conditions: transactions that fail theirs count as well.
     if (!within_rate(now, doc["writes"].Size())) {
-      ++throttled;
+      ++throttled_txns;
       return respond(429, "{}");
     }
-    std::string failed;
-    for (const auto& g : doc["guards"].GetArray()) {
-      auto it = items.find(g["k"].GetString());
-      const std::uint64_t version = it == items.end() ? 0 : it->second.version;
-      if (version != g["stamp"].GetUint64() && !ignore_conditions)
-        failed += (failed.empty() ? "\"" : ",\"") + std::string(g["k"].GetString()) + "\"";
-    }
-    if (!failed.empty()) {
+    if (const std::string failed = failed_conditions(doc["guards"]); !failed.empty()) {
       Put p;
       p.raw("failed", "[" + failed + "]");
       p.num("ledger", revision);
       return respond(409, p.done());
     }
     for (const auto& w : doc["writes"].GetArray())
-      if (w.HasMember("permit") && !holds.contains(w["permit"].GetUint64()))
+      if (w.HasMember("permit") && !session_leases.contains(w["permit"].GetUint64()))
         return respond(400, R"({"error":"no such lease"})");
-    if (!doc["writes"].Empty()) ++revision;
-    writes += doc["writes"].Size();
-    for (const auto& w : doc["writes"].GetArray()) {
+    apply(doc["writes"]);
+    Put p;
+    p.num("ledger", revision);
+    respond(200, p.done());
+  }
+
+  // Keys whose version is another than the transaction expects, as members of a JSON array.
+  std::string failed_conditions(const wire::Json& conditions) const {
+    std::string failed;
+    for (const auto& g : conditions.GetArray()) {
+      const auto it = items.find(g["k"].GetString());
+      const std::uint64_t version = it == items.end() ? 0 : it->second.version;
+      if (version != g["stamp"].GetUint64() && !ignore_conditions)
+        failed += (failed.empty() ? "\"" : ",\"") + std::string(g["k"].GetString()) + "\"";
+    }
+    return failed;
+  }
+
+  void apply(const wire::Json& transaction_writes) {
+    if (!transaction_writes.Empty()) ++revision;
+    writes += transaction_writes.Size();
+    for (const auto& w : transaction_writes.GetArray()) {
       if (w.HasMember("write")) {
         Item& item = items[w["write"].GetString()];
         item.value = wire::text_of(w["v"]);
         item.version = revision;
-        item.permit = w.HasMember("permit") ? w["permit"].GetUint64() : 0;
+        item.lease_id = w.HasMember("permit") ? w["permit"].GetUint64() : 0;
         change(w["write"].GetString(), item.value);
       } else if (items.erase(w["remove"].GetString())) {
         change(w["remove"].GetString(), std::nullopt);
       }
     }
-    Put p;
-    p.num("ledger", revision);
-    respond(200, p.done());
   }
 
   // Requests and changes of the second that began at `second`.
@@ -233,63 +245,90 @@
   }
 
   void serve(Ms now, const Call& call, std::size_t node, const Respond& respond) {
-    end_holds(now);
+    expire_session_leases(now);
     count(now);
-    Put p;
     if (call.path.starts_with("/changes")) {
-      auto q = query(call.path);
-      if (revision > std::stoull(q["after"]) + changes_kept) {
-        ++watches_too_old;
-        return respond(410, "{}");
-      }
-      watchers.push_back({std::stoull(q["after"]), now + std::stoll(q["blockMs"]), node, respond});
+      watch(now, call.path, node, respond);
     } else if (call.path == "/multi") {
       transact(now, call.body, respond);
     } else if (call.path == "/holds") {
-      rapidjson::Document doc;
-      wire::parse_object(call.body, doc);
-      const Ms life = doc["lifeMs"].GetInt64();
-      holds[next_permit] = {now + life, life};
-      p.num("permit", next_permit++);
-      respond(200, p.done());
+      grant_session_lease(now, call.body, respond);
     } else if (call.path.starts_with("/holds/")) {
-      auto it = holds.find(std::stoull(call.path.substr(7)));
-      if (it == holds.end()) return respond(404, "{}");
-      it->second.first = now + it->second.second;
-      respond(200, "{}");
+      renew_session_lease(now, call.path, respond);
     } else if (call.path.starts_with("/store?")) {
-      auto q = query(call.path);
-      std::string list;
-      int n = 0;
-      bool more = false;
-      for (auto it = items.lower_bound(q["starts"]); it != items.end(); ++it) {
-        if (!it->first.starts_with(q["starts"])) break;
-        if (!q["after"].empty() && it->first <= q["after"]) continue;
-        if (n++ == std::stoi(q["most"])) {
-          more = true;
-          break;
-        }
-        Put i;
-        i.str("k", it->first);
-        i.raw("v", it->second.value);
-        i.num("stamp", it->second.version);
-        list += (list.empty() ? "" : ",") + i.done();
-      }
-      p.raw("pairs", "[" + list + "]");
-      p.raw("hasNext", more ? "true" : "false");
-      p.num("ledger", revision);
-      respond(200, p.done());
+      read_page(call.path, respond);
     } else {
-      auto it = items.find(call.path.substr(7));
-      if (it == items.end()) {
-        p.num("ledger", revision);
-        return respond(404, p.done());
+      read(call.path, respond);
+    }
+  }
+
+  void watch(Ms now, const std::string& path, std::size_t node, const Respond& respond) {
+    auto q = query(path);
+    const std::uint64_t after = std::stoull(q["after"]);
+    if (revision > after + changes_kept) {
+      ++compacted_watches;
+      return respond(410, "{}");
+    }
+    watchers.push_back({after, now + std::stoll(q["blockMs"]), node, respond});
+  }
+
+  void grant_session_lease(Ms now, const std::string& body, const Respond& respond) {
+    rapidjson::Document doc;
+    wire::parse_object(body, doc);
+    const Ms lasts = doc["lifeMs"].GetInt64();
+    session_leases[next_lease_id] = {now + lasts, lasts};
+    Put p;
+    p.num("permit", next_lease_id++);
+    respond(200, p.done());
+  }
+
+  void renew_session_lease(Ms now, const std::string& path, const Respond& respond) {
+    const auto it = session_leases.find(std::stoull(path.substr(7)));  // after "/holds/"
+    if (it == session_leases.end()) return respond(404, "{}");
+    it->second.expires_at = now + it->second.lasts;
+    respond(200, "{}");
+  }
+
+  // Session leases that are left have their full time again.
+  void renew_all_session_leases(Ms now) {
+    for (auto& [id, lease] : session_leases) lease.expires_at = now + lease.lasts;
+  }
+
+  void read_page(const std::string& path, const Respond& respond) const {
+    auto q = query(path);
+    std::string list;
+    int n = 0;
+    bool more = false;
+    for (auto it = items.lower_bound(q["starts"]); it != items.end(); ++it) {
+      if (!it->first.starts_with(q["starts"])) break;
+      if (!q["after"].empty() && it->first <= q["after"]) continue;
+      if (n++ == std::stoi(q["most"])) {
+        more = true;
+        break;
       }
-      p.str("k", it->first);
-      p.raw("v", it->second.value);
-      p.num("stamp", it->second.version);
-      respond(200, p.done());
+      list += (list.empty() ? "" : ",") + entry(it->first, it->second).done();
     }
+    Put p;
+    p.raw("pairs", "[" + list + "]");
+    p.raw("hasNext", more ? "true" : "false");
+    p.num("ledger", revision);
+    respond(200, p.done());
+  }
+
+  void read(const std::string& path, const Respond& respond) const {
+    const auto it = items.find(path.substr(7));  // after "/store/"
+    if (it != items.end()) return respond(200, entry(it->first, it->second).done());
+    Put p;
+    p.num("ledger", revision);
+    respond(404, p.done());
+  }
+
+  static Put entry(const std::string& key, const Item& item) {
+    Put p;
+    p.str("k", key);
+    p.raw("v", item.value);
+    p.num("stamp", item.version);
+    return p;
   }
 };
 
--- a/tests/sim/faults.cpp
+++ b/tests/sim/faults.cpp
@@ -152,16 +152,12 @@
 void SimulatedCluster::random_state_outage(std::size_t node, Ms lasts) {
   state_->outage = true;
   at(now_ + lasts / 2, [this] {
-    if (state_->outage) renew_all_session_leases();
+    if (state_->outage) state_->renew_all_session_leases(now_);
     state_->outage = false;
   });
   if (options_.faults && chance(0.4)) crash_controller(node);
 }
 
-void SimulatedCluster::renew_all_session_leases() {
-  for (auto& [permit, lease] : state_->holds) lease.first = now_ + lease.second;
-}
-
 void SimulatedCluster::refuse_one_then_all(std::size_t node, Ms lasts) {
   controllers_[node]->refused_by_state = true;
   at(now_ + 1000, [this, lasts] {
@@ -178,10 +174,10 @@
 
 // Session leases are suspended meanwhile, and have their full time again afterwards (PROTOCOL).
 void SimulatedCluster::outage(Ms lasts) {
-  state_->outage = state_->holds_wait = true;
+  state_->outage = state_->leases_suspended = true;
   at(now_ + lasts, [this] {
-    if (state_->outage) renew_all_session_leases();
-    state_->outage = state_->holds_wait = false;
+    if (state_->outage) state_->renew_all_session_leases(now_);
+    state_->outage = state_->leases_suspended = false;
   });
 }
 
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -88,7 +88,7 @@
 void SimulatedCluster::step() {
   check_all();
   step_gangs();
-  state_->end_holds(now_);
+  state_->expire_session_leases(now_);
   state_->serve_watchers(now_, [this](std::size_t n) {
     return !controllers_[n]->refused_by_state && !controllers_[n]->cut_from_state &&
            !partitioned(controllers_[n]->zone, "");
@@ -218,7 +218,7 @@
 
 void SimulatedCluster::end_controller_faults() {
   for (std::size_t i = 0; i < controllers_.size(); ++i) resume_controller(i);
-  state_->outage = state_->holds_wait = cloud_->outage = false;
+  state_->outage = state_->leases_suspended = cloud_->outage = false;
   for (auto& n : controllers_) {
     n->refused_by_state = n->cut_from_state = n->cut_from_workers = n->cut_from_peers = false;
     n->isolated_since = 0;
@@ -236,9 +236,9 @@
   result_.views = static_cast<int>(
       std::count_if(state_->changes.begin(), state_->changes.end(),
                     [](const FakeStateService::Change& c) { return c.key == wire::kViewKey; }));
-  result_.oversized_txns = state_->over_limits;
-  result_.throttled_txns = state_->throttled;
-  result_.compacted_watches = state_->watches_too_old;
+  result_.oversized_txns = state_->oversized_txns;
+  result_.throttled_txns = state_->throttled_txns;
+  result_.compacted_watches = state_->compacted_watches;
   result_.peak_requests = state_->peak_requests;
   result_.peak_writes = state_->peak_writes;
   result_.machines = static_cast<int>(cloud_->machines.size());
--- a/tests/sim/simulated_cluster.h
+++ b/tests/sim/simulated_cluster.h
@@ -254,7 +254,6 @@
   void crash_controllers_by_turns(std::size_t node, Ms lasts);
   void fail_over_and_back(std::size_t node, Ms lasts);
   void random_state_outage(std::size_t node, Ms lasts);
-  void renew_all_session_leases();
   void refuse_one_then_all(std::size_t node, Ms lasts);
   void slow_state_service(std::size_t node, Ms lasts);
   void outage(Ms lasts);
--- a/tests/support/component_test.h
+++ b/tests/support/component_test.h
@@ -1,5 +1,5 @@
-// A fixture for tests of one component without a whole controller: settings, records, the state
-// stand-in and a context. Calls to the cloud and to workers are kept for the test to answer.
+// A fixture for tests of one component without a whole controller: settings, records, a fake state
+// service and a context. Calls to the cloud and to workers are kept for the test to answer.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,6 +12,7 @@
 
 #include "membership/context.h"
 #include "sim/fake_state_service.h"
+#include "support/controller_settings.h"
 #include "wire/records.h"
 #include "wire/state_service.h"
 
@@ -29,34 +30,25 @@
   static constexpr Ms kStep = 20;
 
   static Settings component_settings() {
-    Settings settings;
-    settings.name = kName;
-    settings.zone = "a";
-    settings.zones = {"a"};
-    settings.teams = {{"t", 0, 0, 0, 0}};
-    settings.heartbeat_interval_s = 1;
-    settings.lease_s = 8;
-    settings.cancel_s = 20;
-    settings.state_rps = 400;
-    settings.state_write_rps = 150;
-    settings.value_kb = 8;
-    settings.txn_ops = 24;
-    settings.cloud_rps = 5;
-    settings.list_lag_s = 1;
+    Settings settings = single_controller_settings();
+    settings.zones = {settings.zone};
     return settings;
   }
 
+  // Sends calls of the component and of its client of the state service.
+  StateClient::Send sender() {
+    return [this](Target target, std::string address, std::string method, std::string path,
+                  std::string body, Ms timeout, ResultHandler done) {
+      send({0, target, std::move(address), std::move(method), std::move(path), std::move(body),
+            timeout},
+           std::move(done));
+    };
+  }
+
   ComponentTest()
       : settings_(component_settings()),
         state_client_(
-            settings_,
-            [this](Target target, std::string address, std::string method, std::string path,
-                   std::string body, Ms timeout, ResultHandler done) {
-              send({0, target, std::move(address), std::move(method), std::move(path),
-                    std::move(body), timeout},
-                   std::move(done));
-            },
-            [this](Ms, const wire::StoredItem& item) { apply(item); },
+            settings_, sender(), [this](Ms, const wire::StoredItem& item) { apply(item); },
             [](LogLevel, const std::string&) {}),
         cluster_view_(settings_),
         capacity_(capacity_of(settings_)),
@@ -66,12 +58,7 @@
                  state_client_,
                  cluster_view_,
                  incarnation_,
-                 [this](Target target, std::string address, std::string method, std::string path,
-                        std::string body, Ms timeout, ResultHandler done) {
-                   send({0, target, std::move(address), std::move(method), std::move(path),
-                         std::move(body), timeout},
-                        std::move(done));
-                 },
+                 sender(),
                  [](LogLevel, const std::string&) {},
                  [this](Ms now) {
                    return writable_ && state_client_.loaded() && state_client_.answering(now);
@@ -82,7 +69,7 @@
     put(std::string(wire::kViewKey), encode(view));
   }
 
-  // Changes a record behind the component's back.
+  // Writes a record as another controller would.
   void put(const std::string& key, const std::string& value) {
     ++state_.revision;
     state_.items[key] = {value, state_.revision, 0};
--- /dev/null
+++ b/tests/support/fake_cloud.h
@@ -0,0 +1,45 @@
+// Replies of the cloud to a test's controller or component, by PROTOCOL.
+#pragma once
+
+#include <map>
+#include <string>
+
+#include "base/types.h"
+#include "sim/fake_state_service.h"
+#include "wire/json.h"
+
+namespace scheduler {
+
+// A cloud of one zone, "a", and one machine type, "g", that runs the machines listed here and
+// provides no others.
+struct FakeCloud {
+  int cpus = 8;  // of the machine type
+  int memory_gb = 32;
+  std::map<std::string, std::string> machines;  // id -> status, as listed
+
+  std::string catalog() const {
+    return R"({"fleets":[{"label":"g","cpus":)" + std::to_string(cpus) + R"(,"gpus":0,"memGb":)" +
+           std::to_string(memory_gb) +
+           R"(,"localGb":50,"fetchGbPerS":1,"rate":1,"marketPrice":0.3,"readyS":3,"yards":["a"]}]})";
+  }
+
+  std::string list() const {
+    std::string entries;
+    for (const auto& [id, status] : machines) {
+      sim::Put machine;
+      machine.str("id", id);
+      machine.str("endpoint", id + ":1");
+      machine.str("fleet", "g");
+      machine.str("yard", "a");
+      machine.raw("standby", "false");
+      machine.str("status", status);
+      machine.raw("heldS", "9");
+      entries += (entries.empty() ? "" : ",") + machine.done();
+    }
+    return R"({"rigs":[)" + entries + R"(],"hasNext":false})";
+  }
+
+  static HttpResult no_capacity() { return {503, R"({"error":"no capacity"})"}; }
+};
+
+}  // namespace scheduler
--- a/tests/support/single_controller_jobs.h
+++ b/tests/support/single_controller_jobs.h
@@ -1,4 +1,4 @@
-// A fixture for tests of one controller that submit jobs and read them.
+// A fixture for tests of a single controller under settings of their own.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,14 @@
 
 class SingleControllerJobs : public SingleControllerTest {
  protected:
-  std::uint64_t post(const std::string& body) {
-    const std::uint64_t request = next_++;
-    controller_->on_request(now_, request, {"POST", "/v1/jobs", body});
-    pump();
-    return request;
-  }
-  std::string poll(const std::string& id) {
-    const std::uint64_t request = next_++;
-    controller_->on_request(now_, request, {"GET", "/v1/jobs/" + id, ""});
+  // What the controller replies to a question about the job.
+  std::string state_of(const std::string& id) {
+    const std::uint64_t request = send_request("GET", "/v1/jobs/" + id);
     run(200);
     return answers_[request].body;
   }
+
+  // A cluster without any state, and a controller with these settings.
   void start_anew(const Settings& settings) {
     settings_ = settings;
     timeouts_.clear();
--- a/tests/support/single_controller_test.h
+++ b/tests/support/single_controller_test.h
@@ -1,5 +1,5 @@
-// A fixture for tests of one controller by itself: the state stand-in, a cloud with one machine,
-// and that machine, which does what the test lets it.
+// A fixture for tests of a single controller: a fake state service, a fake cloud with one machine,
+// and that machine, which executes commands if the test lets it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,36 +14,23 @@
 
 #include "controller/controller.h"
 #include "sim/fake_state_service.h"
+#include "support/controller_settings.h"
+#include "support/fake_cloud.h"
 
 namespace scheduler {
 
 class SingleControllerTest : public testing::Test {
  protected:
   SingleControllerTest() {
-    Settings s;
-    s.name = "puffin-0";
-    s.zone = "a";
-    s.teams = {{"t", 0, 0, 0, 0}};
-    s.heartbeat_interval_s = 1;
-    s.lease_s = 8;
-    s.gang_wait_s = 6;
-    s.gang_peer_s = 2;
-    s.cancel_s = 20;
-    s.state_rps = 400;
-    s.state_write_rps = 150;
-    s.value_kb = 8;
-    s.txn_ops = 24;
-    s.cloud_rps = 5;
-    s.list_lag_s = 1;
-    settings_ = s;
-    controller_ = std::make_unique<Controller>(s, 7);
+    settings_ = single_controller_settings();
+    controller_ = std::make_unique<Controller>(settings_, 7);
     controller_->start(now_, now_);
     run(3000);
     heartbeat(1);
     run(3000);
   }
 
-  // The process has ended and another has taken its place: a new epoch.
+  // The process restarts: a new incarnation.
   void restart() {
     timeouts_.clear();
     controller_ = std::make_unique<Controller>(settings_, 8);
@@ -52,11 +39,11 @@
     ASSERT_TRUE(controller_->ready());
   }
 
-  // What the core asks for is carried out, and time passes.
+  // Time passes, and all calls of the controller are executed.
   void run(Ms lasts) {
     for (const Ms end = now_ + lasts; now_ < end; now_ += 20) {
       controller_->tick(now_, now_);
-      state_.end_holds(now_);
+      state_.expire_session_leases(now_);
       state_.serve_watchers(now_, [](std::size_t) { return true; });
       pump();
       std::erase_if(timeouts_, [this](const auto& l) {
@@ -72,77 +59,94 @@
          !out.calls.empty() || !out.replies.empty() || !out.logs.empty() || !out.peers.empty();
          out = controller_->take_output()) {
       for (const auto& a : out.replies) answers_[a.request] = a;
-      for (const auto& c : out.calls) carry_out(c);
+      for (const auto& c : out.calls) execute(c);
     }
   }
 
-  void carry_out(const Call& c) {
-    auto done = [this, id = c.id](int status, const std::string& body) {
-      controller_->on_result(now_, id, {status, body});
-    };
+  void execute(const Call& c) {
     if (replies_garbage_) {
-      static const std::vector<std::string> bodies{"",
-                                                   "{",
-                                                   "[]",
-                                                   "null",
-                                                   R"({"ledger":-1})",
-                                                   R"({"events":[7],"ledger":1})",
-                                                   "\xff",
-                                                   R"({"rigs":[{"id":5}],"hasNext":1})",
-                                                   R"({"pairs":[{}],"hasNext":false,"ledger":3})"};
-      done(200, bodies[c.id % bodies.size()]);
-    } else if (c.target == Target::state && !lost_request_path_.empty() &&
-               c.path.starts_with(lost_request_path_)) {
-      state_.serve(now_, c, 0, [](int, const std::string&) {});
+      controller_->on_result(now_, c.id, {200, garbage(c.id)});
+      return;
+    }
+    switch (c.target) {
+      case Target::state:
+        return execute_state_call(c);
+      case Target::worker:
+        return execute_worker_call(c);
+      case Target::cloud:
+        return execute_cloud_call(c);
+    }
+  }
+
+  static std::string garbage(std::uint64_t number) {
+    static const std::vector<std::string> kBodies{"",
+                                                  "{",
+                                                  "[]",
+                                                  "null",
+                                                  R"({"ledger":-1})",
+                                                  R"({"events":[7],"ledger":1})",
+                                                  "\xff",
+                                                  R"({"rigs":[{"id":5}],"hasNext":1})",
+                                                  R"({"pairs":[{}],"hasNext":false,"ledger":3})"};
+    return kBodies[number % kBodies.size()];
+  }
+
+  void execute_state_call(const Call& c) {
+    const bool lost = !lost_request_path_.empty() && c.path.starts_with(lost_request_path_);
+    if (lost) timeouts_.emplace_back(now_ + c.timeout, c.id);
+    state_.serve(
+        now_, c, 0,
+        [this, c, lost, delayed = !lost && is_delayed(c)](int status, const std::string& body) {
+          if (lost) return;
+          if (delayed) {
+            delayed_replies_.emplace_back(c, HttpResult{status, body});
+          } else {
+            controller_->on_result(now_, c.id, {status, body});
+          }
+        });
+  }
+
+  void execute_worker_call(const Call& c) {
+    ++direct_commands_;
+    if (!reachable_) {
       timeouts_.emplace_back(now_ + c.timeout, c.id);
-    } else if (c.target == Target::state && holds_reply_ && holds_reply_(c)) {
-      state_.serve(now_, c, 0, [this, c](int status, const std::string& body) {
-        held_replies_.emplace_back(c, HttpResult{status, body});
-      });
-    } else if (c.target == Target::state) {
-      state_.serve(now_, c, 0, done);
-    } else if (c.target == Target::worker) {
-      ++direct_commands_;
-      if (reachable_) {
-        rapidjson::Document doc;
-        if (wire::parse_object(c.body, doc)) {
-          token_ = std::max(token_, doc["baton"].GetUint64());
-          execute_commands_of(doc["orders"]);
-        }
-        const HttpResult http_result{200, body(session_, ++sequence_)};
-        if (holds_reply_ && holds_reply_(c)) {
-          held_replies_.emplace_back(c, http_result);
-        } else {
-          done(http_result.status, http_result.body);
-        }
-      } else {
-        timeouts_.emplace_back(now_ + c.timeout, c.id);
-      }
-    } else if (c.path == "/catalog") {
-      done(200,
-           R"({"fleets":[{"label":"g","cpus":8,"gpus":0,"memGb":32,"localGb":50,"fetchGbPerS":1,)"
-           R"("rate":1,"marketPrice":0.3,"readyS":3,"yards":["a"]}]})");
-    } else if (c.path.starts_with("/hosts?")) {
-      done(200, R"({"rigs":[{"id":"n-1","endpoint":"n-1:1","fleet":"g","yard":"a","standby":false,)"
-                R"("status":"running","heldS":9}],"hasNext":false})");
+      return;
+    }
+    rapidjson::Document doc;
+    if (wire::parse_object(c.body, doc)) {
+      token_ = std::max(token_, doc["baton"].GetUint64());
+      execute_commands_of(doc["orders"]);
+    }
+    const HttpResult reply{200, body(incarnation_, ++sequence_)};
+    if (is_delayed(c)) {
+      delayed_replies_.emplace_back(c, reply);
     } else {
-      done(503, R"({"error":"no capacity"})");
+      controller_->on_result(now_, c.id, reply);
     }
   }
 
-  // Answers that were given and that the test held back arrive now.
+  void execute_cloud_call(const Call& c) {
+    const bool catalog = c.path == "/catalog", list = c.path.starts_with("/hosts?");
+    controller_->on_result(now_, c.id,
+                           catalog ? HttpResult{200, cloud_.catalog()}
+                           : list  ? HttpResult{200, cloud_.list()}
+                                   : FakeCloud::no_capacity());
+  }
+
+  bool is_delayed(const Call& c) const { return delays_reply_ && delays_reply_(c); }
+
+  // Delayed replies are delivered now.
   void release_replies(const std::function<bool(const Call&)>& which) {
     std::vector<std::pair<Call, HttpResult>> arriving;
-    for (auto it = held_replies_.begin(); it != held_replies_.end();) {
+    for (auto it = delayed_replies_.begin(); it != delayed_replies_.end();) {
       if (!which(it->first)) {
         ++it;
         continue;
       }
       arriving.push_back(std::move(*it));
-      it = held_replies_.erase(it);
+      it = delayed_replies_.erase(it);
     }
-    for (const auto& [call, http_result] : arriving)
-      controller_->on_result(now_, call.id, http_result);
+    for (const auto& [call, reply] : arriving) controller_->on_result(now_, call.id, reply);
     pump();
   }
 
@@ -170,7 +174,7 @@
     return p.done();
   }
 
-  // The machine carries out what it is told, if this test lets it.
+  // The machine executes commands, if this test lets it.
   void execute_commands_of(const wire::Json& orders) {
     for (const auto& o : orders.GetArray()) {
       const std::string verb = o["verb"].GetString();
@@ -186,7 +190,7 @@
   HttpReply heartbeat(std::uint64_t sequence, const char* id = "n-1") {
     const std::uint64_t request = next_++;
     if (id == std::string("n-1")) sequence_ = std::max(sequence_, sequence);
-    controller_->on_request(now_, request, {"POST", "/hello", body(session_, sequence, id)});
+    controller_->on_request(now_, request, {"POST", "/hello", body(incarnation_, sequence, id)});
     pump();
     const HttpReply a = answers_[request];
     rapidjson::Document doc;
@@ -197,7 +201,7 @@
     return a;
   }
 
-  // A report that was sent before the machine had any task arrives only now.
+  // A heartbeat that was sent before the machine had any task arrives only now.
   void deliver_old_heartbeat(std::uint64_t incarnation, std::uint64_t sequence) {
     const auto tasks = std::exchange(tasks_, {});
     controller_->on_request(now_, next_++, {"POST", "/hello", body(incarnation, sequence)});
@@ -220,9 +224,28 @@
     ASSERT_EQ(tasks_.size(), 2U);
   }
 
-  std::uint64_t cancel(const std::string& id) {
+  // Sends a request of a user; its reply is in answers_ under the number returned.
+  std::uint64_t send_request(const std::string& method, const std::string& path,
+                             const std::string& body = "") {
     const std::uint64_t request = next_++;
-    controller_->on_request(now_, request, {"POST", "/v1/jobs/" + id + "/withdraw", ""});
+    controller_->on_request(now_, request, {method, path, body});
+    return request;
+  }
+
+  std::uint64_t cancel(const std::string& id) {
+    const std::uint64_t request = send_request("POST", "/v1/jobs/" + id + "/withdraw");
+    pump();
+    return request;
+  }
+
+  std::uint64_t post(const std::string& body) {
+    const std::uint64_t request = send_request("POST", "/v1/jobs", body);
+    pump();
+    return request;
+  }
+
+  std::uint64_t poll(const std::string& id) {
+    const std::uint64_t request = send_request("GET", "/v1/jobs/" + id);
     pump();
     return request;
   }
@@ -234,29 +257,28 @@
            R"("standby":true,"haulS":60.0,"tipS":0.0,"stowS":0.0})";
   }
 
-  void submit(const std::string& id) {
-    controller_->on_request(now_, next_++, {"POST", "/v1/jobs", job_body(id)});
-  }
+  void submit(const std::string& id) { send_request("POST", "/v1/jobs", job_body(id)); }
 
   Ms now_ = 1000;
   Settings settings_;
   std::unique_ptr<Controller> controller_;
   sim::FakeStateService state_;
+  FakeCloud cloud_{.machines = {{"n-1", "running"}}};
   std::map<std::uint64_t, HttpReply> answers_;
   std::vector<std::pair<Ms, std::uint64_t>> timeouts_;  // calls that get no answer
-  std::uint64_t next_ = 1, session_ = 1, sequence_ = 0, token_ = 0;
+  std::uint64_t next_ = 1, incarnation_ = 1, sequence_ = 0, token_ = 0;
   bool reachable_ = true, receives_replies_ = true, executes_commands_ = false;
   std::string exit_cause_ = "stopped";  // of what has exited
   // What the machine has: task and attempt, and whether it has exited.
   std::map<std::pair<std::string, std::uint64_t>, bool> tasks_;
   int direct_commands_ = 0, starts_ = 0;
-  // State service and machines: these requests are carried out, and their answers wait for
-  // release_answers().
-  std::function<bool(const Call&)> holds_reply_;
-  std::vector<std::pair<Call, HttpResult>> held_replies_;
-  bool replies_garbage_ = false;   // all that is asked for is answered with it
-  std::string lost_request_path_;  // state service: requests whose path begins so are carried out,
-                                   // unanswered
+  // Calls to the state service and to machines that are executed, but whose replies wait for
+  // release_replies().
+  std::function<bool(const Call&)> delays_reply_;
+  std::vector<std::pair<Call, HttpResult>> delayed_replies_;
+  bool replies_garbage_ = false;  // to all calls
+  // Calls to the state service whose path begins so are executed, and their replies lost; "": none.
+  std::string lost_request_path_;
 };
 
 }  // namespace scheduler
