--- a/tests/concurrent_faults_control_test.cpp
+++ b/tests/concurrent_faults_control_test.cpp
@@ -1,5 +1,5 @@
-// Two troubles at once, of the state service and of controllers: seeded runs that bring about on
-// purpose what random troubles rarely do. PROTOCOL's rules are checked at every step.
+// Concurrent faults of the state service and of controllers, planned: seeded runs of combinations
+// that random faults rarely bring about. Invariants are checked at every step.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
   return o;
 }
 
-// No rule is broken and all comes to an end.
+// No invariant is violated and all jobs end.
 Result run_once(const Options& o) {
   Result r = SimulatedCluster(o).run();
   EXPECT_THAT(r, has_no_violations()) << "seed " << o.seed;
@@ -35,14 +35,15 @@
   EXPECT_GT(run_once(o).services, 0);
 }
 
-// The meeting, for its first seed once more with services.
+// The first seed runs once more with services.
 Result run(const Options& o) {
   if (o.seed == 1) run_with_services(o);
   return run_once(o);
 }
 
 // The state service is slow, refuses the controller with most machines, and then everybody for
-// longer than cancel_s, while users cancel. Nobody is told of a cancellation that is not complete.
+// longer than cancel_s, while users cancel. No user gets a confirmation of a cancellation that is
+// not complete.
 TEST(ConcurrentControlFaults, CancellationsWhileStateServiceRefusesOneThenAll) {
   int before = 0, refused = 0, after = 0;
   Ms longest = 0;
@@ -57,7 +58,7 @@
     const Result r = run(o);
     for (const auto& [asked, told] : r.cancellations) {
       ++(told < 25'000 ? before : told < 57'000 ? refused : after);
-      // Counted from the end of the gap, if it was asked for before that.
+      // Counted from the end of the outage, if it was requested before that.
       const Ms from = asked < 57'000 && told >= 57'000 ? 57'000 : asked;
       longest = std::max(longest, told - from);
     }
@@ -68,9 +69,10 @@
   EXPECT_LT(longest, 20'000);  // cancel_s
 }
 
-// Every part changes hands many times in two minutes, in half of the runs also while the state
-// service is out for longer than cancel_s. In the others the former owner lives on, cut from the
-// state service for just longer than its hold, and takes its part back.
+// Every shard changes its owner many times in two minutes, in half of the runs also while the state
+// service is out for longer than cancel_s. In the others the former owner goes on running,
+// partitioned from the state service for just longer than its session lease, and its shard fails
+// back.
 TEST(ConcurrentControlFaults, TenViewChangesInTwoMinutes) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     std::vector<PlannedFault> plan;
@@ -97,8 +99,8 @@
   }
 }
 
-// Transactions without an answer are carried out after newer ones of the same controller, in half
-// of the runs after its end, while users submit and cancel.
+// Transactions without a reply are executed after newer ones of the same controller, in half of the
+// runs after its crash, while users submit and cancel.
 TEST(ConcurrentControlFaults, DelayedTransactionsAreHarmless) {
   int applied = 0, failed = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
@@ -124,7 +126,7 @@
 
 // A controller keeps its workers and its users, but neither the state service nor its peers, and
 // jobs are cancelled through the others, and through it. In a third of the runs the others do not
-// reach its workers, which it goes on answering, so that what is cancelled runs on.
+// reach its workers, to whose heartbeats it goes on replying, so that cancelled tasks run on.
 TEST(ConcurrentControlFaults, ControllerIsolatedWithItsWorkersAndUsers) {
   int reached = 0, meanwhile = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
@@ -137,8 +139,8 @@
     }
     Options o = concurrent_faults(seed, plan);
     o.longest_task_s = 60;
-    // A late copy of a renewal keeps the controller that is away in the view beyond the leases of
-    // its machines (1 of 24 such runs before, 2 of 24 now): not what is looked for here.
+    // A delayed copy of a lease renewal keeps the isolated controller in the view beyond the leases
+    // of its machines (1 of 24 such runs before, 2 of 24 now): not what this test is about.
     if (seed % 3 == 1) o.duplicated_requests = 0;
     o.cancels = {{20'500, 0.3}, {28'000, 0.3}, {37'000, 0.3}};
     const Result r = run(o);
@@ -153,7 +155,8 @@
   EXPECT_GT(meanwhile, 0);
 }
 
-// A job of two or three tasks is done when the last of them is, whoever knew of the first.
+// A job of two or three tasks is done when the last of them is, whichever controller recorded the
+// first.
 TEST(ConcurrentControlFaults, TasksCompleteFarApartAcrossViewChanges) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     std::vector<PlannedFault> plan{{12'000, Fault::view_changes, seed % 3, 70'000}};
@@ -184,8 +187,8 @@
   return o;
 }
 
-// A team is at its limit when the view changes; some of its machines cannot be asked, and jobs are
-// cancelled meanwhile. What may still run counts.
+// A team is at its quota when the view changes; some of its machines are unreachable, and jobs are
+// cancelled meanwhile. Tasks that may still run count against the quota.
 TEST(ConcurrentControlFaults, QuotaLimitHoldsWhileMachinesAreUnreachable) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const Result r = run_once(team_at_its_limit(seed));
@@ -194,13 +197,13 @@
   }
 }
 
-// The same with services, most of them of the team at its limit.
+// The same with services, most of them of the team at its quota.
 TEST(ConcurrentControlFaults, ServicesOfATeamAtItsLimit) {
   run_with_services(team_at_its_limit(1));
 }
 
-// A zone with workers and one or two controllers is cut off for several leases, while others end
-// and users cancel.
+// A zone with workers and one or two controllers is partitioned for several leases, while other
+// controllers crash and users cancel.
 TEST(ConcurrentControlFaults, ZoneWithControllersPartitioned) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const std::size_t zone = 1 + seed % 2;  // a with two controllers, b with one
@@ -215,8 +218,8 @@
   }
 }
 
-// The owner of machines with long tasks ends while they cannot be reached, or do not hear the
-// answers of the next owner.
+// The owner of machines with long tasks crashes while they are unreachable, or do not receive the
+// replies of the next owner.
 TEST(ConcurrentControlFaults, OwnerCrashesWhileMachinesAreUnreachable) {
   int lost = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
@@ -235,7 +238,7 @@
   EXPECT_GT(lost, 0);
 }
 
-// No controller is there for longer than a lease: tasks end with it, and nobody saw them end.
+// No controller runs for longer than a lease: tasks end with it, unobserved.
 TEST(ConcurrentControlFaults, AllControllersDownBeyondALease) {
   int lost = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
@@ -252,7 +255,7 @@
   EXPECT_GT(lost, 10);
 }
 
-// A controller hands over and takes back, all end, and it alone returns within a second.
+// Failover and failback of a shard, then all controllers crash, and one restarts within a second.
 TEST(ConcurrentControlFaults, FailoverFailbackAndFullRestart) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     std::vector<PlannedFault> plan{{18'000, Fault::failback, seed % 3, 3'000 + 2000 * (Ms)seed},
--- a/tests/concurrent_faults_workers_test.cpp
+++ b/tests/concurrent_faults_workers_test.cpp
@@ -1,5 +1,5 @@
-// Meetings of two troubles of workers and users, brought about on purpose. Each line names the
-// guard of the core that keeps the rule; without it, the test fails.
+// Concurrent faults of workers and users, planned. Each entry names the safeguard of the controller
+// that keeps the invariant; without it, the test fails.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -14,16 +14,16 @@
 struct FaultPair {
   const char* name;
   std::uint64_t seeds;
-  std::function<void(Options&, std::uint64_t seed)> day;
-  // How often the runs together brought it about, and how often they must.
+  std::function<void(Options&, std::uint64_t seed)> plan;
+  // How often all runs together brought the situation about, and how often they must.
   std::function<int(const Result&)> met;
   int least;
 };
 
 void PrintTo(const FaultPair& m, std::ostream* out) { *out << m.name; }
 
-const FaultPair kMeetings[] = {
-    // Controller::zones_open: what is still recorded in a zone counts, gone or not.
+const FaultPair kFaultPairs[] = {
+    // Controller::zones_open: tasks that are still recorded in a zone count, lost or not.
     {"ZoneBoundJobsLoseMachines", 3,
      [](Options& o, std::uint64_t seed) {
        o.zone_bound_jobs = 0.7;
@@ -35,8 +35,8 @@
      },
      [](const Result& r) { return r.zone_bound_tasks_lost; }, 10},
     // Controller::reconcile: only a token above that of every start sent proves that a task which
-    // is not listed cannot come any more.
-    {"CommandsHeldUpByAHang", 4,
+    // is not listed cannot start any more.
+    {"CommandsDelayedByAHang", 4,
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.gang_tenths = 5;
@@ -45,8 +45,8 @@
        if (seed % 2 == 0) add_periodic_faults(o, Fault::slow_links, 20'000, 25'000, 15'000);
      },
      [](const Result& r) { return r.late_commands; }, 20},
-    // Controller::take_report: counters order the messages of a machine.
-    {"OldReportsAfterNewer", 4,
+    // apply_heartbeat: sequence numbers order the messages of a machine.
+    {"StaleHeartbeatsAfterNewer", 4,
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.gang_tenths = 5;
@@ -58,9 +58,10 @@
        if (seed % 2 == 0) add_periodic_faults(o, Fault::quick_restart, 15'000, 20'000, 0, seed % 3);
      },
      [](const Result& r) { return r.duplicate_heartbeats_arrived; }, 100},
-    // Controller::finish and on_cancel: both rest on the version of the job's record; either alone
-    // is not enough.
-    {"CallsAtTheEnd", 4,
+    // Controller::finish and on_cancel: both compare the version of the job's record; either alone
+    // is
+    // not enough.
+    {"RequestsAsTheLastTaskEnds", 4,
      [](Options& o, std::uint64_t) {
        o.job_every_ms = 500;
        o.longest_task_s = 4;
@@ -71,15 +72,15 @@
        add_periodic_faults(o, Fault::cancel_at_end, 1'000, 10'000, 10'000);
      },
      [](const Result& r) { return r.requests_at_end; }, 200},
-    // Controller::reconcile: nothing that a machine does not list counts as gone before it has
-    // shown a token of the owner of now.
-    {"ReportsHeldUntilANewOwnerActed", 7,
+    // Controller::reconcile: no task that a machine does not list counts as released before it has
+    // shown a token of its present owner.
+    {"HeartbeatsDelayedUntilANewOwnerActed", 7,
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.gang_tenths = 6;
        o.failing_jobs = 0;
-       // A gang loses a task, others of it hang, their owner ends, and the next one hears of them
-       // by what they reported before the gang began.
+       // A gang loses a task, others of it hang, their owner crashes, and the next owner receives
+       // heartbeats that they sent before the gang started.
        for (Ms at = 14'000; at < 80'000; at += 11'000) {
          o.planned_faults.push_back({at - 9'000, Fault::heartbeats_delayed, 0, 12'000});
          for (Ms k = 0; k < 2; ++k) o.planned_faults.push_back({at + k, Fault::machine_dies, 0, 0});
@@ -94,7 +95,7 @@
     // within_grant (quota.cpp): a task counts against its controller's grant until it is recorded
     // as
     // gone, which slow links put off.
-    {"MoreWorkThanRoomOverSlowLinks", 2,
+    {"MoreWorkThanCapacityOverSlowLinks", 2,
      [](Options& o, std::uint64_t) {
        o.longest_task_s = 12;
        o.free_team_tenths = 3;
@@ -102,15 +103,15 @@
        add_periodic_faults(o, Fault::job_burst, 20'000, 25'000, 8'000);
      },
      [](const Result& r) { return r.checkpointed_stops; }, 1},
-    // Controller::take_report: a new session's lease counts from when it was first heard of, by a
-    // direct answer too.
-    {"MachinesThatReachNobody", 3,
+    // apply_heartbeat: a new incarnation's lease counts from the first contact, a reply to a
+    // command included.
+    {"MachinesWhoseHeartbeatsAreLost", 3,
      [](Options& o, std::uint64_t) {
        o.machines = 9;
        add_periodic_faults(o, Fault::machine_heartbeats_lost, 10'000, 6'000, 25'000);
      },
      [](const Result& r) { return r.starts_without_heartbeats; }, 10},
-    // Controller::state_of: nobody is told while anything is recorded on a machine.
+    // Controller::state_of: no cancellation is confirmed while a task is recorded on a machine.
     {"CancelledOnHangingMachines", 4,
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
@@ -121,7 +122,7 @@
      },
      [](const Result& r) { return r.hangs_during_cancellation; }, 30},
     // wire::parse_job, Controller::verdict and lookup.
-    {"OddRequests", 2,
+    {"InvalidRequests", 2,
      [](Options& o, std::uint64_t seed) {
        add_periodic_faults(o, Fault::invalid_requests, 5'000, 10'000, 10'000);
        o.planned_faults.push_back({30'000, Fault::all_controllers_crash, 0, 0});
@@ -132,8 +133,8 @@
 
 class ConcurrentFaults : public testing::TestWithParam<FaultPair> {};
 
-// One run of the meeting, in which no rule is broken and everything ends.
-Result run(const FaultPair& meeting, std::uint64_t seed, double services) {
+// One run, in which no invariant is violated and all jobs end.
+Result run(const FaultPair& pair, std::uint64_t seed, double services) {
   Options o;
   o.seed = seed;
   o.faults = false;
@@ -141,7 +142,7 @@
   o.recovery_ms = 700'000;
   o.until_finished = true;
   o.services = services;
-  meeting.day(o, seed);
+  pair.plan(o, seed);
   o.trace = trace_from_environment();
   Result r = SimulatedCluster(o).run();
   EXPECT_THAT(r, testing::AllOf(has_no_violations(), has_no_unfinished_jobs())) << "seed " << seed;
@@ -150,14 +151,14 @@
 }
 
 TEST_P(ConcurrentFaults, InvariantsHoldAndAllJobsEnd) {
-  const FaultPair& meeting = GetParam();
+  const FaultPair& pair = GetParam();
   int met = 0;
-  for (std::uint64_t seed = 1; seed <= meeting.seeds; ++seed) {
-    if (!skips_seed(seed)) met += meeting.met(run(meeting, seed, 0));
+  for (std::uint64_t seed = 1; seed <= pair.seeds; ++seed) {
+    if (!skips_seed(seed)) met += pair.met(run(pair, seed, 0));
   }
   RecordProperty("met", met);
   if (prints_counts()) std::printf("met %d\n", met);
-  EXPECT_GE(met, meeting.least) << "the runs do not bring about what they are for";
+  EXPECT_GE(met, pair.least) << "the runs do not bring about what they are for";
 }
 
 // The same while services are submitted among the arrays and gangs.
@@ -170,7 +171,7 @@
   EXPECT_GT(services, 3);
 }
 
-INSTANTIATE_TEST_SUITE_P(Workers, ConcurrentFaults, testing::ValuesIn(kMeetings),
+INSTANTIATE_TEST_SUITE_P(Workers, ConcurrentFaults, testing::ValuesIn(kFaultPairs),
                          [](const auto& m) { return std::string(m.param.name); });
 
 }  // namespace
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,4 +1,4 @@
-// One core by itself against the state stand-in: what a report may and may not bring about.
+// A single controller against a fake state service: what a heartbeat may and may not bring about.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -39,7 +39,7 @@
   EXPECT_EQ(heartbeat(50).status, 200);
   reachable_ = receives_replies_ = false;
   submit("req-000001");
-  // The start cannot be delivered: it is placed once, and nothing more after that.
+  // The start command cannot be delivered: one job is placed, and no other after that.
   for (int i = 0; i < 8; ++i) {
     run(1000);
     heartbeat(51 + static_cast<std::uint64_t>(i));
@@ -52,7 +52,7 @@
   const Job* second = controller_->replica().job("req-000002");
   ASSERT_TRUE(second);
   EXPECT_EQ(second->placed_tasks(), 0U);
-  // It hears an answer again and shows the token: it is used.
+  // It receives a reply again and shows the token: it gets tasks.
   receives_replies_ = true;
   heartbeat(71);
   heartbeat(72);
@@ -60,8 +60,8 @@
   EXPECT_EQ(controller_->replica().job("req-000002")->placed_tasks(), 2U);
 }
 
-// A cancellation takes no longer than its proof: none for a job with nothing placed, a halt and a
-// write for one that runs. The user does not have to come back for either.
+// A cancellation is confirmed as soon as it is proven: at once for a job without placed tasks,
+// after a stop command and a write for one that runs. The user need not retry for either.
 TEST_F(SingleControllerTest, CancellationsAreConfirmedOnceProven) {
   start_two();
   const std::uint64_t running = cancel("req-000001");
@@ -70,7 +70,7 @@
   ASSERT_EQ(status(running), 200);
   EXPECT_NE(answers_[running].body.find("withdrawn"), std::string::npos);
   for (const auto& [task, exited] : tasks_) EXPECT_TRUE(exited) << task.first;
-  // No machine may be used: nothing of this one is anywhere.
+  // No machine may be used: no task of the next job is placed.
   run(6000);
   submit("req-000002");
   run(1000);
@@ -99,8 +99,7 @@
     std::string body = job_body("req-000003");
     ASSERT_NE(body.find(from), std::string::npos) << from;
     body.replace(body.find(from), std::string(from).size(), to);
-    const std::uint64_t request = next_++;
-    controller_->on_request(now_, request, {"POST", "/v1/jobs", body});
+    const std::uint64_t request = send_request("POST", "/v1/jobs", body);
     run(200);
     EXPECT_EQ(status(request), 422) << to;
   }
@@ -119,7 +118,7 @@
   EXPECT_NE(answers_[again].body.find("withdrawn"), std::string::npos);
 }
 
-// What cannot be proven soon is answered at once: the user is to come back.
+// A cancellation that cannot be proven soon is answered at once with a time to retry.
 TEST_F(SingleControllerTest, UnprovableCancellationsGetRetryAfter) {
   start_two();
   reachable_ = false;
@@ -173,8 +172,8 @@
   EXPECT_GT(token_, carried);
 }
 
-// Nor does one that was held back until another owner had acted, and is the first that this one
-// hears: the machine has not shown its token.
+// Nor does one that was delayed until another owner had acted, and is the first that this one
+// receives: the machine has not shown its token.
 TEST_F(SingleControllerTest, HeartbeatDelayedUntilANewOwnerActedReleasesNothing) {
   start_two();
   reachable_ = false;
@@ -187,7 +186,7 @@
   run(2500);
   ASSERT_EQ(status(first), 503);
   EXPECT_EQ(controller_->replica().job("req-000001")->placed_tasks(), 2U);
-  // It answers, still running them, and is told to stop.
+  // It replies, still running them, and gets the command to stop.
   reachable_ = true;
   run(4000);
   const std::uint64_t second = cancel("req-000001");
@@ -196,7 +195,7 @@
   for (const auto& [task, exited] : tasks_) EXPECT_TRUE(exited) << task.first;
 }
 
-// Answers, reports and hints that cannot be read end nothing: afterwards it serves as before.
+// Malformed replies, heartbeats and gossip end no task: afterwards the controller serves as before.
 TEST_F(SingleControllerTest, MalformedRepliesEndNothing) {
   EXPECT_EQ(heartbeat(50).status, 200);
   submit("req-000001");
@@ -205,8 +204,7 @@
   for (const char* text :
        {"", "{", "[]", R"({"rig":"n-1"})", R"({"rig":"n-1","loads":7})", "\xff"}) {
     controller_->on_peer(now_, text);
-    const std::uint64_t request = next_++;
-    controller_->on_request(now_, request, {"POST", "/hello", text});
+    const std::uint64_t request = send_request("POST", "/hello", text);
     run(400);
     EXPECT_EQ(status(request), 400) << text;
   }
@@ -219,7 +217,8 @@
   EXPECT_EQ(status(request), 201);
 }
 
-// A machine whose reports do not come loses its tasks with its lease, however well it answers.
+// A machine whose heartbeats are lost loses its tasks as its lease expires, although it replies to
+// commands.
 TEST_F(SingleControllerTest, MachineWithoutHeartbeatsGetsNothingNew) {
   start_two();
   run(4500);  // it answers direct messages all the while, and its lease lasts
@@ -233,8 +232,8 @@
   EXPECT_EQ(starts_, 4);
 }
 
-// Transactions whose answers are lost do not pass for a state service that is down: what was asked
-// later is answered, and users are served meanwhile.
+// Transactions whose replies are lost are not taken for an outage of the state service: later calls
+// are answered, and users are served meanwhile.
 TEST_F(SingleControllerTest, SingleLostRepliesAreNoOutage) {
   EXPECT_EQ(heartbeat(50).status, 200);
   lost_request_path_ = "/multi";
@@ -242,15 +241,14 @@
   int refused = 0;
   for (int i = 0; i < 100; ++i) {
     run(40);
-    const std::uint64_t request = next_++;
-    controller_->on_request(now_, request, {"GET", "/v1/jobs/req-777777", ""});
+    const std::uint64_t request = send_request("GET", "/v1/jobs/req-777777");
     run(100);
     refused += status(request) != 404;
   }
   EXPECT_EQ(refused, 0);
 }
 
-// A process that has forgotten a machine and its fence finds both again: its answers count.
+// A process that has lost a machine's record and fence recovers both from the machine's replies.
 TEST_F(SingleControllerTest, FenceIsRecoveredFromTheMachine) {
   EXPECT_EQ(heartbeat(50).status, 200);
   const std::uint64_t raised = token_ + 5;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,4 +1,5 @@
-// The pure parts of the core: prediction, sampling, membership, quota, health, fleet.
+// The pure parts of the controller: placement, membership, quota leases, failures, pending order
+// and fleet sizing.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -123,8 +124,8 @@
   EXPECT_EQ(ClusterView::epoch_of(ClusterView::token(9, 55)), 9U);
 }
 
-// Found by the simulation: gangs in three parts, each with a grant too small for its own, waited
-// for ever.
+// Found by the simulation: gangs of three shards, each with a quota lease too small for its own,
+// waited for ever.
 TEST(Quota, RemaindersAreCollectedInRotation) {
   const Team team{"t", 0, 40, 0, 0};
   const std::vector<std::string> live{"a", "b", "c"};
@@ -156,8 +157,8 @@
   for (const auto& who : live) EXPECT_GT(started[who], 0) << who;
 }
 
-// Three controllers lack room for replicas, and what is left of the limit is too little for those
-// of two. Whoever gives it up knows first that it is free, and must leave it to whose turn it is.
+// Three controllers need quota for replicas, and the remainder is too small for those of two. The
+// controller that releases it knows first that it is free, and must leave it to the collector.
 TEST(Quota, RemainderReachesAServiceItSuffices) {
   struct Part {
     std::string name;
@@ -191,8 +192,8 @@
     return next_quota_record(in, seen);
   };
   for (Ms wall = 0; wall < 20'000 && started_at == 0; wall += kQuotaCheckMs) {
-    // Each knows the record of the look before and its own write; a write that another was faster
-    // with fails.
+    // Each knows the record as of the round before and its own write; of concurrent writes only the
+    // first succeeds.
     const wire::QuotaRecord seen = record;
     bool written = false;
     for (auto& part : parts) {
@@ -209,8 +210,8 @@
 }
 
 TEST(Quota, LeasesNeverExceedTheLimit) {
-  // Three controllers take, give back and die in random order; the sum of what any of them may
-  // use never exceeds the limit.
+  // Three controllers acquire, release and crash in random order; the sum of their leases never
+  // exceeds the limit.
   pcg32 random(3);
   const Team team{"t", 0, 100, 0, 0};
   std::map<std::string, double> used{{"a", 0}, {"b", 0}, {"c", 0}};
@@ -292,7 +293,7 @@
             (std::vector<std::size_t>{0, 1}));
 }
 
-TEST(DeadlineOrder, MeetsALaterAimWhenTheFirstIsMissed) {
+TEST(DeadlineOrder, MeetsALaterObjectiveWhenTheFirstIsMissed) {
   // 8 s cannot be done by 5, but by 20.
   const auto p =
       order_by_deadline({waits(8, {5, 20}), waits(4, {}, 1, 50), waits(3, {4})}, kOneCpu);
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -1,4 +1,4 @@
-// The real binary on loopback, against stand-ins for the state service, the cloud and a worker.
+// The real binary on loopback, against fakes of the state service, the cloud and a worker.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -163,7 +163,7 @@
     return false;
   }
 
-  // One report of the worker; what it is told to start is done by its next but one.
+  // One heartbeat of the worker; a task that it starts is done by its next heartbeat but one.
   void report() {
     if (reporting_) return;
     reporting_ = true;
--- a/tests/fingerprint_test.cpp
+++ b/tests/fingerprint_test.cpp
@@ -1,6 +1,6 @@
-// Changes of the code that are to leave the behaviour as it is: the outputs of all controllers, in
-// order, over whole runs with troubles. The values were recorded before such a change; a commit
-// that means to change behaviour records new ones and says so.
+// Detects unintended changes of behaviour: the outputs of all controllers, in order, over whole
+// runs with faults. The values were recorded before such a change; a commit that means to change
+// behaviour records new ones and says so.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -24,7 +24,7 @@
   return o;
 }
 
-RecordedRun random_troubles() { return {"RandomTroubles", base(901), 0x89ae31c209a793d3}; }
+RecordedRun random_faults() { return {"RandomFaults", base(901), 0x89ae31c209a793d3}; }
 
 RecordedRun services_in_an_upgrade() {
   Options o = base(902);
@@ -48,7 +48,7 @@
   return {"CutLinksWithRelays", o, 0x0ed5738050043426};
 }
 
-RecordedRun planned_troubles() {
+RecordedRun planned_faults_run() {
   Options o = base(904);
   o.faults = false;
   o.longest_task_s = 30;
@@ -60,7 +60,7 @@
                       {40'000, Fault::process_pause, 2, 6000},
                       {45'000, Fault::cancel_now, 0, 15'000},
                       {55'000, Fault::refused_then_outage, 1, 25'000}};
-  return {"PlannedTroubles", o, 0x51e16ae7f728db07};
+  return {"PlannedFaults", o, 0x51e16ae7f728db07};
 }
 
 RecordedRun larger_fleet() {
@@ -87,8 +87,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Simulation, RecordedRuns,
-                         testing::Values(random_troubles(), services_in_an_upgrade(),
-                                         cut_links_with_relays(), planned_troubles(),
+                         testing::Values(random_faults(), services_in_an_upgrade(),
+                                         cut_links_with_relays(), planned_faults_run(),
                                          larger_fleet()),
                          [](const auto& run) { return run.param.name; });
 
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -1,4 +1,4 @@
-// The checker of histories fires on each fault, by forged histories, and on none without.
+// The checker of histories detects each fault in a forged history, and none in a valid one.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 const std::string kJob = "req-000001";
 const wire::TaskId kFirst{kJob, 0}, kSecond{kJob, 1};
 
-// A job of two tasks, of which the second loses its machine and runs again elsewhere.
+// A job of two tasks, of which the second loses its machine and restarts elsewhere.
 std::vector<std::pair<Ms, Event>> good() {
   return {{100, Accepted{kJob, 2, false}},
           {200, TaskBegan{kFirst, "n-1"}},
@@ -63,61 +63,61 @@
   return history;
 }
 
-TEST(HistoryChecker, FindsNothingInGoodHistories) {
+TEST(HistoryChecker, AcceptsValidHistories) {
   EXPECT_TRUE(faults(good()).empty());
   EXPECT_TRUE(faults(cancelled()).empty());
-  // The same answer and the same record again, from another controller.
+  // The same reply and the same record again, from another controller.
   auto again = with(good(), 900, Answered{kJob, JobState::done, 850});
   EXPECT_TRUE(faults(with(again, 910, ResultRecorded{kJob, true})).empty());
 }
 
-TEST(HistoryChecker, FiresOnTwoResults) {
+TEST(HistoryChecker, DetectsTwoResults) {
   EXPECT_TRUE(only(with(good(), 730, ResultRecorded{kJob, false}), Fault::two_results));
 }
 
-TEST(HistoryChecker, FiresOnAResultThatIsRemoved) {
+TEST(HistoryChecker, DetectsARemovedResult) {
   EXPECT_TRUE(only(with(good(), 900, ResultRemoved{kJob}), Fault::result_removed));
 }
 
-TEST(HistoryChecker, FiresOnAResultThatChanges) {
+TEST(HistoryChecker, DetectsAChangedResult) {
   const auto asked = with(good(), 640, CancelAsked{kJob});
   const auto found = faults(with(asked, 900, Answered{kJob, JobState::cancelled, 890}));
   EXPECT_EQ(found, (std::vector<Fault>{Fault::result_changed, Fault::answer_unrecorded}));
 }
 
-TEST(HistoryChecker, FiresOnAnAnswerThatIsNotTheRecordedOne) {
+TEST(HistoryChecker, DetectsAReplyThatIsNotTheRecordedResult) {
   auto history = cancelled();
   history.back().second = ResultRecorded{kJob, true};
   const auto found = faults(history);
   EXPECT_NE(std::find(found.begin(), found.end(), Fault::answer_unrecorded), found.end());
 }
 
-TEST(HistoryChecker, FiresOnOlderAnswers) {
+TEST(HistoryChecker, DetectsStaleReplies) {
   EXPECT_TRUE(only(with(good(), 950, Answered{kJob, JobState::running, 940}), Fault::older_answer));
   EXPECT_TRUE(only(with(good(), 950, AnsweredUnknown{kJob, 940}), Fault::older_answer));
   EXPECT_TRUE(faults(with(good(), 950, AnsweredUnknown{kJob, 90})).empty());  // asked before
 }
 
-TEST(HistoryChecker, FiresOnDoneBeforeEveryTaskHasCompleted) {
+TEST(HistoryChecker, DetectsDoneBeforeEveryTaskHasCompleted) {
   EXPECT_TRUE(only(with(good(), 650, ResultRecorded{kJob, true}), Fault::done_too_early));
   EXPECT_TRUE(only(with(good(), 650, Answered{kJob, JobState::done, 640}), Fault::done_too_early));
 }
 
-TEST(HistoryChecker, FiresOnATaskThatRunsTwice) {
+TEST(HistoryChecker, DetectsATaskThatRunsTwice) {
   EXPECT_TRUE(only(with(good(), 550, TaskBegan{kSecond, "n-4"}), Fault::ran_twice));
 }
 
-TEST(HistoryChecker, FiresOnAStartAfterAConfirmedCancellation) {
+TEST(HistoryChecker, DetectsAStartAfterAConfirmedCancellation) {
   EXPECT_TRUE(only(with(cancelled(), 420, TaskBegan{kSecond, "n-2"}), Fault::started_cancelled));
 }
 
-TEST(HistoryChecker, FiresOnACancellationThatNobodyAskedFor) {
+TEST(HistoryChecker, DetectsAnUnrequestedCancellation) {
   auto history = cancelled();
   history.erase(history.begin() + 2);
   EXPECT_TRUE(only(history, Fault::cancelled_unasked));
 }
 
-TEST(HistoryChecker, FiresOnAJobWithoutAResult) {
+TEST(HistoryChecker, DetectsAJobWithoutAResult) {
   auto history = cancelled();
   history.pop_back();
   EXPECT_TRUE(only(history, Fault::no_result));
--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -30,7 +30,7 @@
   EXPECT_GT(runs_with_violations(o, "ran_twice", 10), 0);
 }
 
-// Answers of controllers are changed on their way to the users, as a fault of the core would.
+// Replies of controllers to users are changed, as a fault of the controller would.
 Options forged(std::function<void(const Request&, Ms, int&, std::string&)> forge) {
   Options o;
   o.faults = false;
@@ -47,7 +47,7 @@
   return R"({"id":")" + id + R"(","status":")" + status + R"("})";
 }
 
-// Users are told at once; the halts follow.
+// Cancellations are confirmed at once; the stop commands follow.
 Options cancelled_too_early() {
   return forged([](const Request& r, Ms, int& status, std::string& body) {
     if (!cancels(r) || status != 503) return;
@@ -56,7 +56,7 @@
   });
 }
 
-// Jobs that wait are called withdrawn in answer to a question, and then start.
+// Reads of pending jobs are answered "withdrawn", and then the jobs start.
 TEST(InvariantChecker, DetectsStartsAfterCancellation) {
   Options o = forged([](const Request& r, Ms, int& status, std::string& body) {
     if (r.method == "GET" && status == 200 && body.find("pending") != std::string::npos)
@@ -65,7 +65,7 @@
   EXPECT_GT(runs_with_violations(o, "started_cancelled", 3), 0);
 }
 
-// A machine hangs with cancelled tasks and goes on within its lease.
+// A machine hangs with cancelled tasks and resumes within its lease.
 TEST(InvariantChecker, DetectsCancelledTasksOnHangingMachines) {
   Options o = cancelled_too_early();
   o.cancel_s = 3;  // the refusals that are forged come up to a second after the request
@@ -94,7 +94,7 @@
   });
   o.planned_faults = {{10'000, Fault::invalid_requests, 0, 40'000}};
   EXPECT_GT(runs_with_violations(o, "went_back", 3), 0);
-  // To a question, one in a hundred times.
+  // To one read in a hundred.
   int n = 0;
   EXPECT_GT(runs_with_violations(
                 forged([n](const Request& r, Ms, int& status, std::string& body) mutable {
--- a/tests/links_detectors_test.cpp
+++ b/tests/links_detectors_test.cpp
@@ -94,7 +94,7 @@
   EXPECT_EQ(one.reports(13'300), Status::down);
 }
 
-// That workers answer probes leaves their reports the longer time: they may only be slow.
+// As long as workers answer probes, heartbeats may be late for longer: they may only be slow.
 TEST(ZoneLinks, SilenceWithoutFailedProbeIsDetectedLater) {
   ZoneLinks links(kHeartbeatIntervalMs);
   links.expect(1000, 50);
@@ -123,7 +123,7 @@
   EXPECT_TRUE(links.usable(1400));
 }
 
-// Workers that have not reported here yet, and a pause of our own, are no silence.
+// Workers that have never sent a heartbeat here, and a pause of this process, are no silence.
 TEST(ZoneLinks, OnlyExpectedWorkersCanBeSilent) {
   ZoneLinks links(kHeartbeatIntervalMs);
   links.heartbeat_received(1000);
--- a/tests/links_monitor_test.cpp
+++ b/tests/links_monitor_test.cpp
@@ -25,7 +25,7 @@
   EXPECT_EQ(matrix.find("b")->state_up_since, 0);
 }
 
-// A matrix that is minutes old says nothing, and rows that old are not taken in.
+// Rows that are minutes old are ignored, and not merged.
 TEST(Matrix, StaleRowsAreIgnored) {
   Matrix matrix("a");
   matrix.merge(100, 10'000, row_of("b", 9'900, Status::up));
@@ -33,7 +33,7 @@
   EXPECT_TRUE(matrix.fresh(10'000 + 180'000, kRowFreshMs).empty());
   matrix.merge(200, 300'000, row_of("c", 120'000, Status::up));
   EXPECT_EQ(matrix.find("c"), nullptr);
-  matrix.merge(200, 300'000, row_of("a", 300'000, Status::up));  // our own, as others know it
+  matrix.merge(200, 300'000, row_of("a", 300'000, Status::up));  // its own row, as known to others
   EXPECT_EQ(matrix.find("a"), nullptr);
 }
 
@@ -68,7 +68,7 @@
     return out;
   }
 
-  // Both zones of our part: silent since `since`, probes unanswered.
+  // Both zones of the shard: no heartbeats since `since`, probes unanswered.
   void lose_workers(Ms since) {
     for (const char* zone : {"x", "y"}) {
       monitor_.zone(zone).expect(1000, 20);
@@ -99,7 +99,7 @@
     monitor_.merge(at(t), row("b", Status::down, t - 20));
     monitor_.merge(at(t), row("c", Status::up, t - 60));
     decision = monitor_.may_serve_users(at(t));
-    // Not before it has said so for a while: at the ends of an outage one notices first.
+    // Not before it has said so for a while: one controller notices the end of an outage first.
     EXPECT_EQ(decision.allowed, t - now_ <= 200 + kStateWordMs) << t;
   }
   EXPECT_EQ(decision.reason, Reason::peer_reaches);
@@ -118,7 +118,7 @@
   const Ms later = now_ + 5000;
   EXPECT_TRUE(monitor_.may_keep_machines(at(now_ + 500), {"b", "c"}).allowed);
   EXPECT_EQ(monitor_.may_keep_machines(at(later), {}).reason, Reason::nobody_else);
-  // Of who says nothing, an older version say, the best is assumed.
+  // Of peers that gossip no row, such as older versions, reachability is assumed.
   EXPECT_FALSE(monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);
   wire::LinkRow b = row("b", Status::up, later - 100), c = row("c", Status::up, later - 100);
   for (auto* other : {&b, &c})
@@ -130,14 +130,15 @@
   EXPECT_EQ(kept.reason, Reason::nobody_reaches);
   c.as_of_ms += 50;
   c.workers["y"].reports = Status::up;
-  // It heard the zone last when we did: the same failure, which it has not noticed yet.
+  // Its last contact with the zone is as old as ours: the same failure, not yet detected there.
   c.workers["y"].heard_ms = static_cast<std::uint64_t>(now_ + 200 + kWallOffset);
   monitor_.merge(at(later), c);
   EXPECT_TRUE(monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);
   c.as_of_ms += 10;
   c.workers["y"].heard_ms = static_cast<std::uint64_t>(later - 100 + kWallOffset);
   monitor_.merge(at(later), c);
-  EXPECT_TRUE(monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);  // only just now
+  EXPECT_TRUE(
+      monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);  // not yet for long enough
   const Ms then = later + kRowSteadyMs;
   b.as_of_ms = c.as_of_ms = static_cast<std::uint64_t>(then + kWallOffset);
   monitor_.merge(at(then), b);
@@ -178,7 +179,7 @@
   EXPECT_TRUE(monitor_.may_join(now_, true).allowed);  // after a single cut
   monitor_.joined_view();
   monitor_.removed_from_view(now_);
-  EXPECT_TRUE(monitor_.may_join(now_, false).allowed);  // nobody else serves
+  EXPECT_TRUE(monitor_.may_join(now_, false).allowed);  // no other controller serves
   state_.unanswered(now_ + 100);
   monitor_.tick(now_ + 100);
   EXPECT_FALSE(monitor_.may_join(now_ + 200, true).allowed);
@@ -206,7 +207,7 @@
   EXPECT_TRUE(monitor_.may_declare_dead(at(now_), "x", census, kZoneCutPatienceMs + 1).allowed);
 }
 
-// As a cut heals the first workers are heard; the others are on their way.
+// As a partition heals, the first workers' heartbeats arrive; the others are still on their way.
 TEST_F(MonitorTest, NoMachineIsDeclaredDeadRightAfterAPartition) {
   Census cut, back;
   for (int i = 0; i < 20; ++i) {
@@ -236,7 +237,7 @@
   monitor_.merge(at(now_), c);
   EXPECT_EQ(monitor_.relay_to(at(now_), "x"), "c");
   c.as_of_ms += 10;
-  c.heard["a"] = Status::down;  // it doesn't hear us
+  c.heard["a"] = Status::down;  // it doesn't receive our gossip
   monitor_.merge(at(now_), c);
   EXPECT_FALSE(monitor_.relay_to(at(now_), "x").has_value());
 }
@@ -251,7 +252,7 @@
   monitor_.merge(at(now_), b);
   EXPECT_TRUE(monitor_.should_forward(at(now_), "b", "x"));
   EXPECT_FALSE(monitor_.should_forward(at(now_), "b", "y"));
-  EXPECT_FALSE(monitor_.should_forward(at(now_ + 10'000), "b", "x"));  // not heard of since
+  EXPECT_FALSE(monitor_.should_forward(at(now_ + 10'000), "b", "x"));  // no gossip since
 }
 
 }  // namespace
--- a/tests/load/fleet_load.cpp
+++ b/tests/load/fleet_load.cpp
@@ -1,6 +1,6 @@
-// Load tool, not part of the tests: one real controller process on loopback with stand-ins for the
-// state service, the cloud and thousands of machines. Prints what the process holds and how long
-// its answers take. Every request stays on 127.0.0.0/8, and the run ends by itself.
+// Load tool, not part of the tests: one real controller process on loopback with fakes of the
+// state service, the cloud and thousands of machines. Prints what the process uses and how long its
+// replies take. Every request stays on 127.0.0.0/8, and the run ends by itself.
 //
 // Usage: fleet_load BINARY MACHINES SECONDS RAM_MB FD_LIMIT
 #include <sys/wait.h>
@@ -50,7 +50,7 @@
   return {asio::ip::make_address(address), port};
 }
 
-// Calls again and again; the interval varies by a quarter so that machines do not keep step.
+// Calls again and again; the interval varies by a quarter so that machines do not synchronise.
 class Repeater {
  public:
   Repeater(asio::io_context& io, int every_ms, std::function<void()> action)
@@ -153,7 +153,7 @@
   int answered_ = 0, done_ = 0;
 };
 
-// What the kernel says of the process.
+// The process's resources, by the kernel.
 struct Usage {
   double resident_mb = 0, cpu_s = 0;
   std::size_t sockets = 0;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -28,8 +28,8 @@
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// A machine that reports at an interval over a connection of its own, which it keeps if it may, and
-// that comes back after a second when it is refused.
+// A machine that sends heartbeats at an interval over a connection of its own, which it keeps if it
+// may, and retries after a second when it is refused.
 class ReportingMachine {
  public:
   ReportingMachine(asio::io_context& io, std::string address, milliseconds interval)
@@ -54,9 +54,9 @@
   int answered_ = 0;
 };
 
-// More machines than connections: each is closed with its answer while most are in use, so that all
-// machines are heard. Kept open, the first forty would keep all others out for ever.
-TEST(HttpServer, HearsMoreMachinesThanItHasConnections) {
+// More machines than connections: each is closed with its reply while most are in use, so that all
+// machines are served. Kept open, the first forty would starve all others.
+TEST(HttpServer, ServesMoreMachinesThanItHasConnections) {
   constexpr int kConnections = 40, kMachines = 200;
   asio::io_context io;
   const auto endpoint = free_endpoint(io);
@@ -82,7 +82,7 @@
   EXPECT_GT(server->closed_early(), 0U);
 }
 
-TEST(HttpClient, TellsAnAnswerThatIsTooLargeFromNone) {
+TEST(HttpClient, DistinguishesAnOversizedReplyFromNone) {
   asio::io_context io;
   const auto endpoint = free_endpoint(io);
   std::unique_ptr<HttpServer> server;
--- a/tests/overload_sim_test.cpp
+++ b/tests/overload_sim_test.cpp
@@ -30,7 +30,7 @@
   EXPECT_EQ(r.oversized_txns, 0);
 }
 
-// An overload that lasts: the order of work puts the large ones behind, but nobody is starved.
+// A lasting overload: large jobs are ordered behind others, but none is starved.
 TEST(Simulation, OverloadStarvesNoJob) {
   int largest = 0;
   std::map<std::string, std::pair<int, int>> served;  // of all seeds: jobs, and those done
@@ -58,8 +58,7 @@
   EXPECT_GT(largest, 20);
 }
 
-// Twenty times slower, the state service is asked no more often than it allows, and nothing is
-// lost.
+// The state service is twenty times slower: controllers stay within its rates, and no job is lost.
 TEST(Simulation, SlowStateServiceIsNotOverloaded) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     std::vector<PlannedFault> plan{{15'000, Fault::state_slow, 0, 40'000},
@@ -73,7 +72,7 @@
   }
 }
 
-// Over a thousand machines, a wave of them taken, all controllers down, a zone cut.
+// Over a thousand machines: a wave of preemptions, a crash of all controllers, a zone partitioned.
 TEST(Simulation, AThousandMachines) {
   Options o = planned_faults(3, {{12'000, Fault::spot_wave, 0, 0},
                                  {16'000, Fault::all_controllers_crash, 0, 0},
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -1,5 +1,5 @@
-// Links between controllers, workers and the state service that are down in one direction, for one
-// pair of ends, or by turns. PROTOCOL's rules are checked at every step.
+// Partial partitions: links between controllers, workers and the state service that are down in one
+// direction, for one pair of ends, or flap. Invariants are checked at every step.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -45,7 +45,7 @@
   return o;
 }
 
-// No rule is broken and all comes to an end.
+// No invariant is violated and all jobs end.
 Result run(const Options& o) {
   Result r = SimulatedCluster(o).run();
   EXPECT_THAT(r, has_no_violations()) << "seed " << o.seed;
@@ -54,8 +54,8 @@
   return r;
 }
 
-// Of all runs together, sorted: for each worker the time until a controller's word reached it.
-struct Unserved {
+// Of all runs together, sorted: for each worker the time until its next contact with a controller.
+struct Failovers {
   std::vector<Ms> times;
 
   void add(const Result& r) {
@@ -65,70 +65,70 @@
   Ms at_percent(std::size_t percent) const { return times.at(times.size() * percent / 100); }
 };
 
-// The part of a controller that can't reach its workers is served by others within two report
-// intervals (1 s each) and a second.
+// The shard of a controller that can't reach its workers fails over within two heartbeat intervals
+// (1 s each) and a second.
 TEST(PartialCuts, WorkersOfAnUnreachableControllerFailOverSoon) {
-  Unserved unserved;
+  Failovers failovers;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const auto& name = seed % 2 == 0 ? kFirst : kSecond;
     const Result r = run(with_cuts(seed, both({kCutAt, kCutLasts, name, kWorkers})));
     EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
-    EXPECT_EQ(r.views, 3 + 2) << "seed " << seed;  // given up once, taken back once
-    unserved.add(r);
+    EXPECT_EQ(r.views, 3 + 2) << "seed " << seed;  // one failover, one failback
+    failovers.add(r);
   }
-  EXPECT_LE(unserved.at_percent(95), 3000);
-  EXPECT_LE(unserved.times.back(), 3500);
+  EXPECT_LE(failovers.at_percent(95), 3000);
+  EXPECT_LE(failovers.times.back(), 3500);
 }
 
-// The same while only reports get lost: commands are answered, but no lease is renewed.
+// The same while only heartbeats are lost: commands are answered, but no lease is renewed.
 TEST(PartialCuts, HeartbeatsLostOneWay) {
-  Unserved unserved;
+  Failovers failovers;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kWorkers, kSecond}}));
     EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
-    unserved.add(r);
+    failovers.add(r);
   }
-  EXPECT_LE(unserved.at_percent(95), 3000);
+  EXPECT_LE(failovers.at_percent(95), 3000);
 }
 
-// And while reports arrive, but neither answers nor commands do.
+// The same while heartbeats arrive, but neither replies nor commands do.
 TEST(PartialCuts, RepliesAndCommandsLostOneWay) {
-  Unserved unserved;
+  Failovers failovers;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kSecond, kWorkers}}));
     EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
-    unserved.add(r);
+    failovers.add(r);
   }
-  EXPECT_LE(unserved.at_percent(95), 3500);
+  EXPECT_LE(failovers.at_percent(95), 3500);
 }
 
-// A controller reaches some of its workers and not those of one zone: peers that do pass commands
-// and reports on, so that neither the machines nor what runs on them is lost.
+// A controller reaches some of its workers and not those of one zone: peers that do relay
+// commands and heartbeats, so that neither the machines nor their tasks are lost.
 TEST(PartialCuts, ZoneOfAShardIsServedThroughPeers) {
   const std::vector<std::vector<LinkCut>> cuts{
       both({kCutAt, kCutLasts, kFirst, "workers/c"}),
       {{kCutAt, kCutLasts, "workers/c", kFirst}},
       {{kCutAt, kCutLasts, kFirst, "workers/c"}},
   };
-  Unserved unserved;
+  Failovers failovers;
   int returned = 0, lost = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     for (const auto& cut : cuts) {
       Options o = with_cuts(seed, cut);
       o.relays = true;
-      o.lease_s = 10;  // a worker's first try at another controller takes up to six seconds
+      o.lease_s = 10;  // a worker tries another controller after up to six seconds
       const Result r = run(o);
-      unserved.add(r);
+      failovers.add(r);
       returned += r.running_tasks_returned;
       lost += r.lease_expiries;
     }
   }
-  EXPECT_LE(unserved.times.back(), 8000);
+  EXPECT_LE(failovers.times.back(), 8000);
   EXPECT_EQ(returned, 0);
   EXPECT_EQ(lost, 0);
 }
 
-// The link to the workers comes and goes every few seconds: one takeover a minute at most.
+// The link to the workers flaps every few seconds: one failover a minute at most.
 TEST(PartialCuts, FlappingLinkToWorkers) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Options o = with_cuts(seed, both({kCutAt, kFiveMinutes, kSecond, kWorkers, 2000, 5000}));
@@ -150,8 +150,9 @@
   }
 }
 
-// The state service carries out what a controller asks, and its answers are lost: it can neither
-// read nor write, and must not keep its place by renewals that it never hears of.
+// The state service executes a controller's calls, and its replies are lost: the controller can
+// neither read nor write, and must not stay in the view by renewals whose replies it never
+// receives.
 TEST(PartialCuts, ControllerWithoutRepliesLeavesTheView) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kState, kSecond}}));
@@ -160,8 +161,8 @@
   }
 }
 
-// Two controllers lose the state service. One of them doesn't hear the third, which has it, and
-// learns of that through the other: its users go to the third, and to no other place.
+// Two controllers are partitioned from the state service. One of them doesn't receive gossip of the
+// third, which reaches it, and learns of that through the other: users move to the third.
 TEST(PartialCuts, UsersMoveToControllersWithTheStateService) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     auto cuts = together(both({kCutAt, kCutLasts, kFirst, kState}),
@@ -174,7 +175,7 @@
   }
 }
 
-// Links between controllers alone are down: nobody is sent away and nothing is taken over.
+// Only links between controllers are down: all stay healthy and there is no failover.
 TEST(PartialCuts, LinksBetweenControllersAloneChangeNothing) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     const auto cuts = together(both({kCutAt, kCutLasts, kFirst, kThird}),
@@ -185,8 +186,8 @@
   }
 }
 
-// All controllers lose their workers: giving machines to one another would help nobody. As the
-// links come back some hear workers a second or two before others do.
+// All controllers are partitioned from their workers: a failover would not help. As the links are
+// restored, some receive heartbeats a second or two before others do.
 TEST(PartialCuts, NoFailoverOfUnreachableShards) {
   std::vector<LinkCut> cuts;
   for (const auto& name : {kFirst, kSecond, kThird})
@@ -197,8 +198,8 @@
   }
 }
 
-// Cuts of any links in any direction at any time, for any time, flapping or not, half of them with
-// random troubles besides; messages are passed on in two thirds. More seeds by SIM_SEEDS=1000.
+// Cuts of any links in any direction at any time, for any time, flapping or not; half of the runs
+// have random faults besides, two thirds relay messages. More seeds by SIM_SEEDS=1000.
 class AnyLinks : public testing::TestWithParam<std::uint64_t> {};
 
 std::vector<LinkCut> any_cuts(std::uint64_t seed, Ms until) {
@@ -262,21 +263,21 @@
     EXPECT_EQ(tasks_.size(), 2U);
   }
 
-  // The state service answers neither this controller nor its watch.
+  // The state service replies neither to this controller's calls nor to its watch.
   void cut_from_state() {
     lost_request_path_ = "/";
     run(3500);
   }
 
-  void hear_cancelled(const std::string& job) {
-    wire::GossipMessage hint;
-    hint.from = "puffin-1";
-    hint.incarnation = "b";
-    hint.epoch = 1;
-    hint.state_answers = true;
-    hint.sent_ms = static_cast<std::uint64_t>(now_);
-    hint.cancelled = {job};
-    controller_->on_peer(now_, encode(hint));
+  void receive_cancellation(const std::string& job) {
+    wire::GossipMessage gossip;
+    gossip.from = "puffin-1";
+    gossip.incarnation = "b";
+    gossip.epoch = 1;
+    gossip.state_answers = true;
+    gossip.sent_ms = static_cast<std::uint64_t>(now_);
+    gossip.cancelled = {job};
+    controller_->on_peer(now_, encode(gossip));
     pump();
   }
 
@@ -286,22 +287,22 @@
   }
 };
 
-// A cancellation that this controller can't read is told by a peer: the tasks are stopped.
+// A cancellation that this controller can't read arrives by gossip: the tasks are stopped.
 TEST_F(SingleControllerWithPeer, GossipedCancellationStopsTasks) {
   cut_from_state();
   ASSERT_EQ(running(), 2U);
-  hear_cancelled("req-000001");
+  receive_cancellation("req-000001");
   run(1500);
   EXPECT_EQ(running(), 0U);
 }
 
-// The word of a peer is worth nothing where the records can be read, and of jobs nobody knows.
+// Gossip is ignored while the records can be read, and so is that of unknown jobs.
 TEST_F(SingleControllerWithPeer, GossipCountsOnlyWithoutTheStateService) {
-  hear_cancelled("req-000001");
+  receive_cancellation("req-000001");
   run(1500);
   EXPECT_EQ(running(), 2U);
   cut_from_state();
-  hear_cancelled("req-000002");
+  receive_cancellation("req-000002");
   run(1500);
   EXPECT_EQ(running(), 2U);
 }
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -1,5 +1,5 @@
-// What users are told while answers of the state service overtake one another: once a user knows
-// that a job is accepted, done or cancelled, no controller gives that user an older answer.
+// Monotonic reads while replies of the state service overtake one another: once a user knows that a
+// job is accepted, done or cancelled, no controller gives that user an older state.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -19,7 +19,7 @@
 
 class SingleControllerReads : public SingleControllerTest {
  protected:
-  // Another job ends the watch that is open, so that the test holds the next one.
+  // Another job completes the open watch, so that the test delays the next one.
   void delay_watches() {
     executes_commands_ = true;
     ASSERT_EQ(heartbeat(50).status, 200);
@@ -32,12 +32,12 @@
     ASSERT_EQ(tasks_.size(), 2U);
   }
 
-  // What the state service answers a watch that is open at this moment.
+  // The state service replies to the watch that is open at this moment.
   void answer_watch() {
     state_.serve_watchers(now_, [](std::size_t) { return true; });
   }
 
-  // Lets time pass, in which no watch is answered.
+  // Lets time pass without replies to watches.
   bool placement_is_sent() {
     const auto sent = [this] {
       return std::any_of(delayed_replies_.begin(), delayed_replies_.end(),
@@ -82,7 +82,7 @@
   EXPECT_TRUE(says(cancelled, "withdrawn"));
 }
 
-// The answer to the write of a job is late; by then its user has cancelled it and been told so.
+// The reply to the write of a job is late; by then its user has a confirmed cancellation.
 TEST_F(SingleControllerReads, LateSubmissionReplyTellsTheCurrentState) {
   executes_commands_ = true;
   ASSERT_EQ(heartbeat(50).status, 200);
@@ -128,30 +128,29 @@
   o.gang_tenths = 1;
   o.state_rps = 120;
   o.planned_faults = {{3000, Fault::concurrent_reads, 0, 37'000}};
-  for (const Fault inject_fault : faults)
-    o.planned_faults.push_back({3000, inject_fault, 0, 37'000});
+  for (const Fault fault : faults) o.planned_faults.push_back({3000, fault, 0, 37'000});
   o.trace = trace_from_environment();
   return o;
 }
 
-// How many seeds break a rule.
+// How many seeds violate an invariant.
 int seeds_with_violations(const std::vector<std::uint64_t>& in_ci, const std::vector<Fault>& faults,
-                          bool random_troubles = false) {
+                          bool random_faults = false) {
   int violations = 0;
   for (const std::uint64_t seed : seed_list_or(in_ci)) {
     Options options = concurrent_reads(seed, faults);
-    options.faults = random_troubles;
+    options.faults = random_faults;
     const Result r = SimulatedCluster(options).run();
     EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
     EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
-    EXPECT_GT(r.concurrent_reads, random_troubles ? 10 : 100) << "seed " << seed;
+    EXPECT_GT(r.concurrent_reads, random_faults ? 10 : 100) << "seed " << seed;
     EXPECT_GT(r.cancelled, 20) << "seed " << seed;
     violations += r.violations.empty() ? 0 : 1;
   }
   return violations;
 }
 
-// Besides the first ones, seeds that told users of a cancellation and then that the job runs.
+// Besides the first ones, seeds in which users read "withdrawn" and then "running".
 TEST(Answers, StayMonotonicWithDelayedWatches) {
   EXPECT_EQ(seeds_with_violations({1, 2, 10, 21, 39, 51}, {Fault::watch_lags}), 0);
   EXPECT_EQ(seeds_with_violations({1, 2, 17, 23, 33, 39}, {Fault::state_reorders}), 0);
--- a/tests/record_split_test.cpp
+++ b/tests/record_split_test.cpp
@@ -60,7 +60,7 @@
   const auto pieces = split_to_fit(range, 2048);
   ASSERT_EQ(pieces.size(), 1U);
   EXPECT_EQ(encode(pieces[0]), encode(range));
-  EXPECT_EQ(split_to_fit(large_range(1, 1), 10).size(), 1U);  // nothing to cut
+  EXPECT_EQ(split_to_fit(large_range(1, 1), 10).size(), 1U);  // nothing to split
 }
 
 TEST(RangeSplit, TheLargestJobHasFewEnoughRanges) {
@@ -109,8 +109,8 @@
   EXPECT_FALSE(split_group(fleet_of(400), 3, limits));
 }
 
-// While a group is cut, what was heard of its machines stands in records of the former group, and
-// the two changes may be read in either order.
+// While a group is split, its machines' last contacts are in records of the former group, and the
+// two changes may be read in either order.
 TEST(MachineGroups, ContactsFollowTheirMachinesInEitherOrder) {
   const wire::ShardRecord::Contact heard{"n-1:1", 5, wire::MachineState::quarantined, 9};
   wire::FleetRecord fleet;
@@ -144,8 +144,8 @@
   }
 }
 
-// Large records that the former version has stored are cut once all controllers read the format,
-// and the limits may fall at any moment after that.
+// Large records that the former version has stored are split once all controllers read the format,
+// and the limits may drop at any moment after that.
 TEST_F(SingleControllerJobs, OversizedRecordsAreSplitBeforeLimitsDrop) {
   Settings lower = settings_;
   lower.stored_value_kb = 8;
--- a/tests/scale_sim_test.cpp
+++ b/tests/scale_sim_test.cpp
@@ -1,10 +1,9 @@
 // Fleets of four and six thousand machines on three and on five controllers, with the limits of a
 // large deployment: 150 requests and 20 changes a second, 16 changes a transaction.
 //
-// What is sampled at this size: rules that hold between starts (team limits, cancelled tasks,
-// leases of hanging machines) are looked at every 200 ms of simulated time instead of every 20, and
-// workers move on every 250 ms instead of 50. Every start, command and answer is checked as it
-// happens.
+// What is sampled at this size: invariants that hold between starts (quotas, cancelled tasks,
+// leases of hanging machines) are checked every 200 ms of simulated time instead of every 20, and
+// workers step every 250 ms instead of 50. Every start, command and reply is checked as it happens.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -74,7 +73,7 @@
   return r;
 }
 
-// Longer than a lease, so that every machine begins a new session.
+// Longer than a lease, so that every machine begins a new incarnation.
 TEST(LargeFleet, AllMachinesReconnectAfterAllControllersWereDown) {
   const Result r =
       run_large(large_fleet(4000, 3, {{20'000, Fault::all_controllers_down, 0, 35'000}}));
@@ -95,13 +94,13 @@
   EXPECT_GE(r.machines_known, r.machines * 99 / 100);
 }
 
-// It comes back while its machines are handed over, and ends again within a second.
+// A controller restarts during the failover of its shard, and crashes again within a second.
 TEST(LargeFleet, ControllerReturnsDuringFailoverAndCrashesAgain) {
   run_large(large_fleet(6000, 3, {{20'000, Fault::failback, 1, 6000}}));
 }
 
-// A controller is cut from the state service while much changes, and the service forgets changes
-// soon: the whole state is read again while it goes on changing.
+// A controller is partitioned from the state service while much changes, and the service forgets
+// changes soon: the whole state is read again while it goes on changing.
 TEST(LargeFleet, StateIsReloadedWhileItChanges) {
   Options o = large_fleet(
       4000, 3,
@@ -114,7 +113,7 @@
 // The same with a service that keeps them all, so that the answer is larger than what is taken in.
 TEST(LargeFleet, OversizedWatchReplyIsReadInPages) {
   Options o = large_fleet(4000, 3, {{20'000, Fault::cut_from_state, 0, 40'000}});
-  o.memory_mb = 4;  // a mebibyte of one answer
+  o.memory_mb = 4;  // a mebibyte for one reply
   o.state_writes_per_s = 200;
   o.job_every_ms = 150;
   o.largest_array = 600;
@@ -122,8 +121,8 @@
   EXPECT_GT(r.oversized_replies, 0);
 }
 
-// An array of 100,000 tasks: the fleet grows from 400 to some 4,000 machines for it, and is given
-// back.
+// An array of 100,000 tasks: the fleet scales out from 400 to some 4,000 machines for it, and in
+// again.
 TEST(LargeFleet, AHundredThousandTasksGrowTheFleetTenfold) {
   Options o = large_fleet(400, 3);
   o.cloud_capacity = 680;
@@ -135,7 +134,7 @@
   // Some four minutes of the array, then a fleet that shrinks by a thirtieth a second.
   o.recovery_ms = 620'000;
   o.until_finished = false;
-  // At 20 changes a second the array takes seven minutes; here it is the fleet that is looked at.
+  // At 20 changes a second the array takes seven minutes; this test is about the fleet.
   o.state_writes_per_s = 60;
   o.worker_step_ms = 500;
   o.check_every_ms = 500;
@@ -146,7 +145,7 @@
 
 TEST(LargeFleet, SpotPreemptionWaveTakesAThird) {
   Options o = large_fleet(4000, 5, {{25'000, Fault::spot_wave, 0, 0}});
-  o.spot_every = 1;  // all of them: the wave takes a third of the spot machines
+  o.spot_every = 1;  // all of them: the wave preempts a third of the spot machines
   run_large(o);
 }
 
@@ -154,7 +153,7 @@
   run_large(large_fleet(4000, 5, {{20'000, Fault::zone_cut, 0, 45'000}}));
 }
 
-// Of the controllers, the one that coordinates most.
+// The one controller is the leader of most duties.
 TEST(LargeFleet, StateServiceRefusesOneDuringAThousandCancellations) {
   Options o = large_fleet(4000, 5, {{74'000, Fault::state_refuses_one, 0, 20'000}});
   o.job_every_ms = 60;
--- a/tests/services_sim_test.cpp
+++ b/tests/services_sim_test.cpp
@@ -1,5 +1,5 @@
-// Services in seeded runs: under troubles, while the limits of the state service drop, and while
-// controllers of two versions serve side by side.
+// Services in seeded runs: under faults, while the limits of the state service drop, and during a
+// rolling upgrade.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,28 +26,28 @@
   return o;
 }
 
-void expect_rules_hold(const Result& r, std::uint64_t seed) {
+void expect_invariants_hold(const Result& r, std::uint64_t seed) {
   EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
   EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
   EXPECT_GT(r.services, 0) << "seed " << seed;
 }
 
-// Share of the time in calm in which replicas ran, of that in which there was room.
+// Share of the time in which replicas ran, of that in which there was capacity for them.
 double served(const Result& r) {
   return r.replica_s_due ? static_cast<double>(r.replica_s_served) / r.replica_s_due : 0;
 }
 
-TEST(Services, RunUntilCancelledOnAQuietDay) {
+TEST(Services, RunUntilCancelledWithoutFaults) {
   Options o = with_services(7);
   o.faults = false;
   const Result r = SimulatedCluster(o).run();
-  expect_rules_hold(r, o.seed);
+  expect_invariants_hold(r, o.seed);
   EXPECT_GT(r.services, 8);
   EXPECT_GT(r.replica_s_due, 500);
   EXPECT_GT(served(r), 0.95);
 }
 
-// A third of the replicas end by themselves, done or in error.
+// A third of the replicas exit by themselves, done or in error.
 TEST(Services, EndedReplicasRunAgain) {
   int ended = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
@@ -56,25 +56,25 @@
     o.faults = false;
     o.replicas_ending = 0.33;
     const Result r = SimulatedCluster(o).run();
-    expect_rules_hold(r, seed);
+    expect_invariants_hold(r, seed);
     EXPECT_GE(r.replica_restarts, r.replicas_ended / 2) << "seed " << seed;
     ended += r.replicas_ended;
   }
   EXPECT_GT(ended, 50);
 }
 
-class ServicesUnderTroubles : public testing::TestWithParam<std::uint64_t> {};
+class ServicesUnderRandomFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(ServicesUnderTroubles, InvariantsHoldAndAllJobsEnd) {
+TEST_P(ServicesUnderRandomFaults, InvariantsHoldAndAllJobsEnd) {
   Options o = with_services(GetParam());
   if (o.seed % 3 == 0) o.longest_task_s = 30;
   const Result r = SimulatedCluster(o).run();
-  expect_rules_hold(r, o.seed);
+  expect_invariants_hold(r, o.seed);
   EXPECT_EQ(r.oversized_txns, 0);
 }
 
 // More seeds than CI runs, by SIM_SEEDS=200.
-INSTANTIATE_TEST_SUITE_P(Seeds, ServicesUnderTroubles,
+INSTANTIATE_TEST_SUITE_P(Seeds, ServicesUnderRandomFaults,
                          testing::Range<std::uint64_t>(1, seeds_or(20) + 1));
 
 TEST(Services, RunOnAsMachinesDie) {
@@ -89,18 +89,18 @@
     if (seed % 2 == 0) add_periodic_faults(o, Fault::spot_wave, 20'000, 20'000, 0);
     if (seed % 3 == 0) add_periodic_faults(o, Fault::preemption_notice, 12'000, 5'000, 0);
     const Result r = SimulatedCluster(o).run();
-    expect_rules_hold(r, seed);
+    expect_invariants_hold(r, seed);
     restarts += r.replica_restarts;
   }
   EXPECT_GT(restarts, 30);
 }
 
-// Where workers report every 5 s a dead machine was asked after 7 s and returned after 11 s, and
-// its replicas were begun on others that had died with it. Machines with replicas are asked sooner,
-// and replicas go to machines that were heard lately.
+// With a heartbeat interval of 5 s a dead machine was probed after 7 s and returned after 11 s, and
+// its replicas were started on others that had died with it. Machines with replicas are probed
+// sooner, and replicas are placed on machines with a recent contact.
 TEST(Services, RestartSoonDespiteRareHeartbeats) {
-  int back = 0;
-  Ms away_ms = 0;
+  int recovered = 0;
+  Ms downtime_ms = 0;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
     if (skips_seed(seed)) continue;
     Options o = with_services(seed);
@@ -115,18 +115,18 @@
     for (const Ms after : {0, 300, 600})
       add_periodic_faults(o, Fault::machine_dies, 20'000 + after, 25'000, 0);
     const Result r = SimulatedCluster(o).run();
-    expect_rules_hold(r, seed);
-    back += r.replicas_recovered;
-    away_ms += r.replica_downtime_ms;
+    expect_invariants_hold(r, seed);
+    recovered += r.replicas_recovered;
+    downtime_ms += r.replica_downtime_ms;
   }
-  ASSERT_GT(back, 100);
-  EXPECT_LT(away_ms / back, 8500) << back << " replicas";
+  ASSERT_GT(recovered, 100);
+  EXPECT_LT(downtime_ms / recovered, 8500) << recovered << " replicas";
 }
 
-// A zone that is cut off for less than a lease keeps its replicas: when the first of its machines
-// have left two messages unanswered, most others have not been asked yet. Some move all the same,
-// as a controller in the zone leaves the view: 37 and 40 of two versions in thirty runs; without
-// presumed_dead's look at the others 71 do.
+// A zone that is partitioned for less than a lease keeps its replicas: when the first of its
+// machines have left two messages unanswered, most others have not been asked yet. Some move all
+// the same, as a controller in the zone leaves the view: 37 and 40 of two versions in thirty runs;
+// without presumed_dead's look at the others 71 do.
 TEST(Services, ShortPartitionMovesFewReplicas) {
   int services = 0, restarts = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -141,7 +141,7 @@
     o.cloud_capacity = 12;
     o.planned_faults = {{45'000, Fault::zone_cut, seed % 3, 15'000}};
     const Result r = SimulatedCluster(o).run();
-    expect_rules_hold(r, seed);
+    expect_invariants_hold(r, seed);
     services += r.services;
     restarts += r.replica_restarts;
   }
@@ -159,7 +159,7 @@
     o.planned_faults = {{25'000, Fault::zone_cut, seed % 3, 40'000}};
     if (seed > 3) o.planned_faults.push_back({32'000, Fault::controller_crash, seed % 2, 0});
     const Result r = SimulatedCluster(o).run();
-    expect_rules_hold(r, seed);
+    expect_invariants_hold(r, seed);
     restarts += r.replica_restarts;
   }
   EXPECT_GT(restarts, 10);
@@ -176,7 +176,7 @@
     o.limit_cpus = 80;
     add_periodic_faults(o, Fault::cancel_now, 15'000, 13'000, 2'000 + 900 * static_cast<Ms>(seed));
     const Result r = SimulatedCluster(o).run();
-    expect_rules_hold(r, seed);
+    expect_invariants_hold(r, seed);
     hanging += r.hangs_during_cancellation;
   }
   EXPECT_GT(hanging, 30);
@@ -212,7 +212,7 @@
   }
   if (o.seed > 2) o.planned_faults = {{70'000, Fault::all_controllers_crash, 0, 0}};
   const Result r = SimulatedCluster(o).run();
-  expect_rules_hold(r, o.seed);
+  expect_invariants_hold(r, o.seed);
   EXPECT_EQ(r.oversized_txns, 0);
   if (after_an_upgrade) {
     EXPECT_GT(r.oversized_at_upgrade, 0);
@@ -232,17 +232,17 @@
   Options o = with_services(GetParam());
   o.services = 0.5;
   o.upgrade_from = 15'000;
-  // One after the other, or the second while the first comes back.
+  // One after the other, or the second while the first restarts.
   o.upgrade_every = o.seed % 3 == 0 ? 1'000 : 9'000;
   if (o.seed % 2 == 0) o.limits_drop_at = 80'000;
   const Result r = SimulatedCluster(o).run();
-  expect_rules_hold(r, o.seed);
+  expect_invariants_hold(r, o.seed);
   EXPECT_EQ(r.oversized_txns, 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Upgrade, testing::Range<std::uint64_t>(1, 13));
 
-// Controllers that end before or after their turn, and once between two turns all of them.
+// Controllers crash before or after their turn, and once between two turns all of them.
 TEST(Services, ControllersCrashDuringTheUpgrade) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     if (skips_seed(seed)) continue;
@@ -256,13 +256,13 @@
     if (seed % 2 == 0) o.planned_faults.push_back({29'000, Fault::all_controllers_crash, 0, 0});
     if (seed % 3 == 0) o.planned_faults.push_back({23'000, Fault::process_pause, seed % 2, 9'000});
     const Result r = SimulatedCluster(o).run();
-    expect_rules_hold(r, seed);
+    expect_invariants_hold(r, seed);
   }
 }
 
-// ---- the referee ----
+// ---- the invariant checker ----
 
-Options quiet_services() {
+Options services_without_faults() {
   Options o = with_services(1);
   o.faults = false;
   o.fault_ms = 50'000;
@@ -271,7 +271,7 @@
 }
 
 TEST(ServiceInvariantChecker, DetectsServicesReportedDone) {
-  Options o = quiet_services();
+  Options o = services_without_faults();
   o.services = 1;
   o.forge_reply = [](const Request& r, Ms now, int& status, std::string& body) {
     if (r.method != "GET" || status != 200 || now < 30'000) return;
@@ -282,7 +282,7 @@
 }
 
 TEST(ServiceInvariantChecker, DetectsReplicasNotRestarted) {
-  Options o = quiet_services();
+  Options o = services_without_faults();
   o.replicas_ending = 0.1;
   EXPECT_EQ(runs_with_violations(o, "service_down", 3), 0);
   o.replicas_ending = 1;
@@ -291,7 +291,7 @@
 }
 
 TEST(ServiceInvariantChecker, DetectsServicesOverTheirQuota) {
-  Options o = quiet_services();
+  Options o = services_without_faults();
   o.services = 1;
   o.forge_reply = [](const Request& r, Ms, int& status, std::string& body) {
     if (r.path != "/v1/jobs" || status != 422) return;
@@ -303,7 +303,7 @@
 
 TEST(ServiceInvariantChecker, DetectsRefusedServicesThatCanRun) {
   for (const int refusal : {400, 422}) {
-    Options o = quiet_services();
+    Options o = services_without_faults();
     o.forge_reply = [refusal](const Request& r, Ms, int& status, std::string&) {
       if (r.path == "/v1/jobs" && r.body.find("\"daemon\"") != std::string::npos && status == 201)
         status = refusal;
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -27,7 +27,7 @@
 
 // ---- submissions ----
 
-TEST_F(SingleControllerJobs, AServiceIsReadAndBadOnesAreRefused) {
+TEST_F(SingleControllerJobs, InvalidServicesAreRefused) {
   const std::string good = service_body("req-000001");
   wire::JobSpec spec;
   EXPECT_EQ(wire::parse_job(good, spec), "");
@@ -49,16 +49,15 @@
   start_anew(limited);
   const std::uint64_t more = post(service_body("req-000001", 4));
   const std::uint64_t just = post(service_body("req-000002", 3));
-  const std::uint64_t partitioned =
-      post(replaced(service_body("req-000003", 2), R"("scatter":false)",
-                    R"("scatter":true)"));  // there is one zone
+  const std::uint64_t spread = post(replaced(service_body("req-000003", 2), R"("scatter":false)",
+                                             R"("scatter":true)"));  // there is one zone
   run(500);
   EXPECT_EQ(status(more), 422);
   EXPECT_EQ(status(just), 201);
-  EXPECT_EQ(status(partitioned), 422);
+  EXPECT_EQ(status(spread), 422);
 }
 
-// Before every configured controller announces the format, at once and with a time to come back.
+// Until every configured controller announces the format, they are refused with a time to retry.
 TEST_F(SingleControllerJobs, ServicesAreUnavailableUntilAllControllersReadThem) {
   Settings with_peer = settings_;
   with_peer.peers = {{"puffin-1", "a", "puffin-1:1"}};
@@ -94,7 +93,7 @@
   const std::uint64_t late = post(service_body("req-000003"));
   run(500);
   EXPECT_EQ(status(late), 201);
-  // It stays on, whoever comes back.
+  // The format stays in use, whichever version restarts.
   join(R"({"incarnation":"i1","epoch":1})");
   const std::uint64_t later = post(service_body("req-000004"));
   run(500);
@@ -163,21 +162,21 @@
 }
 
 TEST(FailureTracker, KeptResultIsAvoidedWithoutQuarantine) {
-  FailureTracker health;
+  FailureTracker tracker;
   const wire::TaskId replica{"req-000001", 3};
-  health.on_result_kept(1000, "m", replica);
-  EXPECT_TRUE(health.has_kept_result(1000 + 2 * kFailureMemoryMs, "m", replica));
-  EXPECT_FALSE(health.has_kept_result(1000, "m", {"req-000001", 4}));  // it would run there
-  EXPECT_FALSE(health.has_kept_result(1000, "m", {"req-000002", 3}));
-  EXPECT_FALSE(health.has_kept_result(1000, "n", replica));
-  health.on_early_exit(1000, "m", "req-000001");
-  health.on_early_exit(2000, "n", "req-000001");
-  EXPECT_GT(health.next_attempt_at("req-000001"), 2000);
-  health.on_stable("req-000001");
-  EXPECT_EQ(health.next_attempt_at("req-000001"), 0);
-  health.forget_job("req-000001");
-  EXPECT_FALSE(health.has_failed_on(3000, "m", "req-000001"));
-  EXPECT_FALSE(health.has_kept_result(3000, "m", replica));
+  tracker.on_result_kept(1000, "m", replica);
+  EXPECT_TRUE(tracker.has_kept_result(1000 + 2 * kFailureMemoryMs, "m", replica));
+  EXPECT_FALSE(tracker.has_kept_result(1000, "m", {"req-000001", 4}));  // it would run there
+  EXPECT_FALSE(tracker.has_kept_result(1000, "m", {"req-000002", 3}));
+  EXPECT_FALSE(tracker.has_kept_result(1000, "n", replica));
+  tracker.on_early_exit(1000, "m", "req-000001");
+  tracker.on_early_exit(2000, "n", "req-000001");
+  EXPECT_GT(tracker.next_attempt_at("req-000001"), 2000);
+  tracker.on_stable("req-000001");
+  EXPECT_EQ(tracker.next_attempt_at("req-000001"), 0);
+  tracker.forget_job("req-000001");
+  EXPECT_FALSE(tracker.has_failed_on(3000, "m", "req-000001"));
+  EXPECT_FALSE(tracker.has_kept_result(3000, "m", replica));
 }
 
 }  // namespace
--- a/tests/sim/measurements.cpp
+++ b/tests/sim/measurements.cpp
@@ -7,13 +7,13 @@
 namespace scheduler::sim {
 
 void SimulatedCluster::count_served() {
-  constexpr Ms kBeginWithin = 240'000;  // PROTOCOL's additions: four minutes
+  constexpr Ms kBeginWithin = 240'000;  // PROTOCOL: four minutes
   std::map<std::string, std::vector<const SubmittedJob*>> classes;
   for (const auto& [id, j] : jobs_) {
-    // Those of the last minutes may well be on their way.
+    // Jobs of the last minutes may well be running.
     if (!j.accepted || j.fails_everywhere) continue;
     if (j.spec.is_service()) {
-      // It has been served when its user, who no longer needs it, has been told that it is over.
+      // A service has been served when its user has the confirmation of its cancellation.
       auto& [all, over] = result_.served["services"];
       ++all;
       over += j.told_cancelled ? 1 : 0;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -1,4 +1,4 @@
-// Seeded runs of three cores in a world of troubles; PROTOCOL's rules are checked at every step.
+// Seeded runs of three controllers under faults. Invariants are checked at every step.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace scheduler::sim {
 namespace {
 
-TEST(Simulation, QuietDayEverythingIsDone) {
+TEST(Simulation, AllJobsCompleteWithoutFaults) {
   Options o;
   o.seed = 42;
   o.faults = false;
@@ -19,8 +19,8 @@
   EXPECT_GT(r.gangs_done, 3);
 }
 
-// Half of all requests are executed again up to 15 s later.
-TEST(Simulation, RepeatedRequestsBreakNothing) {
+// Half of all POST calls are executed a second time, up to 15 s later.
+TEST(Simulation, DuplicatedRequestsViolateNoInvariant) {
   int saved = 0, spread = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Options o;
@@ -31,14 +31,14 @@
     saved += r.checkpointed_stops;
     spread += r.spread_done;
   }
-  // That the runs do cover preemption with saving, and jobs spread over zones.
+  // That the runs do cover preemption with checkpoints, and jobs spread over zones.
   EXPECT_GT(saved, 0);
   EXPECT_GT(spread, 0);
 }
 
-// A controller with workers and nothing else must send users elsewhere; in an outage that all share
-// nobody can serve better, so all stay.
-TEST(Simulation, HealthTellsIsolationFromOutage) {
+// A controller that reaches nothing but its workers must send users elsewhere; in an outage that
+// all share no other controller could serve them, so all stay healthy.
+TEST(Simulation, HealthDistinguishesIsolationFromOutage) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const Result alone =
         SimulatedCluster(
@@ -48,7 +48,7 @@
     EXPECT_THAT(alone, has_no_unfinished_jobs());
     EXPECT_EQ(alone.isolated_healthy, 0);
     EXPECT_GT(alone.isolated_unhealthy, 10);
-    // Nobody is left to take over, so nothing shows a newer view.
+    // No controller is left for a failover, so none learns of a newer view.
     const Result each =
         SimulatedCluster(planned_faults(seed, {{20'000, Fault::controller_isolated, 0, 40'000},
                                                {20'000, Fault::controller_isolated, 1, 40'000},
@@ -65,9 +65,9 @@
   }
 }
 
-// Reports alone do not make a machine fit for work.
+// Heartbeats alone do not make a machine eligible for tasks: it must be reachable.
 TEST(Simulation, UnreachableMachinesGetNothingNew) {
-  int deaf_starts = 0, starts = 0;
+  int starts_on_unreachable = 0, starts = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     std::vector<PlannedFault> plan;
     for (Ms at = 10'000; at < 60'000; at += 6000)
@@ -75,15 +75,15 @@
     const Result r = SimulatedCluster(planned_faults(seed, plan)).run();
     EXPECT_THAT(r, has_no_violations());
     EXPECT_THAT(r, has_no_unfinished_jobs());
-    deaf_starts += r.starts_on_unreachable;
+    starts_on_unreachable += r.starts_on_unreachable;
     starts += r.starts;
   }
-  EXPECT_EQ(deaf_starts, 0);
+  EXPECT_EQ(starts_on_unreachable, 0);
   EXPECT_GT(starts, 100);
 }
 
-// Copies of reports up to three leases old reach any controller, while machines come back with low
-// counters and controllers come back at once.
+// Copies of heartbeats up to three leases old reach any controller, while machines restart with
+// reset counters and controllers restart at once.
 TEST(Simulation, DuplicateHeartbeatsAndQuickRestarts) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     std::vector<PlannedFault> plan;
@@ -99,9 +99,9 @@
   }
 }
 
-// A controller stands still for longer than a lease while its clocks run on, alone or with a crash
-// of another. On waking it takes nothing for silent, acts on nothing it knew, and returns no
-// machine.
+// A controller is paused for longer than a lease while its clocks go on, alone or with a crash of
+// another. When it resumes it takes no machine for dead, acts on nothing it knew before, and
+// returns no machine.
 TEST(Simulation, ProcessPauseIsNotMistakenForSilence) {
   for (std::uint64_t seed = 1; seed <= 9; ++seed) {
     const Ms lasts = seed % 3 == 0 ? 4000 : 12'000 + 4000 * static_cast<Ms>(seed % 3);
@@ -110,7 +110,7 @@
     if (seed % 2 == 0) plan.push_back({24'000, Fault::controller_crash, (seed + 1) % 3, 0});
     if (seed % 3 == 1) plan.push_back({22'000, Fault::duplicate_heartbeats, 0, 20'000});
     Options o = planned_faults(seed, plan);
-    o.failing_jobs = 0;  // two of them would condemn a machine
+    o.failing_jobs = 0;  // two of them would quarantine a machine
     const Result r = SimulatedCluster(o).run();
     EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
     EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
@@ -118,7 +118,7 @@
   }
 }
 
-// Nobody else is left to look after the machines: what the controller missed is its own absence.
+// No other controller is left to serve the machines: missing heartbeats are due to the pauses.
 TEST(Simulation, AllProcessesPause) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const Ms lasts = seed % 2 == 0 ? 5000 : 14'000;
@@ -133,8 +133,8 @@
   }
 }
 
-// A zone cut off from everything. Without a controller inside its tasks end by their leases, and
-// their work begins elsewhere as soon as that is provable, not when the cut ends.
+// One zone is partitioned from everything. Without a controller inside, its tasks end as their
+// leases expire, and start elsewhere as soon as that is provable, not when the partition ends.
 TEST(Simulation, ZonesPartitionedFromEverything) {
   int lost = 0, back = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -156,8 +156,8 @@
   EXPECT_GE(2 * back, lost);
 }
 
-// What is cancelled while a controller is cut off together with its machines is gone in time: it
-// renews their leases only as long as that allows.
+// Tasks that are cancelled while a controller is partitioned together with its machines end in
+// time: it renews their leases only as long as that allows.
 TEST(Simulation, CancelledWhilePartitionedStopsInTime) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const auto n = seed % 3;
@@ -168,7 +168,7 @@
     o.machines = 18;
     o.cloud_capacity = 9;
     o.limit_cpus = 400;
-    o.cancel_all_at = 26'500;  // after others have taken over
+    o.cancel_all_at = 26'500;  // after the failover
     const Result r = SimulatedCluster(o).run();
     EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
     EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
@@ -176,7 +176,8 @@
   }
 }
 
-// An outage that all share, longer than renewing alone would last: nothing is lost by leases.
+// An outage of the state service that all share, longer than a controller alone would go on
+// renewing leases: no lease expires.
 TEST(Simulation, SharedOutageEndsNoTask) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Options o = planned_faults(seed, {{20'000, Fault::state_outage, 0, 60'000}});
@@ -187,7 +188,7 @@
   }
 }
 
-// Waves of spot machines, rolling restarts, refused links and bursts, two and three at a time.
+// Preemptions of spot machines, rolling restarts, refused links and bursts, two or three at a time.
 TEST(Simulation, FleetFaultsTogether) {
   const Fault kinds[] = {Fault::spot_wave, Fault::rolling_restart, Fault::peers_refuse,
                          Fault::job_burst, Fault::process_pause,   Fault::state_slow};
@@ -199,7 +200,7 @@
     plan.push_back({40'000, Fault::controller_crash, seed % 3, 0});
     Options o = planned_faults(seed, plan);
     // Two bursts draw more work for the team with a limit than that allows within 700 s (seed 11:
-    // 26,800 CPU seconds for 40 CPUs, besides what is begun again).
+    // 26,800 CPU seconds for 40 CPUs, besides tasks that restart).
     o.recovery_ms = 1'400'000;
     o.until_finished = true;
     const Result r = SimulatedCluster(o).run();
@@ -208,12 +209,12 @@
   }
 }
 
-// Found by these runs: a job bound to one zone, divided into as many ranges as one may have, with
-// tasks left to a part without machines there.
+// Found by these runs: a job bound to one zone, split into as many ranges as one may have, with
+// tasks left to a shard without machines there.
 TEST(Simulation, WorkIsStolenFromShardsThatCannotRunIt) {
   Options o;
   o.seed = 108;
-  o.random_faults_before = Fault::late_writes;  // the troubles of when it was found
+  o.random_faults_before = Fault::late_writes;  // the faults of when it was found
   o.longest_task_s = 30;
   o.recovery_ms = 700'000;
   const Result r = SimulatedCluster(o).run();
