--- a/src/allocation/pass_trigger.h
+++ b/src/allocation/pass_trigger.h
@@ -7,7 +7,7 @@
 class PassTrigger {
  public:
   void request() { requested_ = true; }
-  bool requested() const { return requested_; }
+  [[nodiscard]] bool requested() const { return requested_; }
   void clear() { requested_ = false; }
 
  private:
--- a/src/allocation/placement.h
+++ b/src/allocation/placement.h
@@ -35,7 +35,7 @@
   std::vector<std::string> images;  // known to be there or on their way
   std::vector<Booked> booked;
 
-  bool fits(const wire::JobSpec& job) const;
+  [[nodiscard]] bool fits(const wire::JobSpec& job) const;
   // True when the task's image was not counted yet.
   bool book(const wire::JobSpec& job, Ms ends_at);
   // Takes the last booking back.
--- a/src/allocation/range_table.h
+++ b/src/allocation/range_table.h
@@ -38,9 +38,9 @@
 
   // The task can be placed: neither done nor placed nor being placed. What is proven gone, though
   // not recorded yet, is recorded together with its next placement.
-  bool is_unstarted(const wire::RangeRecord& range, std::uint32_t task) const;
+  [[nodiscard]] bool is_unstarted(const wire::RangeRecord& range, std::uint32_t task) const;
   // Tasks of the range that could be placed now.
-  std::size_t open_tasks(const wire::RangeRecord& range) const;
+  [[nodiscard]] std::size_t open_tasks(const wire::RangeRecord& range) const;
 };
 
 // Owns the state of every range that this controller works on.
@@ -54,24 +54,24 @@
   RangeState& operator[](const RangeId& id) { return ranges_[id]; }
   Map::iterator begin() { return ranges_.begin(); }
   Map::iterator end() { return ranges_.end(); }
-  Map::const_iterator begin() const { return ranges_.begin(); }
-  Map::const_iterator end() const { return ranges_.end(); }
+  [[nodiscard]] Map::const_iterator begin() const { return ranges_.begin(); }
+  [[nodiscard]] Map::const_iterator end() const { return ranges_.end(); }
   Map::iterator find(const RangeId& id) { return ranges_.find(id); }
-  Map::const_iterator find(const RangeId& id) const { return ranges_.find(id); }
+  [[nodiscard]] Map::const_iterator find(const RangeId& id) const { return ranges_.find(id); }
   // Forgets ranges that have no record any more and nothing under way.
   void erase_unrecorded();
 
   // The task is proven to be gone from its machine; `done`: it has completed.
   void release_task(const TaskRef& ref, std::uint64_t attempt, bool done);
-  bool is_released(const TaskRef& ref, std::uint64_t attempt) const;
+  [[nodiscard]] bool is_released(const TaskRef& ref, std::uint64_t attempt) const;
   // What was held for proven of a machine's tasks and is not recorded. Guards against a controller
   // back from a partition that releases what its count of a lease said, while the next owner kept
   // that lease: the task ran on, and was started elsewhere. The owner of now proves it again.
   void discard_unrecorded_releases(const std::string& machine);
   // What the team uses, with the placements that are being written. `recorded`: by the records.
-  Usage usage_with_pending(const std::string& team, Usage recorded) const;
+  [[nodiscard]] Usage usage_with_pending(const std::string& team, Usage recorded) const;
   // Ranges whose record is being written, or may be.
-  std::size_t writes_in_flight() const;
+  [[nodiscard]] std::size_t writes_in_flight() const;
 
  private:
   const Context& context_;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -35,7 +35,8 @@
 
 int main(int argc, char** argv) {
   CLI::App app{"cluster-scheduler: one controller of a cluster"};
-  std::string config, options_path;
+  std::string config;
+  std::string options_path;
   bool check = false;
   app.add_option("--config", config, "Settings file (TOML) from the platform")->required();
   app.add_option("--options", options_path, "Operators' own options (TOML)")
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -40,7 +40,7 @@
   std::map<std::string, std::string> addresses;
   for (const auto& p : settings_.core.peers) addresses[p.name] = p.address;
   peers_ = std::make_unique<net::PeerLinks>(io, *net::parse_endpoint(settings_.peer_listen),
-                                            addresses, [this](std::string frame) {
+                                            addresses, [this](const std::string& frame) {
                                               controller_.on_peer(steady_ms(), frame);
                                               carry_out();
                                             });
--- a/src/base/log_event.h
+++ b/src/base/log_event.h
@@ -25,7 +25,7 @@
     return field(key, std::to_string(value));
   }
 
-  const std::string& text() const { return text_; }
+  [[nodiscard]] const std::string& text() const { return text_; }
 
  private:
   std::string text_;
--- a/src/base/resources.h
+++ b/src/base/resources.h
@@ -32,20 +32,20 @@
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
 
   // With this much free, whether so much can be taken.
-  bool fits(const Resources& demand) const {
+  [[nodiscard]] bool fits(const Resources& demand) const {
     return cpus + kAmountSlack >= demand.cpus && gpus + kAmountSlack >= demand.gpus &&
            memory_gb + kAmountSlack >= demand.memory_gb;
   }
   // At least as much of each.
-  bool covers(const Resources& other) const {
+  [[nodiscard]] bool covers(const Resources& other) const {
     return cpus >= other.cpus && gpus >= other.gpus && memory_gb >= other.memory_gb;
   }
   // Nothing but rounding.
-  bool negligible() const {
+  [[nodiscard]] bool negligible() const {
     return cpus <= kAmountSlack && gpus <= kAmountSlack && memory_gb <= kAmountSlack;
   }
   // The same, with nothing below zero.
-  Resources not_negative() const {
+  [[nodiscard]] Resources not_negative() const {
     return {std::max(0.0, cpus), std::max(0.0, gpus), std::max(0.0, memory_gb)};
   }
 };
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -82,7 +82,7 @@
   // A request of a user or a worker. Its reply, now or later, carries the same number.
   void on_request(Ms now, std::uint64_t request, const Request& r);
   // What came of a call.
-  void on_result(Ms now, std::uint64_t call, const HttpResult& http_result);
+  void on_result(Ms now, std::uint64_t id, const HttpResult& http_result);
   // A message of another controller.
   void on_peer(Ms now, std::string_view bytes);
   // When tick() should be called next, if nothing else happens.
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -13,9 +13,8 @@
 // read the records: about as long as such a partition lasts before their workers have gone
 // elsewhere.
 constexpr std::int64_t kGossipCancellationMs = 60'000;
-// Such jobs named in one gossip message, and jobs stopped on such a word.
+// Such jobs named in one gossip message.
 constexpr std::size_t kGossipedCancellations = 32;
-constexpr std::size_t kGossipedCancellationsMost = 1000;
 
 std::string_view text_of(links::Status status) {
   switch (status) {
--- a/src/controller/gossip.h
+++ b/src/controller/gossip.h
@@ -40,7 +40,7 @@
   void tick(Ms now);
   void on_message(Ms now, const wire::GossipMessage& message);
   // The job's records have changed: remembers it if it is cancelled now.
-  void remember_cancellation(Ms now, const std::string& job);
+  void remember_cancellation(Ms now, const std::string& id);
 
  private:
   wire::GossipMessage make_message(Ms now);
--- a/src/fleet/cloud_inventory.h
+++ b/src/fleet/cloud_inventory.h
@@ -35,17 +35,19 @@
   // lag, and is asked for anew.
   void on_pause(Ms now);
   // Whether a whole list has come since it was last forgotten.
-  bool known() const { return listed_at_ != 0; }
-  const links::RequestLink& link() const { return link_; }
-  bool contains(const std::string& id) const { return machines_.contains(id); }
-  const std::map<std::string, wire::CloudMachine>& machines() const { return machines_; }
+  [[nodiscard]] bool known() const { return listed_at_ != 0; }
+  [[nodiscard]] const links::RequestLink& link() const { return link_; }
+  [[nodiscard]] bool contains(const std::string& id) const { return machines_.contains(id); }
+  [[nodiscard]] const std::map<std::string, wire::CloudMachine>& machines() const {
+    return machines_;
+  }
 
  private:
   void read_page(Ms now, const std::string& after);
   void on_page(Ms now, std::uint64_t generation, const HttpResult& http_result);
   void finish(Ms now);
   // When the list may be read again, so that its pages take their share of the cloud's rate only.
-  Ms next_list_at(Ms now) const;
+  [[nodiscard]] Ms next_list_at(Ms now) const;
 
   const Context& context_;
   std::function<void(Ms)> complete_;
--- a/src/fleet/fleet_coordinator.h
+++ b/src/fleet/fleet_coordinator.h
@@ -32,12 +32,12 @@
   // This process was paused for `gap` milliseconds.
   void on_pause(Ms now, Ms gap);
   // The link to the cloud; known only while this controller is the fleet leader.
-  const links::RequestLink& cloud_link() const { return list_.link(); }
+  [[nodiscard]] const links::RequestLink& cloud_link() const { return list_.link(); }
 
  private:
-  bool is_leader() const { return context_.is_leader_of(kFleetDuty); }
-  std::vector<Demand> demand() const;
-  std::map<MachineKind, int> held() const;
+  [[nodiscard]] bool is_leader() const { return context_.is_leader_of(kFleetDuty); }
+  [[nodiscard]] std::vector<Demand> demand() const;
+  [[nodiscard]] std::map<MachineKind, int> held() const;
 
   void read_catalog(Ms now);
   void on_catalog(Ms now, const HttpResult& http_result);
--- a/src/fleet/fleet_record_writer.h
+++ b/src/fleet/fleet_record_writer.h
@@ -30,7 +30,7 @@
   // Asks for the record of a machine that is gone to be removed.
   void forget(const std::string& id);
   // Whether a change of the machine waits to be written.
-  bool pending(const std::string& id) const { return pending_.contains(id); }
+  [[nodiscard]] bool pending(const std::string& id) const { return pending_.contains(id); }
   // The cloud has answered a scale-out request; it is forgotten together with, or after, the
   // recording of the machines that it brought.
   void settle_scale_out(const std::string& name, std::set<std::string> machines);
@@ -47,10 +47,10 @@
     std::vector<std::string> scale_out_requests;  // that are forgotten with it
   };
 
-  std::size_t machines_per_group() const;
+  [[nodiscard]] std::size_t machines_per_group() const;
   bool split_large_group();
   void add_machines(Batch& batch) const;
-  std::uint32_t group_with_room(const Batch& batch, std::uint32_t first) const;
+  [[nodiscard]] std::uint32_t group_with_room(const Batch& batch, std::uint32_t first) const;
   wire::FleetRecord& group_of_batch(Batch& batch, std::uint32_t group) const;
   Transaction transaction_of(Batch& batch) const;
   void submit(Transaction transaction, std::function<void(Ms)> settled);
--- a/src/fleet/fleet_sizer.h
+++ b/src/fleet/fleet_sizer.h
@@ -37,10 +37,10 @@
   explicit FleetSizer(const Settings& settings) : settings_(settings) {}
 
   // Tasks of the job that have to run side by side for its objective.
-  double parallel(const Demand& demand) const;
+  [[nodiscard]] double parallel(const Demand& demand) const;
   // The cheapest allowed type that a task fits on; nullptr if none.
-  const wire::MachineType* type_for(const wire::JobSpec& job,
-                                    const std::vector<wire::MachineType>& catalog) const;
+  [[nodiscard]] const wire::MachineType* type_for(
+      const wire::JobSpec& job, const std::vector<wire::MachineType>& catalog) const;
   // A number of machines of a type that must be held, counting only those of the zone ("" for
   // any) and, if set, only ordinary ones.
   struct Need {
@@ -50,23 +50,23 @@
   };
   // Most specific first. Work that is free to go anywhere counts in the general needs, and work
   // that is not in all that it falls under.
-  std::vector<Need> needs(const std::vector<Demand>& demand,
-                          const std::vector<wire::MachineType>& catalog) const;
+  [[nodiscard]] std::vector<Need> needs(const std::vector<Demand>& demand,
+                                        const std::vector<wire::MachineType>& catalog) const;
   // What to rent now, at most a few requests per kind. `held` counts machines that are usable or on
   // their way; `refused` tells until when a kind is not asked for.
-  std::vector<wire::ScaleOutRequest> next_scale_out(Ms now, const std::vector<Demand>& demand,
-                                                    const std::vector<wire::MachineType>& catalog,
-                                                    const std::map<MachineKind, int>& held) const;
+  [[nodiscard]] std::vector<wire::ScaleOutRequest> next_scale_out(
+      Ms now, const std::vector<Demand>& demand, const std::vector<wire::MachineType>& catalog,
+      const std::map<MachineKind, int>& held) const;
   // Machines held beyond what is wanted, in total over zones, per type.
-  std::map<std::string, int> surplus(const std::vector<Demand>& demand,
-                                     const std::vector<wire::MachineType>& catalog,
-                                     const std::map<MachineKind, int>& held) const;
+  [[nodiscard]] std::map<std::string, int> surplus(const std::vector<Demand>& demand,
+                                                   const std::vector<wire::MachineType>& catalog,
+                                                   const std::map<MachineKind, int>& held) const;
   void on_refused(Ms now, const MachineKind& kind);
 
  private:
   struct ScaleOutPlan;
 
-  bool is_refused(Ms now, const MachineKind& kind) const;
+  [[nodiscard]] bool is_refused(Ms now, const MachineKind& kind) const;
   // Of these, the machines that count for the need.
   static double count_for(const Need& need, const std::map<MachineKind, int>& counts);
   // Which kind the next machine for the need is to be; none: no more may be asked for.
--- a/src/fleet/machine_groups.cpp
+++ b/src/fleet/machine_groups.cpp
@@ -23,7 +23,8 @@
   const std::size_t least = (machines.size() + limits.records - 1) / limits.records;
   const std::size_t each = std::max(limits.machines, least);
   FleetRecords out;
-  std::uint32_t target = group, unused = 0;
+  std::uint32_t target = group;
+  std::uint32_t unused = 0;
   for (const auto& [id, machine] : machines) {
     if (out[target].machines.size() >= each) {
       target = unused = next_unused(fleet, unused);
--- a/src/fleet/scale_out_requests.h
+++ b/src/fleet/scale_out_requests.h
@@ -29,7 +29,7 @@
   // Records a request; it is sent once the replica shows it.
   void request(wire::ScaleOutRequest request);
   // No request is recorded or being recorded.
-  bool idle() const {
+  [[nodiscard]] bool idle() const {
     return being_recorded_ == 0 && context_.replica.scale_out_requests().empty();
   }
   // The records of these requests have been removed.
--- a/src/history/checker.h
+++ b/src/history/checker.h
@@ -42,10 +42,10 @@
   // The history is complete: every accepted job must have its result.
   void finish(Ms at);
 
-  const std::vector<Finding>& findings() const { return findings_; }
+  [[nodiscard]] const std::vector<Finding>& findings() const { return findings_; }
   // Jobs accepted, and results recorded.
-  std::size_t accepted() const { return accepted_; }
-  std::size_t results() const { return results_; }
+  [[nodiscard]] std::size_t accepted() const { return accepted_; }
+  [[nodiscard]] std::size_t results() const { return results_; }
 
  private:
   enum class Result : std::uint8_t { done, cancelled };
@@ -66,7 +66,7 @@
   void on(Ms at, const TaskEnded& event);
   void on(Ms at, const ResultRecorded& event);
   void on(Ms at, const ResultRemoved& event);
-  void check_complete(Ms at, const std::string& job, const JobHistory& history);
+  void check_complete(Ms at, const std::string& id, const JobHistory& job);
   void found(Fault fault, Ms at, std::string what);
 
   std::map<std::string, JobHistory> jobs_;
--- a/src/jobs/job_cancellation.h
+++ b/src/jobs/job_cancellation.h
@@ -26,7 +26,7 @@
   // Replies to cancellations that are proven, or that can't be proven soon.
   void tick(Ms now);
   // Some request waits for the end of the job.
-  bool is_waited_for(const std::string& job) const { return pending_.contains(job); }
+  [[nodiscard]] bool is_waited_for(const std::string& job) const { return pending_.contains(job); }
 
  private:
   struct PendingCancellation {
@@ -34,16 +34,16 @@
     Ms deadline = 0;
   };
 
-  void cancel(Ms now, std::uint64_t request, const std::string& job, int tries);
-  void write_cancelled(Ms now, std::uint64_t request, const std::string& job, int tries);
+  void cancel(Ms now, std::uint64_t request, const std::string& id, int tries);
+  void write_cancelled(Ms now, std::uint64_t request, const std::string& id, int tries);
   // The cancellation is recorded. It is told as soon as the records say that nothing of the job is
   // left on any machine, which takes a stop and a write. What takes longer is told to come back: at
   // once when a machine of ours is known not to answer, or the state service does not.
-  void wait_until_cancelled(Ms now, std::uint64_t request, const std::string& job);
+  void wait_until_cancelled(Ms now, std::uint64_t request, const std::string& id);
   // Replies when the end of the job is known, whichever it is.
-  bool reply_if_cancelled(std::uint64_t request, const std::string& job);
+  bool reply_if_cancelled(std::uint64_t request, const std::string& id);
   // Whether the machines of ours that still have tasks of the job answer, as far as we know.
-  bool can_be_proven_soon(Ms now, const std::string& job) const;
+  [[nodiscard]] bool can_be_proven_soon(Ms now, const std::string& id) const;
 
   const Context& context_;
   JobReader& reader_;
--- a/src/jobs/job_reader.cpp
+++ b/src/jobs/job_reader.cpp
@@ -64,7 +64,7 @@
 }
 
 void JobReader::read_job(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
-                         OnJobRead on_job_read) {
+                         const OnJobRead& on_job_read) {
   // Final states never change, so the first one known is the answer.
   if (const auto* final_state = context_.replica.final_state(id)) {
     on_job_read(now, final_status(*final_state));
--- a/src/jobs/job_reader.h
+++ b/src/jobs/job_reader.h
@@ -40,14 +40,14 @@
   JobReader(const Context& context, const ControllerStatus& status, WaitingRequests& waiting)
       : context_(context), status_(status), waiting_requests_(waiting) {}
 
-  void on_poll(Ms now, std::uint64_t request, const std::string& job);
+  void on_poll(Ms now, std::uint64_t request, const std::string& id);
   // Reads the job as of now or later. Whoever cannot be told is answered 503 or 429 at once, or at
   // the deadline.
-  void read_job(Ms now, std::uint64_t request, const std::string& job, Ms deadline,
-                OnJobRead on_job_read);
+  void read_job(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
+                const OnJobRead& on_job_read);
   // Calls `then` once the replica is the job's state at the applied revision, with nothing newer.
   // At the deadline the request is answered 503 instead.
-  void wait_until_job_settled(Ms now, std::uint64_t request, const std::string& job, Ms deadline,
+  void wait_until_job_settled(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
                               const std::function<void(Ms now)>& then);
   // A cancellation is told once nothing of the job is left on any machine, by the records. Guards
   // against tasks that run on in a zone partitioned together with a controller, which renews their
@@ -55,15 +55,15 @@
   static wire::JobState state_of(const Job& job);
   static JobStatus final_status(const wire::FinalStateRecord& record);
   // For the log: which revision a reply about a job rests on.
-  void log_job_reply(const std::string& job, wire::JobState state) const;
+  void log_job_reply(const std::string& id, wire::JobState state) const;
   // Replies that have waited for the watch so far.
-  std::uint64_t replies_delayed() const { return replies_delayed_; }
+  [[nodiscard]] std::uint64_t replies_delayed() const { return replies_delayed_; }
 
  private:
   // What the replica holds of the job is settled.
-  void read_settled_job(Ms now, std::uint64_t request, const std::string& job,
+  void read_settled_job(Ms now, std::uint64_t request, const std::string& id,
                         const OnJobRead& on_job_read);
-  void on_final_state_read(Ms now, std::uint64_t request, const std::string& job,
+  void on_final_state_read(Ms now, std::uint64_t request, const std::string& id,
                            const HttpResult& http_result, const OnJobRead& on_job_read);
 
   const Context& context_;
--- a/src/jobs/job_submission.h
+++ b/src/jobs/job_submission.h
@@ -35,10 +35,11 @@
 
  private:
   // Why the job can't run; none: it can.
-  std::optional<AdmissionError> admission_error(const wire::JobSpec& spec) const;
-  std::optional<AdmissionError> placement_error(const wire::JobSpec& spec, std::size_t zones) const;
+  [[nodiscard]] std::optional<AdmissionError> admission_error(const wire::JobSpec& spec) const;
+  [[nodiscard]] std::optional<AdmissionError> placement_error(const wire::JobSpec& spec,
+                                                              std::size_t zones) const;
   // A service is submitted while some controller may be unable to read its record. Replies if so.
-  bool refuse_early_service(std::uint64_t request, const wire::JobSpec& spec) const;
+  [[nodiscard]] bool refuse_early_service(std::uint64_t request, const wire::JobSpec& spec) const;
   void reply_state(std::uint64_t request, const std::string& id, wire::JobState state) const;
   // The job is known, or can't be admitted unless it was accepted before.
   void reply_known_or_refuse(Ms now, std::uint64_t request, const std::string& id,
--- a/src/jobs/waiting_requests.h
+++ b/src/jobs/waiting_requests.h
@@ -11,9 +11,9 @@
  public:
   explicit WaitingRequests(const Context& context) : context_(context) {}
 
-  bool full() const { return count_ >= context_.capacity.waiting_requests; }
+  [[nodiscard]] bool full() const { return count_ >= context_.capacity.waiting_requests; }
   // If as many wait as may: answers this one 429 with Retry-After, and returns true.
-  bool shed_load(std::uint64_t request) const;
+  [[nodiscard]] bool shed_load(std::uint64_t request) const;
   void add() { ++count_; }
   void remove() { --count_; }
 
--- a/src/links/census.h
+++ b/src/links/census.h
@@ -11,7 +11,7 @@
   std::size_t heard = 0, unresponsive = 0;
 
   void add(bool is_heard) { ++(is_heard ? heard : unresponsive); }
-  bool mostly_responsive() const { return heard >= unresponsive; }
+  [[nodiscard]] bool mostly_responsive() const { return heard >= unresponsive; }
 };
 
 // Counted anew in each pass over the machines of this controller's part. Silence of a few is
@@ -22,8 +22,10 @@
   // Of those that are asked before their next report is overdue.
   std::map<std::string, ContactCount> probed_early;
 
-  const ContactCount& zone(const std::string& name) const { return of(zones, name); }
-  const ContactCount& early(const std::string& name) const { return of(probed_early, name); }
+  [[nodiscard]] const ContactCount& zone(const std::string& name) const { return of(zones, name); }
+  [[nodiscard]] const ContactCount& early(const std::string& name) const {
+    return of(probed_early, name);
+  }
 
  private:
   static const ContactCount& of(const std::map<std::string, ContactCount>& counts,
--- a/src/links/flap_damper.h
+++ b/src/links/flap_damper.h
@@ -15,10 +15,10 @@
   void failed(Ms now);
   // Milliseconds for which the link must have been up; 0 if it has not failed more often lately
   // than is free.
-  Ms steady_ms(Ms now) const;
+  [[nodiscard]] Ms steady_ms(Ms now) const;
 
  private:
-  double penalty_at(Ms now) const;
+  [[nodiscard]] double penalty_at(Ms now) const;
 
   double free_failures_;
   double penalty_ = 0;
--- a/src/links/matrix.h
+++ b/src/links/matrix.h
@@ -30,10 +30,10 @@
   // Takes a row in unless a newer one of that controller is known. `wall`: time of day now.
   void merge(Ms now, Ms wall, const wire::LinkRow& row);
   // Rows that are no older than `most_ms`.
-  std::vector<const Entry*> fresh(Ms wall, Ms most_ms) const;
-  const Entry* find(const std::string& controller) const;
+  [[nodiscard]] std::vector<const Entry*> fresh(Ms wall, Ms most_ms) const;
+  [[nodiscard]] const Entry* find(const std::string& controller) const;
   static Ms age(Ms wall, const wire::LinkRow& row);
-  std::size_t size() const { return entries_.size(); }
+  [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
   std::string own_;
--- a/src/links/monitor.h
+++ b/src/links/monitor.h
@@ -43,7 +43,7 @@
   void merge(const Moment& moment, const wire::LinkRow& row);
   // Links to the workers of a zone. Zones beyond a bound share one entry.
   ZoneLinks& zone(const std::string& name);
-  const std::map<std::string, ZoneLinks>& zones() const { return zones_; }
+  [[nodiscard]] const std::map<std::string, ZoneLinks>& zones() const { return zones_; }
   // So many workers of each zone report to this controller; none in zones that aren't named.
   void expect_workers(Ms now, const std::map<std::string, std::size_t>& by_zone);
   // Watches the link to the state service; to be called several times a second.
@@ -51,45 +51,47 @@
   void on_pause(Ms now);
 
   // ---- what the others are told ----
-  wire::LinkRow row(const Moment& moment) const;
+  [[nodiscard]] wire::LinkRow row(const Moment& moment) const;
   // Our own row and those of others that are fresh.
-  std::vector<wire::LinkRow> rows_to_spread(const Moment& moment) const;
-  const Matrix& matrix() const { return matrix_; }
-  Status peer(Ms now, const std::string& name) const;
+  [[nodiscard]] std::vector<wire::LinkRow> rows_to_spread(const Moment& moment) const;
+  [[nodiscard]] const Matrix& matrix() const { return matrix_; }
+  [[nodiscard]] Status peer(Ms now, const std::string& name) const;
 
   // ---- decisions ----
   // Whether users should be sent here, as far as the link to the state service goes.
-  Decision may_serve_users(const Moment& moment) const;
+  [[nodiscard]] Decision may_serve_users(const Moment& moment) const;
   // Whether to go on owning machines. `others`: who could own them instead.
-  Decision may_keep_machines(const Moment& moment, const std::vector<std::string>& others) const;
+  [[nodiscard]] Decision may_keep_machines(const Moment& moment,
+                                           const std::vector<std::string>& others) const;
   // After machines were given up: whether to own them again.
-  Decision may_reclaim_machines(Ms now) const;
+  [[nodiscard]] Decision may_reclaim_machines(Ms now) const;
   void on_machines_given_up(Ms now);
   // Result of a round of probes while machines are given up.
   void probed_while_given_up(Ms now, bool answered);
   // After being removed from the view: whether to join it again. `others_live`: somebody else
   // serves meanwhile.
-  Decision may_join(Ms now, bool others_live) const;
+  [[nodiscard]] Decision may_join(Ms now, bool others_live) const;
   void removed_from_view(Ms now);
   void joined_view() { out_of_view_ = false; }
   // Whether workers of a zone that are silent count as dead. `quiet`: how long this one is silent.
-  Decision may_declare_dead(const Moment& moment, const std::string& zone, const Census& census,
-                            Ms quiet) const;
+  [[nodiscard]] Decision may_declare_dead(const Moment& moment, const std::string& zone,
+                                          const Census& census, Ms quiet) const;
   // Remembers which zones are mostly silent; to be called with each census.
   void note_census(Ms now, const Census& census);
   // The controller that should pass a message on to a worker of the zone, if any may reach it.
-  std::optional<std::string> relay_to(const Moment& moment, const std::string& zone) const;
+  [[nodiscard]] std::optional<std::string> relay_to(const Moment& moment,
+                                                    const std::string& zone) const;
   // Whether reports of workers of the zone should be passed on to their owner, which doesn't hear
   // them, instead of sending the workers there.
-  bool should_forward(const Moment& moment, const std::string& owner,
-                      const std::string& zone) const;
+  [[nodiscard]] bool should_forward(const Moment& moment, const std::string& owner,
+                                    const std::string& zone) const;
   // Whether the owner reaches workers of the zone, so that one may try whether reports arrive
   // again.
-  bool commands_arrive(const std::string& owner, const std::string& zone) const;
+  [[nodiscard]] bool commands_arrive(const std::string& owner, const std::string& zone) const;
 
  private:
   // A fresh row whose controller is known to reach the workers of the zone, or may.
-  bool may_reach(const wire::LinkRow& row, const std::string& zone) const;
+  [[nodiscard]] bool may_reach(const wire::LinkRow& row, const std::string& zone) const;
   // The controller has heard workers after our links to those zones went down, or knows none.
   static bool heard_since(const Moment& moment, const Matrix::Entry& entry,
                           const std::vector<std::string>& zones, Ms since_wall);
--- a/src/links/phi_detector.cpp
+++ b/src/links/phi_detector.cpp
@@ -41,7 +41,8 @@
   if (last_heard_ == 0) return 0;
   const double y = (static_cast<double>(now - last_heard_) - mean()) / spread();
   // A logistic function that is within 0.02% of the normal distribution (Bowling et al., 2009).
-  constexpr double kCubic = 0.070566, kLinear = 1.5976;
+  constexpr double kCubic = 0.070566;
+  constexpr double kLinear = 1.5976;
   const double exponent = y * (kLinear + kCubic * y * y);
   // log10 of 1 + e^x, without overflow for large x.
   const double log_of_sum =
--- a/src/links/phi_detector.h
+++ b/src/links/phi_detector.h
@@ -19,13 +19,13 @@
   // This process stood still: silence counts from now on.
   void on_pause(Ms now);
   // Minus the decimal logarithm of the probability that a message still comes; 0 if none ever came.
-  double suspicion(Ms now) const;
-  Status status(Ms now) const;
-  Ms last_heard() const { return last_heard_; }
+  [[nodiscard]] double suspicion(Ms now) const;
+  [[nodiscard]] Status status(Ms now) const;
+  [[nodiscard]] Ms last_heard() const { return last_heard_; }
 
  private:
-  double mean() const;
-  double spread() const;
+  [[nodiscard]] double mean() const;
+  [[nodiscard]] double spread() const;
 
   double expected_;
   std::array<double, kIntervals> intervals_{};
--- a/src/links/request_link.h
+++ b/src/links/request_link.h
@@ -23,17 +23,19 @@
   }
 
   // The last word was an answer, and it is not old.
-  bool answering(Ms now) const {
+  [[nodiscard]] bool answering(Ms now) const {
     return last_answer_ > 0 && last_answer_ >= last_failure_ && now - last_answer_ < kSilentMs;
   }
   // Nothing at all comes, not even a refusal.
-  bool silent(Ms now) const { return now - std::max(last_answer_, last_refusal_) >= kSilentMs; }
-  Status status(Ms now) const {
+  [[nodiscard]] bool silent(Ms now) const {
+    return now - std::max(last_answer_, last_refusal_) >= kSilentMs;
+  }
+  [[nodiscard]] Status status(Ms now) const {
     if (last_answer_ == 0 && last_failure_ == 0) return Status::unknown;
     return answering(now) ? Status::up : Status::down;
   }
-  Ms last_answer() const { return last_answer_; }
-  Ms last_word() const { return std::max(last_answer_, last_failure_); }
+  [[nodiscard]] Ms last_answer() const { return last_answer_; }
+  [[nodiscard]] Ms last_word() const { return std::max(last_answer_, last_failure_); }
 
  private:
   Ms last_answer_ = 0;   // any real answer; 0: never
--- a/src/links/zone_links.h
+++ b/src/links/zone_links.h
@@ -25,20 +25,20 @@
   void suspect_commands() { suspected_ = true; }
   void on_pause(Ms now);
 
-  Status reports(Ms now) const;
-  Status commands(Ms now) const;
+  [[nodiscard]] Status reports(Ms now) const;
+  [[nodiscard]] Status commands(Ms now) const;
   // Both directions work, as far as anybody knows.
-  bool usable(Ms now) const;
+  [[nodiscard]] bool usable(Ms now) const;
   // A sample of workers should be probed now.
-  bool probe_due(Ms now) const;
+  [[nodiscard]] bool probe_due(Ms now) const;
   void probe_sent(Ms now) { probed_at_ = now; }
-  Ms last_heartbeat() const { return last_heartbeat_; }
-  std::size_t workers() const { return workers_; }
+  [[nodiscard]] Ms last_heartbeat() const { return last_heartbeat_; }
+  [[nodiscard]] std::size_t workers() const { return workers_; }
 
  private:
-  Ms silent_for(Ms now) const;
+  [[nodiscard]] Ms silent_for(Ms now) const;
   // Milliseconds without a report after which so many workers count as silent.
-  Ms silence_limit(std::size_t workers) const;
+  [[nodiscard]] Ms silence_limit(std::size_t workers) const;
 
   Ms heartbeat_interval_;
   std::size_t workers_ = 0;
--- a/src/membership/context.h
+++ b/src/membership/context.h
@@ -48,29 +48,29 @@
   void reply_unavailable(std::uint64_t request, int retry_after_s) const;
 
   // Condition that nothing has changed in the view since it was last read.
-  wire::Compare view_unchanged() const {
+  [[nodiscard]] wire::Compare view_unchanged() const {
     return state_client.unchanged(std::string(wire::kViewKey));
   }
   // Whether this incarnation is a member of the view.
-  bool is_member() const;
+  [[nodiscard]] bool is_member() const;
   // Whether this controller is the one that carries out the duty.
-  bool is_leader_of(std::string_view duty) const {
+  [[nodiscard]] bool is_leader_of(std::string_view duty) const {
     return cluster_view.leader_of(duty) == settings.name;
   }
   // Bytes that a value may take, now and after an announced change of the limits.
-  double value_bytes() const { return settings.value_kb * 1024.0; }
+  [[nodiscard]] double value_bytes() const { return settings.value_kb * 1024.0; }
   // Bytes that a value written by the former version may take; ours may too until all controllers
   // run the new one.
-  double stored_value_bytes() const {
+  [[nodiscard]] double stored_value_bytes() const {
     const double now = services_enabled() ? 0.0 : settings.stored_value_kb * 1024.0;
     return std::max(now, value_bytes());
   }
   // Whether services may be accepted: every controller reads their records.
-  bool services_enabled() const { return replica.format() >= wire::kServiceFormat; }
+  [[nodiscard]] bool services_enabled() const { return replica.format() >= wire::kServiceFormat; }
   // The team, or nullptr if the settings don't name it.
-  const Team* team(const std::string& name) const;
+  [[nodiscard]] const Team* team(const std::string& name) const;
   // Lines of level debug are built only if this is true.
-  bool logs_debug() const { return settings.log_debug; }
+  [[nodiscard]] bool logs_debug() const { return settings.log_debug; }
   // Logs a decision that rests on the links, with its evidence.
   void log_decision(std::string_view subject, const links::Decision& decision) const;
 };
--- a/src/membership/controller_status.h
+++ b/src/membership/controller_status.h
@@ -19,13 +19,13 @@
   explicit ControllerStatus(const Context& context) : context_(context) {}
 
   // In the view, and every record has been read.
-  bool ready() const;
+  [[nodiscard]] bool ready() const;
   // Whether transactions may be submitted.
-  bool can_write(Ms now) const {
+  [[nodiscard]] bool can_write(Ms now) const {
     return ready() && context_.state_client.answering(now) && resynchronised();
   }
   // A newer view exists that this controller can't read: whoever it names gives the commands now.
-  bool deposed(Ms now) const;
+  [[nodiscard]] bool deposed(Ms now) const;
 
   // ---- process pauses ----
   // Takes note of an input. The milliseconds since the last one if they mean that the process had
@@ -38,29 +38,29 @@
   void finish_resynchronising() { resynchronising_until_ = 0; }
   // Paused, and not heard yet from the state service what changed meanwhile; for a while only, then
   // the state service counts as out of reach.
-  bool resynchronising(Ms now) const {
+  [[nodiscard]] bool resynchronising(Ms now) const {
     return resynchronising_until_ != 0 && now < resynchronising_until_;
   }
-  bool resynchronised() const { return resynchronising_until_ == 0; }
+  [[nodiscard]] bool resynchronised() const { return resynchronising_until_ == 0; }
   // Pauses so far. What was asked before the last one says nothing about now.
-  std::uint64_t pauses() const { return pauses_; }
-  Ms last_input_at() const { return last_input_at_; }
+  [[nodiscard]] std::uint64_t pauses() const { return pauses_; }
+  [[nodiscard]] Ms last_input_at() const { return last_input_at_; }
 
   // ---- clocks ----
   void start(Ms now, Ms wall);
   void set_wall_clock(Ms now, Ms wall) { wall_offset_ = wall - now; }
   // Time of day, milliseconds.
-  Ms wall(Ms now) const { return now + wall_offset_; }
-  links::Moment moment(Ms now) const { return {now, wall(now)}; }
+  [[nodiscard]] Ms wall(Ms now) const { return now + wall_offset_; }
+  [[nodiscard]] links::Moment moment(Ms now) const { return {now, wall(now)}; }
   // Seconds since a time of day, such as that of a submission.
-  double age_s(Ms now, std::int64_t since_wall) const {
+  [[nodiscard]] double age_s(Ms now, std::int64_t since_wall) const {
     return static_cast<double>(wall(now) - since_wall) / 1000.0;
   }
 
   // ---- epochs ----
   // Takes note of an epoch that a heartbeat or a gossip message names.
   void see_epoch(std::uint64_t epoch) { newest_epoch_seen_ = std::max(newest_epoch_seen_, epoch); }
-  std::uint64_t newest_epoch_seen() const { return newest_epoch_seen_; }
+  [[nodiscard]] std::uint64_t newest_epoch_seen() const { return newest_epoch_seen_; }
 
  private:
   const Context& context_;
--- a/src/membership/format_switch.h
+++ b/src/membership/format_switch.h
@@ -28,11 +28,11 @@
  private:
   // The newest format that every configured controller reads; kFirstFormat while one of them is not
   // in the view or has not announced any.
-  std::uint32_t supported() const;
+  [[nodiscard]] std::uint32_t supported() const;
   // The write that records a newer format than is recorded now, if all controllers support one. Its
   // conditions are the view and every live record that it rests on.
-  std::optional<Transaction> propose() const;
-  std::vector<std::string> configured_controllers() const;
+  [[nodiscard]] std::optional<Transaction> propose() const;
+  [[nodiscard]] std::vector<std::string> configured_controllers() const;
 
   const Context& context_;
   bool write_in_flight_ = false;
--- a/src/membership/membership_manager.h
+++ b/src/membership/membership_manager.h
@@ -31,14 +31,14 @@
   void remove_expired_members(Ms now);
   void remove(const std::string& name, const std::string& incarnation);
   // This controller's own record, which carries its lease.
-  wire::Write live_record(std::uint64_t epoch) const;
-  std::string live_key() const;
+  [[nodiscard]] wire::Write live_record(std::uint64_t epoch) const;
+  [[nodiscard]] std::string live_key() const;
   // Milliseconds that a member's lease must have been missing before this controller removes it:
   // longer for each live controller that comes before it, so that one of them writes.
-  Ms removal_delay() const;
+  [[nodiscard]] Ms removal_delay() const;
 
   // Some other controller of the view holds its lease.
-  bool others_live() const;
+  [[nodiscard]] bool others_live() const;
 
   const Context& context_;
   links::Monitor& links_;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -215,7 +215,7 @@
   });
 }
 
-void HttpClient::send(Request request, Done done) {
+void HttpClient::send(const Request& request, Done done) {
   auto& idle = idle_[request.address];
   while (!idle.empty()) {
     auto connection = idle.back();
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -41,7 +41,7 @@
   HttpClient(asio::io_context& io, const Limits& limits);
   ~HttpClient();
   // Never calls `done` before it returns.
-  void send(Request request, Done done);
+  void send(const Request& request, Done done);
 
  private:
   class Connection;
--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -24,7 +24,8 @@
                            double lack) {
   const auto told = r.service_demand.find(self);
   const double before = told == r.service_demand.end() ? 0.0 : told->second.*field;
-  const bool lacks = lack > kAmountSlack, lacked = before > kAmountSlack;
+  const bool lacks = lack > kAmountSlack;
+  const bool lacked = before > kAmountSlack;
   if (lacks == lacked && lack <= before + kAmountSlack) return false;
   r.service_demand[self].*field = lack;
   return true;
@@ -48,7 +49,8 @@
       changed = true;
     }
   }
-  double granted = 0, others_want = 0;
+  double granted = 0;
+  double others_want = 0;
   for (const auto& [who, grant] : r.leases) granted += grant.*field;
   for (const auto& [who, want] : r.demand)
     if (who != in.self) others_want += want.*field;
--- a/src/quota/quota_manager.h
+++ b/src/quota/quota_manager.h
@@ -37,15 +37,15 @@
   // Demand is counted anew in each scheduling pass.
   void clear_demand() { demand_.clear(); }
   // The team's record is being written: its lease may just be shrinking.
-  bool write_in_flight(const std::string& team) const;
-  std::size_t writes_in_flight() const;
+  [[nodiscard]] bool write_in_flight(const std::string& team) const;
+  [[nodiscard]] std::size_t writes_in_flight() const;
   // Looks at all leases, and writes what is to change.
   void tick(Ms now);
 
  private:
   void update_team(Ms now, const Team& team);
   // Whether there is anything to look at.
-  bool needs_update(const Team& team, const wire::QuotaRecord& record) const;
+  [[nodiscard]] bool needs_update(const Team& team, const wire::QuotaRecord& record) const;
   // What the next record follows from.
   QuotaLeaseInput lease_input(Ms now, const Team& team, const wire::QuotaRecord& record);
   // Our lease is too small for all that waits, for so long that it is given to whose turn it is.
--- a/src/quota/service_reserve.h
+++ b/src/quota/service_reserve.h
@@ -16,7 +16,7 @@
 
   // Counts it anew; once a scheduling pass.
   void recount();
-  Usage of(const std::string& team) const;
+  [[nodiscard]] Usage of(const std::string& team) const;
 
  private:
   const Context& context_;
--- a/src/scheduling/array_placement.cpp
+++ b/src/scheduling/array_placement.cpp
@@ -13,10 +13,8 @@
 // Seconds of an image's fetch from which on machines that have the image are sampled first: as long
 // as a short task runs. Two samples of hundreds of machines hardly ever meet one that has it.
 constexpr double kLongFetchS = 20.0;
-// Seconds after which a job that has nothing started goes before all others with its first tasks,
-// and how many in each range. The largest must begin within 240 s (four minutes); starts take
-// seconds, but more than one such job may be due at once.
-constexpr double kBeginWithinS = 120.0;
+// Tasks of each range with which a job begins that goes before all others since it has nothing
+// started.
 constexpr std::uint32_t kTasksToBegin = 8;
 
 }  // namespace
--- a/src/scheduling/pending_order.cpp
+++ b/src/scheduling/pending_order.cpp
@@ -44,9 +44,11 @@
   enum class Outlook : std::uint8_t { in_time, late, misses_every_objective };
 
   // Seconds from now by which the job's tasks must have started for the objective it is to meet.
-  double due(std::size_t job) const { return jobs_[job].latest_starts[objective_[job]]; }
+  [[nodiscard]] double due(std::size_t job) const {
+    return jobs_[job].latest_starts[objective_[job]];
+  }
 
-  std::vector<std::size_t> jobs_in_time() const {
+  [[nodiscard]] std::vector<std::size_t> jobs_in_time() const {
     std::vector<std::size_t> open;
     for (std::size_t job = 0; job < jobs_.size(); ++job)
       if (outlook_[job] == Outlook::in_time) open.push_back(job);
@@ -124,7 +126,7 @@
     }
   }
 
-  bool goes_before(std::size_t a, std::size_t b) const {
+  [[nodiscard]] bool goes_before(std::size_t a, std::size_t b) const {
     const PendingJob& x = jobs_[a];
     const PendingJob& y = jobs_[b];
     const bool x_misses = outlook_[a] == Outlook::misses_every_objective;
--- a/src/scheduling/preemption.h
+++ b/src/scheduling/preemption.h
@@ -58,10 +58,11 @@
                         const wire::JobSpec& more) const;
   Claim make_claim(SchedulingPass& pass, const wire::JobSpec& spec, bool is_urgent,
                    bool entitled) const;
-  std::vector<Victim> victims_on(Ms now, const Machine& machine, const Claim& claim) const;
+  [[nodiscard]] std::vector<Victim> victims_on(Ms now, const Machine& machine,
+                                               const Claim& claim) const;
   // The task as a victim, with what that loses; none if it may not be stopped.
-  std::optional<Victim> judge(Ms now, const Machine& machine, const TaskRef& ref,
-                              const Claim& claim) const;
+  [[nodiscard]] std::optional<Victim> judge(Ms now, const Machine& machine, const TaskRef& ref,
+                                            const Claim& claim) const;
   // The fewest of the victims that make the task fit; empty: none or too few.
   static std::vector<Victim> enough(const Candidate& candidate, std::vector<Victim> victims,
                                     const wire::JobSpec& spec);
--- a/src/scheduling/range_planner.h
+++ b/src/scheduling/range_planner.h
@@ -18,9 +18,9 @@
       : context_(context), status_(status) {}
 
   // Placements that fit into the record of a range of so many tasks, as a rule.
-  std::size_t max_placements(std::uint32_t tasks) const;
+  [[nodiscard]] std::size_t max_placements(std::uint32_t tasks) const;
   // Ranges of one job that are still divided further, so that one transaction can end it.
-  std::size_t max_ranges() const;
+  [[nodiscard]] std::size_t max_ranges() const;
   // The ranges that a new job is first given out in, by the free capacity and load of the shards.
   std::vector<wire::JobRecord::Share> split_into_ranges(const wire::JobSpec& spec);
   // The view has changed: machines have other owners.
@@ -49,7 +49,7 @@
   static ShardCapacities::iterator most_free(ShardCapacities& shards, const std::string& first);
   // The ranges of a job of which each shard was given so many tasks, none larger than its record
   // may become.
-  std::vector<wire::JobRecord::Share> limit_range_sizes(
+  [[nodiscard]] std::vector<wire::JobRecord::Share> limit_range_sizes(
       const wire::JobSpec& spec, const std::map<std::string, std::uint32_t>& given) const;
 
   const Context& context_;
--- a/src/scheduling/range_writer.h
+++ b/src/scheduling/range_writer.h
@@ -29,7 +29,7 @@
         random_(random) {}
 
   // With what is proven, every task of the range is done.
-  bool completes(const RangeId& id, const RangeState& state) const;
+  [[nodiscard]] bool completes(const RangeId& id, const RangeState& state) const;
   // Whether the range's changes are to be written now; `may_queue_writes`: writes can still be
   // asked for. That tasks ended can wait a little, to be written together: their capacity is free
   // already, and their machines list them until it is recorded.
@@ -38,17 +38,16 @@
   void write(const RangeId& id);
 
  private:
-  static bool record_completions(const wire::JobSpec& spec, RangeState& state,
+  static bool record_completions(const wire::JobSpec& spec, RangeState& work,
                                  wire::RangeRecord& record);
-  static bool record_stop(const wire::JobSpec& spec, const RangeState& state,
+  static bool record_stop(const wire::JobSpec& spec, const RangeState& work,
                           wire::RangeRecord& record);
   // Puts the chosen placements into the record, or takes them back if it is full. True if anything
   // has changed.
   bool add_placements(const Job& job, RangeState& state, wire::RangeRecord& record,
                       Transaction& transaction);
-  void fit_placements(const wire::JobSpec& spec, RangeState& state,
-                      const wire::RangeRecord& record);
-  void record_placements(const Job& job, const RangeState& state, wire::RangeRecord& record,
+  void fit_placements(const wire::JobSpec& spec, RangeState& work, const wire::RangeRecord& record);
+  void record_placements(const Job& job, const RangeState& work, wire::RangeRecord& record,
                          Transaction& transaction);
   bool write_pieces(const Job& job, const wire::RangeRecord& record, Transaction& transaction);
   void on_written(Ms now, const RangeId& id, TxnResult result);
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -23,11 +23,10 @@
 // old jobs have before all others.
 constexpr double kOldJobS = 180.0;
 constexpr double kOldShare = 0.2;
-// Seconds after which a job that has nothing started goes before all others with its first tasks,
-// and how many in each range. The largest must begin within 240 s (four minutes); starts take
-// seconds, but more than one such job may be due at once.
+// Seconds after which a job that has nothing started goes before all others with its first tasks.
+// The largest must begin within 240 s (four minutes); starts take seconds, but more than one such
+// job may be due at once.
 constexpr double kBeginWithinS = 120.0;
-constexpr std::uint32_t kTasksToBegin = 8;
 // Milliseconds for which a sum over the machines of the fleet is used again.
 constexpr std::int64_t kFleetCountMs = 1000;
 // Milliseconds between scheduling passes at most, for what becomes possible by time alone.
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -43,7 +43,7 @@
   // Runs a pass if one was asked for and enough time has gone by since the last.
   void run_if_requested(Ms now);
   // When tick() should be called next, given when it would be called anyway.
-  Ms next_tick(Ms now, Ms otherwise) const;
+  [[nodiscard]] Ms next_tick(Ms now, Ms otherwise) const;
 
  private:
   // A range with tasks to place.
@@ -65,7 +65,7 @@
   };
 
   void run_pass(Ms now);
-  Ms pass_interval() const;
+  [[nodiscard]] Ms pass_interval() const;
   SchedulingPass begin_pass(Ms now);
   void write(SchedulingPass& pass, const RangeId& id);
   // Ends of ranges first: users wait for them.
--- a/src/scheduling/scheduling_pass.h
+++ b/src/scheduling/scheduling_pass.h
@@ -29,7 +29,9 @@
   // against large tasks and gangs that wait for ever, since small ones take every bit of capacity
   // as it comes.
   void reserve(const wire::JobSpec& spec, std::size_t tasks);
-  Candidate& candidate(int index) const { return *candidates[static_cast<std::size_t>(index)]; }
+  [[nodiscard]] Candidate& candidate(int index) const {
+    return *candidates[static_cast<std::size_t>(index)];
+  }
 
   Ms now = 0;
   std::vector<Candidate*> candidates;  // usable machines of our shard, then others' if added
--- a/src/scheduling/service_placement.cpp
+++ b/src/scheduling/service_placement.cpp
@@ -23,7 +23,8 @@
   const wire::JobSpec& spec = job.record.spec;
   RangeState& state = ranges_[id];
   const std::size_t most = planner_.max_placements(range.end - range.begin);
-  std::uint32_t without_grant = 0, without_machine = 0;
+  std::uint32_t without_grant = 0;
+  std::uint32_t without_machine = 0;
   for (std::uint32_t task = range.begin; task < range.end; ++task) {
     if (!state.is_unstarted(range, task)) continue;
     if (pass.remaining_placements <= 0 ||
--- a/src/scheduling/service_placement.h
+++ b/src/scheduling/service_placement.h
@@ -63,9 +63,10 @@
   // against replicas that are begun on machines which have died together with the one they were on.
   int pick_local_for_replica(SchedulingPass& pass, ReplicaChoice choice);
   // Whether some machine on which the job has not failed is allowed, whatever its free capacity.
-  bool other_machine_left(const SchedulingPass& pass, const ReplicaChoice& choice) const;
-  std::vector<int> replica_candidates(const SchedulingPass& pass, const ReplicaChoice& choice,
-                                      bool local) const;
+  [[nodiscard]] bool other_machine_left(const SchedulingPass& pass,
+                                        const ReplicaChoice& choice) const;
+  [[nodiscard]] std::vector<int> replica_candidates(const SchedulingPass& pass,
+                                                    const ReplicaChoice& choice, bool local) const;
 
   const Context& context_;
   const MachineTable& machines_;
--- a/src/scheduling/task_assigner.h
+++ b/src/scheduling/task_assigner.h
@@ -28,9 +28,9 @@
   // with it already.
   void assign(SchedulingPass& pass, const TaskToPlace& task, int machine, bool booked);
   // Zones that the next task of the job may go to, of those of the pass.
-  std::set<std::string> zones_open(const SchedulingPass& pass, const Job& job) const;
+  [[nodiscard]] std::set<std::string> zones_open(const SchedulingPass& pass, const Job& job) const;
   // Machines that have a task of the job, or are to get one.
-  std::set<std::string> machines_of(const Job& job) const;
+  [[nodiscard]] std::set<std::string> machines_of(const Job& job) const;
 
  private:
   const Context& context_;
--- a/src/scheduling/work_stealing.h
+++ b/src/scheduling/work_stealing.h
@@ -40,7 +40,7 @@
   };
 
   // Whether tasks of the job may be taken over at all.
-  bool may_steal(Ms now, const std::string& id, const Job& job) const;
+  [[nodiscard]] bool may_steal(Ms now, const std::string& id, const Job& job) const;
   // The first range of the job that some of can be taken over.
   std::optional<Offer> find_offer(SchedulingPass& pass, const std::string& id, const Job& job);
   // Whether the range has waited for its owner for long enough.
--- a/src/state/barrier_reads.h
+++ b/src/state/barrier_reads.h
@@ -45,7 +45,7 @@
   // Guards against taking a revision from before a process pause for a current one: fails all.
   void on_pause(Ms now);
   // When the next request may be sent; kNever if none waits for that.
-  Ms next_tick(Ms now) const;
+  [[nodiscard]] Ms next_tick(Ms now) const;
 
  private:
   struct Waiter {
@@ -57,7 +57,7 @@
     Waiter waiter;
   };
 
-  bool may_send(Ms now) const { return !in_flight_ && now >= send_after_; }
+  [[nodiscard]] bool may_send(Ms now) const { return !in_flight_ && now >= send_after_; }
   void send(Ms now);
   void on_reply(Ms now, Ms sent, std::uint64_t pauses, std::vector<Waiter> batch,
                 const HttpResult& http_result);
--- a/src/state/rate_shares.h
+++ b/src/state/rate_shares.h
@@ -18,12 +18,16 @@
   // Live controllers, this one among them.
   void set_sharers(int controllers) { sharers_ = std::max(1, controllers); }
 
-  double writes_per_s() const { return settings_.state_write_rps / sharers_; }
+  [[nodiscard]] double writes_per_s() const { return settings_.state_write_rps / sharers_; }
 
   // Milliseconds from one request to the next of that purpose.
-  Ms between_watches() const { return interval(planned_requests_per_s() * kWatchShare); }
-  Ms between_barrier_reads() const { return interval(planned_requests_per_s() * kBarrierShare); }
-  Ms between_transactions() const {
+  [[nodiscard]] Ms between_watches() const {
+    return interval(planned_requests_per_s() * kWatchShare);
+  }
+  [[nodiscard]] Ms between_barrier_reads() const {
+    return interval(planned_requests_per_s() * kBarrierShare);
+  }
+  [[nodiscard]] Ms between_transactions() const {
     return interval(planned_requests_per_s() * (1.0 - kWatchShare - kBarrierShare));
   }
 
@@ -37,7 +41,9 @@
   // Requests a second that are made whatever the limits say.
   static constexpr double kLeastRate = 0.1;
 
-  double planned_requests_per_s() const { return settings_.state_rps / sharers_ * kPlannedShare; }
+  [[nodiscard]] double planned_requests_per_s() const {
+    return settings_.state_rps / sharers_ * kPlannedShare;
+  }
   static Ms interval(double per_s) { return static_cast<Ms>(1000.0 / std::max(per_s, kLeastRate)); }
 
   const Settings& settings_;
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -29,10 +29,10 @@
   // Sums over the ranges, kept up to date.
   std::uint64_t done = 0, placed = 0;
 
-  std::uint64_t done_tasks() const { return done; }
-  std::uint64_t placed_tasks() const { return placed; }
+  [[nodiscard]] std::uint64_t done_tasks() const { return done; }
+  [[nodiscard]] std::uint64_t placed_tasks() const { return placed; }
   // Every task belongs to a range held here, so nothing about the job is missing.
-  bool whole() const;
+  [[nodiscard]] bool whole() const;
 };
 
 // The replica of the stored records. Changes only by apply(), one record at a time and in any order
--- a/src/state/session_lease.h
+++ b/src/state/session_lease.h
@@ -28,8 +28,8 @@
   // A process pause may have lasted longer than the lease: it is renewed at the next tick.
   void on_pause(Ms now) { due_ = now; }
 
-  bool valid() const { return id_ != 0; }
-  std::uint64_t id() const { return id_; }  // 0: none
+  [[nodiscard]] bool valid() const { return id_ != 0; }
+  [[nodiscard]] std::uint64_t id() const { return id_; }  // 0: none
 
  private:
   void acquire(Ms now);
--- a/src/state/state_connection.h
+++ b/src/state/state_connection.h
@@ -38,11 +38,11 @@
   // the service counts as not answering until something asked from here on is answered.
   void on_pause(Ms now);
   // Process pauses so far. A request during which it has grown was sent before a pause.
-  std::uint64_t pauses() const { return pauses_; }
+  [[nodiscard]] std::uint64_t pauses() const { return pauses_; }
 
-  const links::RequestLink& link() const { return link_; }
+  [[nodiscard]] const links::RequestLink& link() const { return link_; }
   // No transaction is to be sent before that time.
-  Ms throttled_until() const { return throttled_until_; }
+  [[nodiscard]] Ms throttled_until() const { return throttled_until_; }
 
  private:
   void take_evidence(Ms now, Ms sent, std::uint64_t pauses, int status);
--- a/src/state/state_loader.h
+++ b/src/state/state_loader.h
@@ -30,10 +30,12 @@
   void on_applied();
 
   // The watch may be open: it starts where the first page was read.
-  bool pages_read() const { return phase_ == Phase::catching_up || phase_ == Phase::complete; }
+  [[nodiscard]] bool pages_read() const {
+    return phase_ == Phase::catching_up || phase_ == Phase::complete;
+  }
   // Guards against replies and decisions from pages that were read at different revisions: a job's
   // record from before its end, say, without the range that was removed with it.
-  bool complete() const { return phase_ == Phase::complete; }
+  [[nodiscard]] bool complete() const { return phase_ == Phase::complete; }
 
  private:
   enum class Phase : std::uint8_t {
--- a/src/state/transaction_group.h
+++ b/src/state/transaction_group.h
@@ -25,16 +25,16 @@
   // `max_writes`: the service's limit on one transaction.
   explicit TransactionGroup(std::size_t max_writes) : max_writes_(max_writes) {}
 
-  bool empty() const { return members_.empty(); }
-  std::size_t writes() const { return writes_; }
+  [[nodiscard]] bool empty() const { return members_.empty(); }
+  [[nodiscard]] std::size_t writes() const { return writes_; }
 
-  Addition measure(const Transaction& transaction) const;
+  [[nodiscard]] Addition measure(const Transaction& transaction) const;
   // Whether the group, with the addition, stays within the limits.
-  bool has_room_for(const Addition& addition) const;
+  [[nodiscard]] bool has_room_for(const Addition& addition) const;
   // Whether either must be sent without others.
-  bool excludes(const Transaction& transaction) const;
+  [[nodiscard]] bool excludes(const Transaction& transaction) const;
   // The transaction reads or writes what the group writes: it has to come after.
-  bool depends_on_group(const Transaction& transaction) const;
+  [[nodiscard]] bool depends_on_group(const Transaction& transaction) const;
   void add(Transaction transaction, const Addition& addition);
 
   // The members, in the order in which they were added; leaves the group empty.
--- a/src/state/transaction_queue.cpp
+++ b/src/state/transaction_queue.cpp
@@ -198,7 +198,8 @@
     return;
   }
   parts_.log.conflict(conflict->failed_keys);
-  std::vector<Transaction> conflicted, innocent;
+  std::vector<Transaction> conflicted;
+  std::vector<Transaction> innocent;
   for (auto& t : group)
     (has_failed(t, conflict->failed_keys) ? conflicted : innocent).push_back(std::move(t));
   // Guards against sending the same group for ever when the reply names no key that it compares.
--- a/src/state/transaction_queue.h
+++ b/src/state/transaction_queue.h
@@ -44,14 +44,14 @@
   // Sends what may be sent, and tells the results that are due.
   void tick(Ms now);
   // When the next group may be sent; kNever if none waits for that.
-  Ms next_tick(Ms now) const;
+  [[nodiscard]] Ms next_tick(Ms now) const;
 
-  std::size_t size() const { return queue_.size(); }
+  [[nodiscard]] std::size_t size() const { return queue_.size(); }
   // Nothing waits and enough of the write rate is left: what can wait may be written now.
-  bool has_write_headroom(Ms now) const;
+  [[nodiscard]] bool has_write_headroom(Ms now) const;
   // Replies that a transaction was over the limit on sizes, or on the rate of changes.
-  std::uint64_t rejections() const { return rejections_; }
-  std::uint64_t throttles() const { return throttles_; }
+  [[nodiscard]] std::uint64_t rejections() const { return rejections_; }
+  [[nodiscard]] std::uint64_t throttles() const { return throttles_; }
 
  private:
   // Whether a transaction can be sent with the group that is being formed.
@@ -69,8 +69,8 @@
   void flush(Ms now);
   void refuse_unsendable(Ms now, links::Status link);
   TransactionGroup form_group(std::vector<Transaction>& oversize);
-  Fit fit(const TransactionGroup& group, const Transaction& transaction,
-          const TransactionGroup::Addition& addition) const;
+  [[nodiscard]] Fit fit(const TransactionGroup& group, const Transaction& transaction,
+                        const TransactionGroup::Addition& addition) const;
   Transaction take(std::size_t index);
 
   void send(Ms now, std::vector<Transaction> group);
--- a/src/state/watch_stream.h
+++ b/src/state/watch_stream.h
@@ -32,10 +32,10 @@
   // Opens the watch again if it has ended or must be given up.
   void tick(Ms now);
   // When it may be opened; kNever while it is open.
-  Ms next_tick(Ms now) const;
+  [[nodiscard]] Ms next_tick(Ms now) const;
 
  private:
-  bool lost(Ms now) const;
+  [[nodiscard]] bool lost(Ms now) const;
   void open(Ms now);
   void on_reply(Ms now, std::uint64_t generation, std::uint64_t pauses,
                 const HttpResult& http_result);
--- a/src/state/write_budget.h
+++ b/src/state/write_budget.h
@@ -20,19 +20,19 @@
   void start(Ms now);
   void refill(Ms now);
   // Whether that many writes may be made now.
-  bool allows(std::size_t writes, Priority priority) const;
+  [[nodiscard]] bool allows(std::size_t writes, Priority priority) const;
   // Nearly a second's writes are left: even a transaction of more writes than that may go, since
   // waiting longer would not help it.
-  bool full() const;
+  [[nodiscard]] bool full() const;
   void take(std::size_t writes);
   // The service has throttled: nothing is left of this second.
   void drain();
   // Whether enough is left at that time for writes that can wait.
-  bool has_headroom(Ms now) const;
+  [[nodiscard]] bool has_headroom(Ms now) const;
 
  private:
   // Writes left, with what has been refilled by that time.
-  double available(Ms now) const;
+  [[nodiscard]] double available(Ms now) const;
 
   const RateShares& rates_;
   double tokens_ = 0;  // writes
--- a/src/wire/decode_error.h
+++ b/src/wire/decode_error.h
@@ -19,12 +19,12 @@
   std::string expected;  // "a JSON object", "a number that is not negative"
 
   // One line for the log.
-  std::string message() const {
+  [[nodiscard]] std::string message() const {
     return (field.empty() ? std::string() : field + ": ") + "expected " + expected;
   }
 
   // The same error, of a value that is itself the field or element `path` of a larger one.
-  DecodeError within(const std::string& path) const {
+  [[nodiscard]] DecodeError within(const std::string& path) const {
     return {field.empty() ? path : path + "." + field, expected};
   }
 };
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -55,9 +55,9 @@
   // Notes `field` as the error unless `holds`, if there was none before.
   FieldReader& require(bool holds, const char* field, std::string_view expected);
 
-  bool failed() const { return error_.has_value(); }
+  [[nodiscard]] bool failed() const { return error_.has_value(); }
   // Only if `failed()`.
-  const DecodeError& error() const { return *error_; }
+  [[nodiscard]] const DecodeError& error() const { return *error_; }
 
  private:
   const Json& object_;
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -62,8 +62,8 @@
   double checkpoint_write_s = 0;     // seconds that writing one takes
   std::optional<double> deadline_s;  // seconds from submission; none: no deadline
 
-  bool is_gang() const { return shape == JobShape::gang; }
-  bool is_service() const { return shape == JobShape::service; }
+  [[nodiscard]] bool is_gang() const { return shape == JobShape::gang; }
+  [[nodiscard]] bool is_service() const { return shape == JobShape::service; }
 };
 
 constexpr std::uint32_t kMaxTasks = 100'000;  // tasks; PROTOCOL, POST /v1/jobs
@@ -74,7 +74,7 @@
   std::string reason;  // "is missing or invalid"
 
   // "shape is missing or invalid": the text of the reply to the user.
-  std::string text() const { return field + " " + reason; }
+  [[nodiscard]] std::string text() const { return field + " " + reason; }
 };
 
 // Whether `id` is req- and 6 to 18 digits.
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -68,9 +68,9 @@
       error_ = DecodeError{std::string(key), expected_for(out)};
     return *this;
   }
-  bool failed() const { return error_.has_value(); }
+  [[nodiscard]] bool failed() const { return error_.has_value(); }
   // Only if `failed()`.
-  const DecodeError& error() const { return *error_; }
+  [[nodiscard]] const DecodeError& error() const { return *error_; }
 
  private:
   const cbor_item_t* map_;
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -107,8 +107,8 @@
   std::uint64_t next_attempt = 1;
   bool stopping = false;  // gang: every task is to be stopped together
 
-  std::uint32_t done_count() const;
-  bool complete() const { return done_count() == end - begin; }
+  [[nodiscard]] std::uint32_t done_count() const;
+  [[nodiscard]] bool complete() const { return done_count() == end - begin; }
 };
 std::string encode(const RangeRecord& record);
 // The range must not be empty, its bitmap has a hexadecimal digit for each four tasks, and every
--- a/src/workers/command_dispatcher.h
+++ b/src/workers/command_dispatcher.h
@@ -71,11 +71,13 @@
   };
   static constexpr double kUnbounded = 1e9;
 
-  ListedTask find_listed(const Machine& machine, const wire::TaskId& task,
-                         const ReportedTask& reported) const;
+  [[nodiscard]] ListedTask find_listed(const Machine& machine, const wire::TaskId& task,
+                                       const ReportedTask& reported) const;
   // Seconds that a listed task has to end; none: it may run on.
-  std::optional<double> grace_to_stop(const Machine& machine, const ListedTask& listed,
-                                      const wire::TaskId& task, const ReportedTask& reported) const;
+  [[nodiscard]] std::optional<double> grace_to_stop(const Machine& machine,
+                                                    const ListedTask& listed,
+                                                    const wire::TaskId& task,
+                                                    const ReportedTask& reported) const;
   // Adds the command to stop a listed task. True if its capacity is free soon.
   bool add_stop(const Machine& machine, const ListedTask& listed, const wire::TaskId& task,
                 const ReportedTask& reported, double grace_s, CommandPlan& plan) const;
@@ -90,7 +92,8 @@
   // anew once the machine has shown that it does not have it.
   void abandon_blocked_start(Ms now, Machine& machine, const wire::TaskId& task,
                              std::uint64_t attempt);
-  bool needs_direct_command(const Machine& machine, const std::vector<wire::Command>& list) const;
+  [[nodiscard]] bool needs_direct_command(const Machine& machine,
+                                          const std::vector<wire::Command>& list) const;
   void on_command_result(Ms now, const SentCommands& sent, const HttpResult& http_result);
   // May still be executed: everything sent from now on outruns it.
   void on_commands_unanswered(Ms now, Machine& machine, const SentCommands& sent);
--- a/src/workers/failure_tracker.h
+++ b/src/workers/failure_tracker.h
@@ -25,19 +25,20 @@
   // The worker keeps a result of this replica, and would end each further attempt of it at once.
   // Other replicas of the job run there as on any machine.
   void on_result_kept(Ms now, const std::string& machine, const wire::TaskId& replica);
-  bool has_kept_result(Ms now, const std::string& machine, const wire::TaskId& replica) const;
+  [[nodiscard]] bool has_kept_result(Ms now, const std::string& machine,
+                                     const wire::TaskId& replica) const;
   // A replica has run for a while: the job is not at fault.
   void on_stable(const std::string& job);
   // A task of `job` completed on `machine`: neither is at fault.
   void completed(const std::string& machine, const std::string& job);
   // Earliest time at which the job's tasks may be started again.
-  Ms next_attempt_at(const std::string& job) const;
+  [[nodiscard]] Ms next_attempt_at(const std::string& job) const;
   // The machine failed a task of this job lately: others are tried first.
-  bool has_failed_on(Ms now, const std::string& machine, const std::string& job,
-                     Ms failure_memory = kFailureMemoryMs) const;
-  bool is_faulty_job(const std::string& job) const;
+  [[nodiscard]] bool has_failed_on(Ms now, const std::string& machine, const std::string& job,
+                                   Ms failure_memory = kFailureMemoryMs) const;
+  [[nodiscard]] bool is_faulty_job(const std::string& job) const;
   // A task of the job failed somewhere.
-  bool has_failed(const std::string& job) const { return jobs_.contains(job); }
+  [[nodiscard]] bool has_failed(const std::string& job) const { return jobs_.contains(job); }
   void forget_job(const std::string& job);
   void forget_machine(const std::string& machine);
 
--- a/src/workers/gossiped_cancellations.cpp
+++ b/src/workers/gossiped_cancellations.cpp
@@ -4,8 +4,7 @@
 
 namespace {
 
-// Such jobs named in one gossip message, and jobs stopped on such a word.
-constexpr std::size_t kGossipedCancellations = 32;
+// Jobs stopped on a peer's word; more are not taken in.
 constexpr std::size_t kGossipedCancellationsMost = 1000;
 
 }  // namespace
--- a/src/workers/gossiped_cancellations.h
+++ b/src/workers/gossiped_cancellations.h
@@ -20,7 +20,7 @@
   // A peer has read that these jobs are cancelled.
   void apply(Ms now, const std::vector<std::string>& jobs);
   // Cancelled by the records, or by a peer's word.
-  bool is_cancelled(const std::string& id, const Job& job) const {
+  [[nodiscard]] bool is_cancelled(const std::string& id, const Job& job) const {
     return job.record.cancelled || jobs_.contains(id);
   }
 
--- a/src/workers/machine_monitor.h
+++ b/src/workers/machine_monitor.h
@@ -48,15 +48,16 @@
   void mark_lost(Ms now, Machine& machine, const char* reason);
 
   void learn_lease(Ms now, Machine& machine) const;
-  bool lease_expired(Ms now, const Machine& machine) const;
+  [[nodiscard]] bool lease_expired(Ms now, const Machine& machine) const;
   // Every other member acts on a view of that epoch or later.
-  bool peers_acknowledged_epoch(std::uint64_t epoch) const;
+  [[nodiscard]] bool peers_acknowledged_epoch(std::uint64_t epoch) const;
   // It has been asked and has not answered, for so long that it is most likely dead. `early`: of
   // the machines of its zone that are probed early.
-  bool presumed_dead(Ms now, const Machine& machine, const links::ContactCount& early) const;
+  [[nodiscard]] bool presumed_dead(Ms now, const Machine& machine,
+                                   const links::ContactCount& early) const;
   // All that it runs is short and must be done soon: it is sooner begun again elsewhere than heard
   // of when a partition is over.
-  bool restart_elsewhere_first(const Machine& machine) const;
+  [[nodiscard]] bool restart_elsewhere_first(const Machine& machine) const;
 
   // What still runs on a quarantined machine is stopped; it is returned once it is empty.
   void drain(Machine& machine);
--- a/src/workers/machine_table.h
+++ b/src/workers/machine_table.h
@@ -20,13 +20,13 @@
 
   Map::iterator begin() { return machines_.begin(); }
   Map::iterator end() { return machines_.end(); }
-  Map::const_iterator begin() const { return machines_.begin(); }
-  Map::const_iterator end() const { return machines_.end(); }
+  [[nodiscard]] Map::const_iterator begin() const { return machines_.begin(); }
+  [[nodiscard]] Map::const_iterator end() const { return machines_.end(); }
   Map::iterator find(const std::string& id) { return machines_.find(id); }
-  Map::const_iterator find(const std::string& id) const { return machines_.find(id); }
-  bool contains(const std::string& id) const { return machines_.contains(id); }
+  [[nodiscard]] Map::const_iterator find(const std::string& id) const { return machines_.find(id); }
+  [[nodiscard]] bool contains(const std::string& id) const { return machines_.contains(id); }
   Machine& at(const std::string& id) { return machines_.at(id); }
-  std::size_t size() const { return machines_.size(); }
+  [[nodiscard]] std::size_t size() const { return machines_.size(); }
   Map::iterator erase(Map::iterator machine) { return machines_.erase(machine); }
   template <typename Predicate>
   void erase_if(Predicate&& predicate) {
@@ -38,26 +38,28 @@
   // Takes over what the records say of the machine.
   void refresh_from_records(Machine& machine) const;
   // The fencing token of commands to the machine.
-  std::uint64_t token(const Machine& machine) const {
+  [[nodiscard]] std::uint64_t token(const Machine& machine) const {
     return ClusterView::token(context_.cluster_view.epoch(), machine.fence);
   }
 
   // ---- contact ----
   // Milliseconds without contact after which a machine gets nothing new.
-  Ms unresponsive_after() const;
+  [[nodiscard]] Ms unresponsive_after() const;
   // Milliseconds without contact after which a heartbeat is overdue and the machine is asked.
-  Ms overdue_after() const;
+  [[nodiscard]] Ms overdue_after() const;
   // The same for this machine, which may be asked earlier.
-  Ms probe_after(const Machine& machine) const;
+  [[nodiscard]] Ms probe_after(const Machine& machine) const;
   // The machine is asked before its next heartbeat is overdue.
-  bool probed_early(const Machine& machine) const { return probe_after(machine) < overdue_after(); }
+  [[nodiscard]] bool probed_early(const Machine& machine) const {
+    return probe_after(machine) < overdue_after();
+  }
   // It answers direct messages, but its heartbeats do not come, and only replies to those renew its
   // lease. Guards against a machine that draws task after task and loses each with its lease.
-  bool heartbeats_missing(Ms now, const Machine& machine) const;
+  [[nodiscard]] bool heartbeats_missing(Ms now, const Machine& machine) const;
   // There was contact so lately that it is most likely alive.
-  bool contacted_recently(Ms now, const std::string& id) const;
+  [[nodiscard]] bool contacted_recently(Ms now, const std::string& machine) const;
   // Tasks may be placed on it.
-  bool usable(Ms now, const Machine& machine) const;
+  [[nodiscard]] bool usable(Ms now, const Machine& machine) const;
 
  private:
   const Context& context_;
--- a/src/workers/reconciler.h
+++ b/src/workers/reconciler.h
@@ -25,10 +25,10 @@
   // no longer lists it, or lists it as exited, or has moved to a later incarnation.
   void reconcile(Ms now, Machine& machine);
   // The task is not to be on any machine: cancelled, being stopped, or of a gang that failed.
-  bool must_not_run(const Machine& machine, const TaskRef& ref,
-                    const wire::Placement& placement) const;
+  [[nodiscard]] bool must_not_run(const Machine& machine, const TaskRef& ref,
+                                  const wire::Placement& placement) const;
   // A task that must not run is not listed, and it is not proven yet that it can't start.
-  bool has_unproven_absence(const Machine& machine) const;
+  [[nodiscard]] bool has_unproven_absence(const Machine& machine) const;
 
  private:
   void on_exit(Ms now, Machine& machine, const TaskRef& ref, const ReportedTask& seen);
--- a/src/workers/shard_reachability.cpp
+++ b/src/workers/shard_reachability.cpp
@@ -32,7 +32,8 @@
 
 void ShardReachability::reclaim_shard(Ms now) {
   next_check_ = now + links::kWorkerProbeMs;
-  std::vector<std::string> near, all;
+  std::vector<std::string> near;
+  std::vector<std::string> all;
   for (const auto& [id, record] : context_.replica.machines()) {
     if (record.incarnation == 0 || record.address.empty() ||
         record.state != wire::MachineState::ready)
--- a/src/workers/shard_record_writer.h
+++ b/src/workers/shard_record_writer.h
@@ -38,7 +38,7 @@
   // Pending entries follow their machines into the groups that these are in now.
   void regroup_pending();
   // Whether our record of the group has entries of machines that are in another group now.
-  bool has_strays(const wire::ShardRecord& record, std::uint32_t group) const;
+  [[nodiscard]] bool has_strays(const wire::ShardRecord& record, std::uint32_t group) const;
   // Writes such entries into our records of the groups that their machines are in.
   void move_strays(std::uint32_t group, const wire::ShardRecord& record);
 
@@ -47,8 +47,8 @@
   // Writes what is pending of one group, if it may be written now.
   void write_group(std::uint32_t group, ShardWrite& write);
   // Our record of the group with what is pending. `fleet`: which machines there are.
-  wire::ShardRecord next_record(std::uint32_t group, const ShardWrite& write,
-                                const wire::FleetRecord& fleet) const;
+  [[nodiscard]] wire::ShardRecord next_record(std::uint32_t group, const ShardWrite& write,
+                                              const wire::FleetRecord& fleet) const;
   void on_written(Ms now, std::uint32_t group, TxnResult result, const Contacts& sent);
 
   const Context& context_;
--- a/src/workers/worker_links.h
+++ b/src/workers/worker_links.h
@@ -36,11 +36,11 @@
   void probe_workers(const std::vector<std::string>& addresses,
                      const std::function<void(Ms now, bool answered)>& done);
   // Which peer is to pass a command on to the machine; none: it is sent directly.
-  std::optional<std::string> relay_for(Ms now, const Machine& machine) const;
+  [[nodiscard]] std::optional<std::string> relay_for(Ms now, const Machine& machine) const;
   // A peer may reach the machine, and has not tried yet. Guards against returning a machine that is
   // there because our own link to it is down: a peer that may reach it is asked first (indirect
   // probes, after SWIM: Das, Gupta and Motivala, 2002).
-  bool may_be_reached(Ms now, const Machine& machine) const;
+  [[nodiscard]] bool may_be_reached(Ms now, const Machine& machine) const;
   // A worker of another controller's shard sends its heartbeat here. Most have only not heard of
   // their owner yet; those that it can't hear are answered for it.
   void redirect_heartbeat(Ms now, std::uint64_t request, const std::string& owner,
--- a/tests/concurrent_faults_control_test.cpp
+++ b/tests/concurrent_faults_control_test.cpp
@@ -45,7 +45,9 @@
 // longer than cancel_s, while users cancel. No user gets a confirmation of a cancellation that is
 // not complete.
 TEST(ConcurrentControlFaults, CancellationsWhileStateServiceRefusesOneThenAll) {
-  int before = 0, refused = 0, after = 0;
+  int before = 0;
+  int refused = 0;
+  int after = 0;
   Ms longest = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const std::size_t node = seed <= 3 ? 1 : seed % 3;  // 1 is alone in its zone
@@ -102,7 +104,8 @@
 // Transactions without a reply are executed after newer ones of the same controller, in half of the
 // runs after its crash, while users submit and cancel.
 TEST(ConcurrentControlFaults, DelayedTransactionsAreHarmless) {
-  int applied = 0, failed = 0;
+  int applied = 0;
+  int failed = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     std::vector<PlannedFault> plan{{10'000, Fault::late_writes, 0, 50'000},
                                    {20'000, Fault::job_burst, 0, 16'000}};
@@ -128,7 +131,8 @@
 // jobs are cancelled through the others, and through it. In a third of the runs the others do not
 // reach its workers, to whose heartbeats it goes on replying, so that cancelled tasks run on.
 TEST(ConcurrentControlFaults, ControllerIsolatedWithItsWorkersAndUsers) {
-  int reached = 0, meanwhile = 0;
+  int reached = 0;
+  int meanwhile = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const std::size_t node = seed % 3;
     std::vector<PlannedFault> plan{{20'000, Fault::controller_isolated, node, 40'000}};
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -35,7 +35,7 @@
   c.free.cpus = free;
   c.free.memory_gb = 64;
   c.fetch_gb_per_s = 1;
-  if (cpus > free) c.booked.push_back({cpus - free, 0, 0, kNow + 30'000});
+  if (cpus > free) c.booked.push_back({{cpus - free, 0, 0}, kNow + 30'000});
   return c;
 }
 
@@ -132,7 +132,8 @@
   wire::QuotaRecord record;
   record.leases = {{"a", {8, 0}}, {"b", {15, 0}}, {"c", {17, 0}}};
   record.demand = {{"a", {12, 0}}, {"b", {5, 0}}, {"c", {3, 0}}, {"gone", {9, 0}}};
-  std::map<std::string, double> used, started;
+  std::map<std::string, double> used;
+  std::map<std::string, double> started;
   for (Ms wall = 0; wall < 20 * kQuotaTurnMs; wall += kQuotaCheckMs) {
     for (const auto& who : live) {
       QuotaLeaseInput in;
@@ -217,7 +218,8 @@
   std::map<std::string, double> used{{"a", 0}, {"b", 0}, {"c", 0}};
   std::vector<std::string> live{"a", "b", "c"};
   wire::QuotaRecord record;
-  bool waited = false, got_after_wait = false;
+  bool waited = false;
+  bool got_after_wait = false;
   for (int step = 0; step < 5000; ++step) {
     if (step % 500 == 499)
       live = live.size() == 3 ? std::vector<std::string>{"a", "b"}
--- a/tests/links_detectors_test.cpp
+++ b/tests/links_detectors_test.cpp
@@ -30,7 +30,8 @@
 
 // Guards against suspecting a peer whose processor is busy: the detector learns its usual spread.
 TEST(PhiDetector, LearnsMessageJitter) {
-  PhiDetector even(kGossipIntervalMs), uneven(kGossipIntervalMs);
+  PhiDetector even(kGossipIntervalMs);
+  PhiDetector uneven(kGossipIntervalMs);
   Ms now = 1000;
   for (int i = 0; i < 100; ++i) {
     now += kGossipIntervalMs;
@@ -82,7 +83,8 @@
 }
 
 TEST(ZoneLinks, SilenceOfManyIsDetectedSooner) {
-  ZoneLinks many(kHeartbeatIntervalMs), one(kHeartbeatIntervalMs);
+  ZoneLinks many(kHeartbeatIntervalMs);
+  ZoneLinks one(kHeartbeatIntervalMs);
   many.expect(1000, 50);
   one.expect(1000, 1);
   for (Ms now = 1000; now <= 10'000; now += 20) many.heartbeat_received(now);
--- a/tests/links_monitor_test.cpp
+++ b/tests/links_monitor_test.cpp
@@ -59,9 +59,9 @@
   static MonitorSettings settings() {
     return {"a", {"b", "c"}, kHeartbeatIntervalMs, kGossipIntervalMs, true};
   }
-  Moment at(Ms now) const { return {now, now + kWallOffset}; }
+  [[nodiscard]] Moment at(Ms now) const { return {now, now + kWallOffset}; }
 
-  wire::LinkRow row(const std::string& name, Status state, Ms as_of) const {
+  [[nodiscard]] wire::LinkRow row(const std::string& name, Status state, Ms as_of) const {
     wire::LinkRow out = row_of(name, as_of + kWallOffset, state);
     out.heard = {{"a", Status::up}};
     out.relays = true;
@@ -120,7 +120,8 @@
   EXPECT_EQ(monitor_.may_keep_machines(at(later), {}).reason, Reason::nobody_else);
   // Of peers that gossip no row, such as older versions, reachability is assumed.
   EXPECT_FALSE(monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);
-  wire::LinkRow b = row("b", Status::up, later - 100), c = row("c", Status::up, later - 100);
+  wire::LinkRow b = row("b", Status::up, later - 100);
+  wire::LinkRow c = row("c", Status::up, later - 100);
   for (auto* other : {&b, &c})
     for (const char* zone : {"x", "y"}) other->workers[zone] = {Status::down, Status::unknown, 0};
   monitor_.merge(at(later), b);
@@ -209,7 +210,8 @@
 
 // As a partition heals, the first workers' heartbeats arrive; the others are still on their way.
 TEST_F(MonitorTest, NoMachineIsDeclaredDeadRightAfterAPartition) {
-  Census cut, back;
+  Census cut;
+  Census back;
   for (int i = 0; i < 20; ++i) {
     cut.all.add(i < 12);
     back.all.add(i < 18);
@@ -229,7 +231,8 @@
 
 TEST_F(MonitorTest, RelayIsChosenByReachabilityOfBothEnds) {
   EXPECT_FALSE(monitor_.relay_to(at(now_), "x").has_value());
-  wire::LinkRow b = row("b", Status::up, now_ - 100), c = row("c", Status::up, now_ - 100);
+  wire::LinkRow b = row("b", Status::up, now_ - 100);
+  wire::LinkRow c = row("c", Status::up, now_ - 100);
   b.workers["x"] = {Status::down, Status::down, 0};
   monitor_.merge(at(now_), b);
   EXPECT_FALSE(monitor_.relay_to(at(now_), "x").has_value());
--- a/tests/load/fleet_load.cpp
+++ b/tests/load/fleet_load.cpp
@@ -114,7 +114,8 @@
     token_ = doc["baton"].GetUint64();
     if (!doc.HasMember("orders")) return;
     for (const auto& order : doc["orders"].GetArray()) {
-      const std::string verb = order["verb"].GetString(), task = order["load"].GetString();
+      const std::string verb = order["verb"].GetString();
+      const std::string task = order["load"].GetString();
       if (verb == "start") tasks_.try_emplace(task, Task{order["try"].GetUint64(), steady_ms()});
       if (verb == "clear" && tasks_.erase(task) > 0) ++done_;
     }
@@ -168,7 +169,8 @@
   out.resident_mb = pages * static_cast<double>(sysconf(_SC_PAGESIZE)) / (1024.0 * 1024.0);
   std::ifstream stat(folder + "/stat");
   std::string field;
-  constexpr int kUserTime = 14, kSystemTime = 15;  // proc(5)
+  constexpr int kUserTime = 14;
+  constexpr int kSystemTime = 15;  // proc(5)
   for (int i = 1; i <= kSystemTime && stat >> field; ++i)
     if (i >= kUserTime) out.cpu_s += std::stod(field) / static_cast<double>(sysconf(_SC_CLK_TCK));
   for ([[maybe_unused]] const auto& entry : std::filesystem::directory_iterator(folder + "/fd"))
@@ -353,7 +355,8 @@
   }
 
   void print_state(int second, const Usage& usage, double cpu) {
-    int heard = 0, done = 0;
+    int heard = 0;
+    int done = 0;
     for (const auto& machine : machines_) {
       heard += machine->answered() > 0 ? 1 : 0;
       done += machine->done();
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -57,7 +57,8 @@
 // More machines than connections: each is closed with its reply while most are in use, so that all
 // machines are served. Kept open, the first forty would starve all others.
 TEST(HttpServer, ServesMoreMachinesThanItHasConnections) {
-  constexpr int kConnections = 40, kMachines = 200;
+  constexpr int kConnections = 40;
+  constexpr int kMachines = 200;
   asio::io_context io;
   const auto endpoint = free_endpoint(io);
   std::unique_ptr<HttpServer> server;
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -62,7 +62,9 @@
     times.insert(times.end(), r.without_contact_ms.begin(), r.without_contact_ms.end());
     std::sort(times.begin(), times.end());
   }
-  Ms at_percent(std::size_t percent) const { return times.at(times.size() * percent / 100); }
+  [[nodiscard]] Ms at_percent(std::size_t percent) const {
+    return times.at(times.size() * percent / 100);
+  }
 };
 
 // The shard of a controller that can't reach its workers fails over within two heartbeat intervals
@@ -111,7 +113,8 @@
       {{kCutAt, kCutLasts, kFirst, "workers/c"}},
   };
   Failovers failovers;
-  int returned = 0, lost = 0;
+  int returned = 0;
+  int lost = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     for (const auto& cut : cuts) {
       Options o = with_cuts(seed, cut);
@@ -281,7 +284,7 @@
     pump();
   }
 
-  std::size_t running() const {
+  [[nodiscard]] std::size_t running() const {
     return static_cast<std::size_t>(
         std::count_if(tasks_.begin(), tasks_.end(), [](const auto& t) { return !t.second; }));
   }
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -50,7 +50,7 @@
     return sent();
   }
 
-  bool says(std::uint64_t request, const std::string& state) const {
+  [[nodiscard]] bool says(std::uint64_t request, const std::string& state) const {
     const auto answer = answers_.find(request);
     return answer != answers_.end() && answer->second.body.find(state) != std::string::npos;
   }
--- a/tests/services_sim_test.cpp
+++ b/tests/services_sim_test.cpp
@@ -128,7 +128,8 @@
 // the same, as a controller in the zone leaves the view: 37 and 40 of two versions in thirty runs;
 // without presumed_dead's look at the others 71 do.
 TEST(Services, ShortPartitionMovesFewReplicas) {
-  int services = 0, restarts = 0;
+  int services = 0;
+  int restarts = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     if (skips_seed(seed)) continue;
     Options o = with_services(seed);
--- a/tests/sim/cluster_members.h
+++ b/tests/sim/cluster_members.h
@@ -110,7 +110,9 @@
   wire::JobSpec spec;
   double work_ms = 0;   // of each task
   bool uneven = false;  // each task has four times as much more to do as the first
-  double work_of(std::uint32_t task) const { return work_ms * (uneven ? 1 + 4 * task : 1); }
+  [[nodiscard]] double work_of(std::uint32_t task) const {
+    return work_ms * (uneven ? 1 + 4 * task : 1);
+  }
   bool fails_everywhere = false;
   bool accepted = false, told_done = false, told_cancelled = false, asked_cancel = false;
   Ms submitted_at = 0, accepted_at = 0;
--- a/tests/sim/fake_state_service.h
+++ b/tests/sim/fake_state_service.h
@@ -26,7 +26,7 @@
   void str(const char* name, const std::string& v) { key(name), text += "\"" + v + "\""; }
   void raw(const char* name, const std::string& v) { key(name), text += v; }
   void num(const char* name, std::uint64_t v) { raw(name, std::to_string(v)); }
-  std::string done() const { return "{" + text + "}"; }
+  [[nodiscard]] std::string done() const { return "{" + text + "}"; }
 };
 
 inline std::map<std::string, std::string> query(const std::string& path) {
@@ -146,7 +146,7 @@
     for (auto& [respond, body] : ready) respond(200, body);
   }
 
-  bool too_large(const std::string& body, const wire::Json& transaction) const {
+  [[nodiscard]] bool too_large(const std::string& body, const wire::Json& transaction) const {
     const auto& writes = transaction["writes"];
     if (body.size() > 64 * 1024 || writes.Size() > limits.txn_ops ||
         transaction["guards"].Size() > 4 * limits.txn_ops)
@@ -202,7 +202,7 @@
   }
 
   // Keys whose version is another than the transaction expects, as members of a JSON array.
-  std::string failed_conditions(const wire::Json& conditions) const {
+  [[nodiscard]] std::string failed_conditions(const wire::Json& conditions) const {
     std::string failed;
     for (const auto& g : conditions.GetArray()) {
       const auto it = items.find(g["k"].GetString());
--- a/tests/sim/faults.cpp
+++ b/tests/sim/faults.cpp
@@ -305,7 +305,8 @@
 
 // Users cancel many jobs that run and have long to go; most of their machines hang.
 void SimulatedCluster::cancel_running(std::size_t /*node*/, Ms lasts) {
-  constexpr std::size_t kMostJobs = 20, kMostMachines = 8;
+  constexpr std::size_t kMostJobs = 20;
+  constexpr std::size_t kMostMachines = 8;
   constexpr double kLongMs = 3000;
   std::set<std::string> jobs;
   std::vector<SimulatedWorker*> machines;
--- a/tests/sim/fingerprint.h
+++ b/tests/sim/fingerprint.h
@@ -43,7 +43,7 @@
     }
   }
 
-  std::uint64_t value() const { return XXH3_64bits_digest(state_.get()); }
+  [[nodiscard]] std::uint64_t value() const { return XXH3_64bits_digest(state_.get()); }
 
  private:
   enum class Kind : std::uint8_t { call, answer, peer_message };
--- a/tests/sim/invalid_requests.cpp
+++ b/tests/sim/invalid_requests.cpp
@@ -5,7 +5,8 @@
 namespace scheduler::sim {
 
 void SimulatedCluster::send_invalid_request() {
-  std::vector<std::string> accepted, done;
+  std::vector<std::string> accepted;
+  std::vector<std::string> done;
   for (const auto& [id, j] : jobs_) {
     if (j.accepted) accepted.push_back(id);
     if (j.told_done) done.push_back(id);
@@ -104,7 +105,8 @@
                                                 "pullGb", "haulS", "tipS", "stowS"};
   static const std::vector<std::string> flags{"together", "scatter", "standby"};
   static const std::vector<std::string> optional{"fleets", "yard", "dueS"};
-  std::string field, value;
+  std::string field;
+  std::string value;
   switch (random(5)) {
     case 0:
       field = any_of(texts);
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -99,7 +99,8 @@
   for (const auto& [id, w] : workers_)
     if ((s.spot || !w->spot) && (s.zone.empty() || s.zone == w->zone))
       places[w->zone] += static_cast<std::size_t>(std::max(0.0, free_cpus(*w)) / s.cpus);
-  std::size_t all = 0, most = 0;
+  std::size_t all = 0;
+  std::size_t most = 0;
   for (const auto& [zone, n] : places) {
     all += s.spread ? std::min<std::size_t>(n, (s.tasks + 1) / 2) : n;
     most = std::max(most, n);
--- a/tests/sim/link_cuts.h
+++ b/tests/sim/link_cuts.h
@@ -28,7 +28,7 @@
   }
   void clear() { down_.clear(); }
 
-  bool down(const std::string& from, const std::string& to) const {
+  [[nodiscard]] bool down(const std::string& from, const std::string& to) const {
     if (down_.empty()) return false;
     return down_.contains({from, to}) || down_.contains({all_of(from), to}) ||
            down_.contains({from, all_of(to)});
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -39,7 +39,8 @@
   const auto turn = [this, &cut] {
     return cut.flap_least + random(static_cast<int>(cut.flap_most - cut.flap_least + 1));
   };
-  const Ms down = turn(), up = turn();
+  const Ms down = turn();
+  const Ms up = turn();
   link_cuts_.cut(cut.from, cut.to);
   at(now_ + down, [this, cut] { link_cuts_.restore(cut.from, cut.to); });
   at(now_ + down + up, [this, cut, until] { flap(cut, until); });
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -135,7 +135,8 @@
 // In the second phase: which replicas are down although there is capacity.
 void SimulatedCluster::check_services() {
   const std::map<std::string, double> used = used_cpus();
-  std::set<wire::TaskId> placed, present;
+  std::set<wire::TaskId> placed;
+  std::set<wire::TaskId> present;
   for (const auto& [id, w] : workers_) {
     if (w->dead || !w->up) continue;
     for (const auto& [task, t] : w->tasks) {
--- a/tests/sim/simulated_cluster.h
+++ b/tests/sim/simulated_cluster.h
@@ -62,9 +62,9 @@
   void step();
   void collect_results();
   void count_accepted(const SubmittedJob& job);
-  int machines_known() const;
+  [[nodiscard]] int machines_known() const;
   // Values in the state service over Options::limits_after.
-  int oversized_values() const;
+  [[nodiscard]] int oversized_values() const;
   void at(Ms time, std::function<void()> action);
   int random(int below) { return static_cast<int>(random_(static_cast<std::uint32_t>(below))); }
   bool chance(double p) { return random(1'000'000) < p * 1'000'000; }
@@ -72,7 +72,7 @@
 
   // ---- controllers (controllers.cpp) ----
 
-  Settings settings_of(const SimulatedController& node) const;
+  [[nodiscard]] Settings settings_of(const SimulatedController& node) const;
   std::size_t any_controller_index() {
     return static_cast<std::size_t>(random(static_cast<int>(controllers_.size())));
   }
@@ -96,7 +96,7 @@
   Ms network_delay() { return chance(0.01) ? 200 + random(300) : 1 + random(8); }
   Ms worker_network_delay() { return slow_links_ ? 200 + random(1300) : network_delay(); }
   // Whether two zones can't reach each other; "" is that of the regional services and users.
-  bool partitioned(const std::string& a, const std::string& b) const;
+  [[nodiscard]] bool partitioned(const std::string& a, const std::string& b) const;
   void plan_link_cut(const LinkCut& cut);
   // The link goes down, and up again, for as long as it is to flap.
   void flap(const LinkCut& cut, Ms until);
@@ -153,7 +153,7 @@
   void execute_commands(SimulatedWorker& w, const wire::Json& commands);
   void start_task(SimulatedWorker& w, const wire::TaskId& task, std::uint64_t attempt);
   void stop_task(SimulatedWorker& w, const wire::TaskId& task, double grace_s);
-  double cpus_in_use(const SimulatedWorker& w) const;
+  [[nodiscard]] double cpus_in_use(const SimulatedWorker& w) const;
   void step_worker(SimulatedWorker& w);
   void step_task(SimulatedWorker& w, const wire::TaskId& task);
   void begin_task(SimulatedWorker& w, const wire::TaskId& task);
@@ -183,10 +183,11 @@
   void check_accepted(const SubmittedJob& job);
   // In the second phase: which jobs wait although there is capacity.
   void check_waiting();
-  std::string reason_never_to_run(const wire::JobSpec& spec) const;
-  bool has_capacity(const SubmittedJob& job, const std::map<std::string, double>& used) const;
-  double free_cpus(const SimulatedWorker& w) const;
-  std::map<std::string, double> used_cpus() const;
+  [[nodiscard]] std::string reason_never_to_run(const wire::JobSpec& spec) const;
+  [[nodiscard]] bool has_capacity(const SubmittedJob& job,
+                                  const std::map<std::string, double>& used) const;
+  [[nodiscard]] double free_cpus(const SimulatedWorker& w) const;
+  [[nodiscard]] std::map<std::string, double> used_cpus() const;
   // A user was told the state of a job, in reply to a request of then.
   void on_told(const std::string& id, const std::string& status, Ms asked);
   void note_result(const std::string& key, const std::optional<std::string>& value);
@@ -227,10 +228,11 @@
   void check_refused(const SubmittedJob& job, int status);
   void replica_begins(SimulatedWorker& w, const wire::TaskId& task);
   void replica_ends(SimulatedWorker& w, const wire::TaskId& task);
-  std::string machine_for_replica(const SubmittedJob& job, const wire::TaskId& replica,
-                                  const std::map<std::string, double>& used) const;
+  [[nodiscard]] std::string machine_for_replica(const SubmittedJob& job,
+                                                const wire::TaskId& replica,
+                                                const std::map<std::string, double>& used) const;
   static double used_by(const std::string& team, const std::map<std::string, double>& used);
-  std::map<std::string, std::uint32_t> tasks_by_zone(const std::string& job) const;
+  [[nodiscard]] std::map<std::string, std::uint32_t> tasks_by_zone(const std::string& job) const;
   void check_services();
   void check_replica(const SubmittedJob& job, const wire::TaskId& replica, bool runs, bool placed,
                      const std::map<std::string, double>& used);
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -21,7 +21,8 @@
 
 // Half of all POST calls are executed a second time, up to 15 s later.
 TEST(Simulation, DuplicatedRequestsViolateNoInvariant) {
-  int saved = 0, spread = 0;
+  int saved = 0;
+  int spread = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Options o;
     o.seed = seed;
@@ -67,7 +68,8 @@
 
 // Heartbeats alone do not make a machine eligible for tasks: it must be reachable.
 TEST(Simulation, UnreachableMachinesGetNothingNew) {
-  int starts_on_unreachable = 0, starts = 0;
+  int starts_on_unreachable = 0;
+  int starts = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     std::vector<PlannedFault> plan;
     for (Ms at = 10'000; at < 60'000; at += 6000)
@@ -136,7 +138,8 @@
 // One zone is partitioned from everything. Without a controller inside, its tasks end as their
 // leases expire, and start elsewhere as soon as that is provable, not when the partition ends.
 TEST(Simulation, ZonesPartitionedFromEverything) {
-  int lost = 0, back = 0;
+  int lost = 0;
+  int back = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     std::vector<PlannedFault> plan{{20'000, Fault::zone_cut, seed % 3, 45'000}};
     if (seed > 3) plan.push_back({27'000, Fault::controller_crash, seed % 2, 0});
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -117,7 +117,7 @@
   StateClient client_;
 
  private:
-  void on_request(Call call, ResultHandler done) {
+  void on_request(const Call& call, ResultHandler done) {
     sent_.push_back({now_, call});
     const Ms delay = call.path == wire::kTransactionPath ? transaction_reply_after_ : kStep;
     if (replies_lost_) {
@@ -341,7 +341,8 @@
   run(1000);
   watch_served_ = false;
   put("job/a");
-  std::optional<bool> waiting, asked;
+  std::optional<bool> waiting;
+  std::optional<bool> asked;
   client_.barrier_read(now_, 0, [&](Ms, bool ok) { waiting = ok; });
   run(200);
   client_.barrier_read(now_, 0, [&](Ms, bool ok) { asked = ok; });
--- a/tests/support/fake_cloud.h
+++ b/tests/support/fake_cloud.h
@@ -17,13 +17,13 @@
   int memory_gb = 32;
   std::map<std::string, std::string> machines;  // id -> status, as listed
 
-  std::string catalog() const {
+  [[nodiscard]] std::string catalog() const {
     return R"({"fleets":[{"label":"g","cpus":)" + std::to_string(cpus) + R"(,"gpus":0,"memGb":)" +
            std::to_string(memory_gb) +
            R"(,"localGb":50,"fetchGbPerS":1,"rate":1,"marketPrice":0.3,"readyS":3,"yards":["a"]}]})";
   }
 
-  std::string list() const {
+  [[nodiscard]] std::string list() const {
     std::string entries;
     for (const auto& [id, status] : machines) {
       sim::Put machine;
--- a/tests/support/single_controller_test.h
+++ b/tests/support/single_controller_test.h
@@ -126,14 +126,15 @@
   }
 
   void execute_cloud_call(const Call& c) {
-    const bool catalog = c.path == "/catalog", list = c.path.starts_with("/hosts?");
+    const bool catalog = c.path == "/catalog";
+    const bool list = c.path.starts_with("/hosts?");
     controller_->on_result(now_, c.id,
                            catalog ? HttpResult{200, cloud_.catalog()}
                            : list  ? HttpResult{200, cloud_.list()}
                                    : FakeCloud::no_capacity());
   }
 
-  bool is_delayed(const Call& c) const { return delays_reply_ && delays_reply_(c); }
+  [[nodiscard]] bool is_delayed(const Call& c) const { return delays_reply_ && delays_reply_(c); }
 
   // Delayed replies are delivered now.
   void release_replies(const std::function<bool(const Call&)>& which) {
@@ -210,7 +211,7 @@
   }
 
   // The answer's status, 0 as long as there is none.
-  int status(std::uint64_t request) const {
+  [[nodiscard]] int status(std::uint64_t request) const {
     auto a = answers_.find(request);
     return a == answers_.end() ? 0 : a->second.status;
   }
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -296,7 +296,9 @@
 }
 
 TEST(UpgradeFormat, RangeWithHundredsOfPlacements) {
-  constexpr std::uint32_t kBegin = 64'000, kFirstPlaced = 64'700, kPlaced = 260;
+  constexpr std::uint32_t kBegin = 64'000;
+  constexpr std::uint32_t kFirstPlaced = 64'700;
+  constexpr std::uint32_t kPlaced = 260;
   EXPECT_GT(fixture("range_260_placements.json").size(), 7U * 1024);
   const auto range = read_fixture<RangeRecord>("range_260_placements.json");
   EXPECT_EQ(range.owner, "puffin-1");
@@ -514,7 +516,8 @@
 
 TEST(UpgradeFormat, PeerHintWithAnAdditionalEntryIsRead) {
   const std::string bytes = hex_fixture("peer_hint.hex");
-  constexpr char kMapOfSix = '\xa6', kMapOfSeven = '\xa7';
+  constexpr char kMapOfSix = '\xa6';
+  constexpr char kMapOfSeven = '\xa7';
   ASSERT_EQ(bytes[0], kMapOfSix);
   // "formats": 2, and "formats": {"a": [1]}.
   for (const std::string entry : {"\x67"
