--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -103,30 +103,52 @@
   });
 }
 
+void Service::write_log(const LogLine& line) {
+  switch (line.level) {
+    case LogLevel::error:
+      spdlog::error("{}", line.text);
+      break;
+    case LogLevel::info:
+      spdlog::info("{}", line.text);
+      break;
+    case LogLevel::debug:
+      spdlog::debug("{}", line.text);
+      break;
+  }
+}
+
+const std::string& Service::address_of(const Call& call) const {
+  switch (call.target) {
+    case Target::state:
+      return settings_.state;
+    case Target::cloud:
+      return settings_.cloud;
+    case Target::worker:
+      break;
+  }
+  return call.address;
+}
+
+void Service::send(Call& call) {
+  client_.send({address_of(call), std::move(call.method), std::move(call.path),
+                std::move(call.body), call.timeout},
+               [this, id = call.id](int status, std::string body) {
+                 controller_.on_result(steady_ms(), id, {status, std::move(body)});
+                 carry_out();
+               });
+}
+
 void Service::carry_out() {
   if (carrying_) return;
   carrying_ = true;
   for (;;) {
     Output out = controller_.take_output();
     if (out.calls.empty() && out.replies.empty() && out.peers.empty() && out.logs.empty()) break;
-    for (auto& line : out.logs) {
-      spdlog::log(line.level == LogLevel::error  ? spdlog::level::err
-                  : line.level == LogLevel::info ? spdlog::level::info
-                                                 : spdlog::level::debug,
-                  "{}", line.text);
-    }
-    for (auto& a : out.replies) server_->reply(a.request, a.status, a.body, a.retry_after_s);
-    for (auto& c : out.calls) {
-      const std::string& address = c.target == Target::state   ? settings_.state
-                                   : c.target == Target::cloud ? settings_.cloud
-                                                               : c.address;
-      client_.send({address, std::move(c.method), std::move(c.path), std::move(c.body), c.timeout},
-                   [this, id = c.id](int status, std::string body) {
-                     controller_.on_result(steady_ms(), id, {status, std::move(body)});
-                     carry_out();
-                   });
-    }
-    for (auto& p : out.peers) peers_->send(p.to, p.bytes);
+    for (const auto& line : out.logs) write_log(line);
+    for (const auto& reply : out.replies)
+      server_->reply(reply.request, reply.status, reply.body, reply.retry_after_s);
+    for (auto& call : out.calls) send(call);
+    for (const auto& message : out.peers) peers_->send(message.to, message.bytes);
   }
   carrying_ = false;
   arm();
--- a/src/app/service.h
+++ b/src/app/service.h
@@ -30,6 +30,10 @@
   void tick();
   // Sends what the controller asks for until it asks for nothing more, and sets the timer.
   void carry_out();
+  static void write_log(const LogLine& line);
+  // Where the call goes.
+  const std::string& address_of(const Call& call) const;
+  void send(Call& call);
   void arm();
   // Connections to the server, if the options don't say.
   int most_connections() const;
--- a/src/jobs/job_cancellation.cpp
+++ b/src/jobs/job_cancellation.cpp
@@ -124,10 +124,10 @@
 void JobCancellation::tick(Ms now) {
   for (auto it = pending_.begin(); it != pending_.end();) {
     auto& waits = it->second;
-    const bool misses_every_objective = !can_be_proven_soon(now, it->first);
+    const bool unprovable = !can_be_proven_soon(now, it->first);
     std::erase_if(waits, [&](const PendingCancellation& w) {
       const bool told = reply_if_cancelled(w.request, it->first);
-      if (!told && !misses_every_objective && now < w.deadline) return false;
+      if (!told && !unprovable && now < w.deadline) return false;
       if (!told) context_.reply_unavailable(w.request, kRetryAfterS);
       waiting_requests_.remove();
       return true;
--- a/src/links/census.h
+++ b/src/links/census.h
@@ -14,12 +14,12 @@
   [[nodiscard]] bool mostly_responsive() const { return heard >= unresponsive; }
 };
 
-// Counted anew in each pass over the machines of this controller's part. Silence of a few is
+// Counted anew in each pass over the machines of this controller's shard. Silence of a few is
 // theirs; silence of most is that of a link.
 struct Census {
   ContactCount all;
   std::map<std::string, ContactCount> zones;
-  // Of those that are asked before their next report is overdue.
+  // Of those that are asked before their next heartbeat is overdue.
   std::map<std::string, ContactCount> probed_early;
 
   [[nodiscard]] const ContactCount& zone(const std::string& name) const { return of(zones, name); }
--- a/src/links/constants.h
+++ b/src/links/constants.h
@@ -12,7 +12,7 @@
 constexpr std::int64_t kSilentMs = 3000;
 
 // ---- messages between controllers ----
-// Intervals of which mean and spread are kept; half a minute of hints.
+// Intervals of which mean and spread are kept; half a minute of gossip messages.
 constexpr std::size_t kIntervals = 64;
 // Intervals longer than so many expected ones are outages, and say nothing about the usual spread.
 constexpr double kLongestInterval = 6.0;
@@ -24,19 +24,19 @@
 constexpr double kSuspicion = 8.0;
 
 // ---- workers of a zone ----
-// Report intervals between two reports of one worker at most (PROTOCOL: a quarter more).
+// Heartbeat intervals between two heartbeats of one worker at most (PROTOCOL: a quarter more).
 constexpr double kLongestHeartbeatGap = 1.25;
-// Report intervals without any report after which a single worker counts as silent: one of its
-// reports may be lost. Of several workers not all lose one at the same time, so that this falls
-// towards kLongestReport with their number.
+// Heartbeat intervals without any heartbeat after which a single worker counts as silent: one of
+// its heartbeats may be lost. Of several workers not all lose one at the same time, so that this
+// falls towards kLongestHeartbeatGap with their number.
 constexpr double kSilentHeartbeats = 2.6;
-// Milliseconds beyond these: reports wait for a busy processor.
+// Milliseconds beyond these: heartbeats wait for a busy processor.
 constexpr std::int64_t kHeartbeatMarginMs = 600;
 // Milliseconds until a probe of a worker counts as unanswered, and between rounds of probes.
 constexpr std::int64_t kProbeTimeoutMs = 1000;
 constexpr std::int64_t kWorkerProbeMs = 2000;
-// Part of a report interval without a report, at least, before workers are probed: single workers
-// report that far apart as a rule.
+// Part of a heartbeat interval without a heartbeat, at least, before workers are probed: single
+// workers report that far apart as a rule.
 constexpr double kSuspectHeartbeats = 0.5;
 // Workers probed in a round. All must leave it unanswered: workers that hang or died on their own
 // are hardly ever a whole sample.
@@ -45,10 +45,11 @@
 // likely, and they go on as they are. Cuts last a minute as a rule.
 constexpr std::int64_t kZoneCutPatienceMs = 120'000;
 // Milliseconds after most of a zone was silent in which none of its workers counts as dead: a
-// worker that comes back from a cut waits up to four seconds for an answer that is lost, one more
-// before it tries the next controller, and then for the redirection.
+// worker that comes back from a partition waits up to four seconds for an answer that is lost, one
+// more before it tries the next controller, and then for the redirection.
 constexpr std::int64_t kBackFromCutMs = 8000;
-// Rounds in a row that nobody answers until commands count as not arriving although reports come.
+// Rounds in a row that nobody answers until commands count as not arriving although heartbeats
+// come.
 constexpr int kRoundsUntilDown = 2;
 
 // ---- the matrix ----
@@ -62,7 +63,8 @@
 // not come and go.
 constexpr std::int64_t kStateWordFreshMs = 6000;
 // Milliseconds for which a peer must have said that the state service answers it while it doesn't
-// answer us, before we believe that we are cut off alone: hints and probes take about one second.
+// answer us, before we believe that we are partitioned alone: gossip messages and probes take about
+// one second.
 constexpr std::int64_t kStateWordMs = 1500;
 // Rows kept and spread, and zones or peers in a row; more are cut. A frame holds them all.
 constexpr std::size_t kMostRows = 9;
--- a/src/links/matrix.h
+++ b/src/links/matrix.h
@@ -10,17 +10,17 @@
 
 namespace scheduler::links {
 
-// Rows spread from controller to controller with the hints, so that a row arrives although there is
-// no link to the one that wrote it. Of two rows of one controller the newer counts, whichever way
-// it came; its age follows from the time of day, which differs by less than `clock_off_ms`
-// (settings).
+// Rows spread from controller to controller with the gossip messages, so that a row arrives
+// although there is no link to the one that wrote it. Of two rows of one controller the newer
+// counts, whichever way it came; its age follows from the time of day, which differs by less than
+// `clock_off_ms` (settings).
 class Matrix {
  public:
   struct Entry {
     wire::LinkRow row;
     // Since when, by our own clock, its rows have said that the state service answers it. 0: not.
     Ms state_up_since = 0;
-    // The same of reports from the workers of a zone; zones that it doesn't hear are missing.
+    // The same of heartbeats from the workers of a zone; zones that it doesn't hear are missing.
     std::map<std::string, Ms> reports_up_since;
   };
 
--- a/src/links/monitor.cpp
+++ b/src/links/monitor.cpp
@@ -227,7 +227,7 @@
                 Matrix::age(moment.wall, entry->row)};
     }
   }
-  // Guards against returning the last workers of a zone that is just coming back from a cut.
+  // Guards against returning the last workers of a zone that is just coming back from a partition.
   const auto silent_at = mostly_unresponsive_at_.find(zone);
   const bool back_just_now =
       silent_at != mostly_unresponsive_at_.end() && moment.now - silent_at->second < kBackFromCutMs;
--- a/src/links/monitor.h
+++ b/src/links/monitor.h
@@ -81,11 +81,11 @@
   // The controller that should pass a message on to a worker of the zone, if any may reach it.
   [[nodiscard]] std::optional<std::string> relay_to(const Moment& moment,
                                                     const std::string& zone) const;
-  // Whether reports of workers of the zone should be passed on to their owner, which doesn't hear
-  // them, instead of sending the workers there.
+  // Whether heartbeats of workers of the zone should be passed on to their owner, which doesn't
+  // hear them, instead of sending the workers there.
   [[nodiscard]] bool should_forward(const Moment& moment, const std::string& owner,
                                     const std::string& zone) const;
-  // Whether the owner reaches workers of the zone, so that one may try whether reports arrive
+  // Whether the owner reaches workers of the zone, so that one may try whether heartbeats arrive
   // again.
   [[nodiscard]] bool commands_arrive(const std::string& owner, const std::string& zone) const;
 
@@ -105,8 +105,8 @@
   std::map<std::string, Ms>
       mostly_unresponsive_at_;  // by zone, at the last census that found it so
   // Most cuts from the state service come alone, and the workers of a controller's own zone are
-  // best served by it: the first one costs nothing. Probes of workers tell less than their reports
-  // do.
+  // best served by it: the first one costs nothing. Probes of workers tell less than their
+  // heartbeats do.
   FlapDamper state_damper_{1};
   FlapDamper workers_damper_{0};
   bool out_of_view_ = false;  // after having been in it
--- a/src/links/phi_detector.h
+++ b/src/links/phi_detector.h
@@ -16,7 +16,7 @@
   explicit PhiDetector(Ms expected_interval);
 
   void heard(Ms now);
-  // This process stood still: silence counts from now on.
+  // This process was paused: silence counts from now on.
   void on_pause(Ms now);
   // Minus the decimal logarithm of the probability that a message still comes; 0 if none ever came.
   [[nodiscard]] double suspicion(Ms now) const;
--- a/src/links/request_link.h
+++ b/src/links/request_link.h
@@ -15,8 +15,8 @@
   void answered(Ms now) { last_answer_ = now; }
   void refused(Ms now) { last_failure_ = last_refusal_ = now; }
   void unanswered(Ms now) { last_failure_ = now; }
-  // This process stood still: what was answered before says nothing about now. The next probe is
-  // due `probe_after` milliseconds after the last failure, so that one is sent at once.
+  // This process was paused: what was answered before says nothing about now. The next probe is due
+  // `probe_after` milliseconds after the last failure, so that one is sent at once.
   void on_pause(Ms now, Ms probe_after) {
     last_answer_ = last_refusal_ = 0;
     last_failure_ = std::max<Ms>(1, now - probe_after - 1);
--- a/src/links/zone_links.h
+++ b/src/links/zone_links.h
@@ -7,9 +7,10 @@
 
 namespace scheduler::links {
 
-// Reports show one direction, answers to probes and commands the other (and that their answers come
-// back). Workers report at intervals with a known bound, so silence is judged by that bound and by
-// how many workers are silent at once; a sample of them is probed as soon as that looks unusual.
+// Heartbeats show one direction, answers to probes and commands the other (and that their answers
+// come back). Workers report at intervals with a known bound, so silence is judged by that bound
+// and by how many workers are silent at once; a sample of them is probed as soon as that looks
+// unusual.
 class ZoneLinks {
  public:
   explicit ZoneLinks(Ms heartbeat_interval) : heartbeat_interval_(heartbeat_interval) {}
@@ -37,7 +38,7 @@
 
  private:
   [[nodiscard]] Ms silent_for(Ms now) const;
-  // Milliseconds without a report after which so many workers count as silent.
+  // Milliseconds without a heartbeat after which so many workers count as silent.
   [[nodiscard]] Ms silence_limit(std::size_t workers) const;
 
   Ms heartbeat_interval_;
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -16,8 +16,8 @@
 
 namespace scheduler::net {
 
-// Sends requests and reports what came of each, exactly once. Requests to one address may be under
-// way at the same time, each over a connection of its own. Not for more than one thread.
+// Sends requests and heartbeats what came of each, exactly once. Requests to one address may be
+// under way at the same time, each over a connection of its own. Not for more than one thread.
 class HttpClient {
  public:
   struct Request {
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -39,7 +39,7 @@
   void reply(std::uint64_t id, int status, const std::string& body, int retry_after_s);
   // Open connections.
   std::size_t connections() const { return connections_.size(); }
-  // Connections refused because all were in use, and those closed early to make room.
+  // Connections refused because all were in use, and those closed early to free enough.
   std::uint64_t refused() const { return refused_; }
   std::uint64_t closed_early() const { return closed_early_; }
 
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -20,7 +20,7 @@
 constexpr std::int64_t kServerIdleMs = 90'000;
 // Milliseconds in which a request that has begun must be complete.
 constexpr std::int64_t kServerRequestMs = 20'000;
-// Milliseconds between looks for connections to close.
+// Milliseconds between checks for connections to close.
 constexpr std::int64_t kSweepMs = 2'000;
 // Milliseconds for which our idle connections to others are kept for reuse.
 // A worker gets a command every ten to sixty seconds, and a new connection costs as much as
--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -13,110 +13,134 @@
 // controllers has had its turn before a replica has waited for 20 s.
 constexpr std::int64_t kServiceQuotaTurnMs = 3000;
 
-}  // namespace
-
-namespace {
-
 using Amount = wire::QuotaRecord::Amount;
 
-// Records what our services lack, without a write for every small change. True if it has changed.
-bool update_service_demand(wire::QuotaRecord& r, const std::string& self, double Amount::*field,
-                           double lack) {
-  const auto told = r.service_demand.find(self);
-  const double before = told == r.service_demand.end() ? 0.0 : told->second.*field;
-  const bool lacks = lack > kAmountSlack;
-  const bool lacked = before > kAmountSlack;
-  if (lacks == lacked && lack <= before + kAmountSlack) return false;
-  r.service_demand[self].*field = lack;
-  return true;
-}
-
-// One dimension (cpus or gpus) of the next record. Returns true when something changed.
-bool next_dimension(const QuotaLeaseInput& in, double limit, double Amount::*field,
-                    wire::QuotaRecord& r) {
-  if (limit <= 0) return false;
-  bool changed = false;
-  auto used = [&](const std::string& who) {
-    auto it = in.used.find(who);
-    return it == in.used.end() ? 0.0 : it->second.*field;
-  };
-  // Quota leases of controllers that are not live shrink to what their placements still use; the
-  // view guard of the write keeps them from using more.
-  for (auto& [who, grant] : r.leases) {
-    if (std::find(in.live.begin(), in.live.end(), who) != in.live.end()) continue;
-    if (grant.*field > used(who) + kAmountSlack) {
-      grant.*field = used(who);
-      changed = true;
+// The next record in one dimension (cpus or gpus).
+class DimensionUpdate {
+ public:
+  DimensionUpdate(const QuotaLeaseInput& in, double limit, double Amount::*field,
+                  wire::QuotaRecord& record)
+      : in_(in),
+        limit_(limit),
+        field_(field),
+        record_(record),
+        own_used_(used(in.self)),
+        target_(own_used_ + in.need.*field) {}
+
+  // Changes the record. True if anything has changed.
+  bool apply() {
+    if (limit_ <= 0) return false;
+    shrink_leases_of_others_not_live();
+    sum_up();
+    if (in_.yield) {
+      yield();
+      return changed_;
     }
-  }
-  double granted = 0;
-  double others_want = 0;
-  for (const auto& [who, grant] : r.leases) granted += grant.*field;
-  for (const auto& [who, want] : r.demand)
-    if (who != in.self) others_want += want.*field;
-
-  double& own = r.leases[in.self].*field;
-  const double own_used = used(in.self);
-  const double target = own_used + in.need.*field;
-  // Guards against taking at once again what was given up for another: we are the first to know
-  // that it is free.
-  const double free = in.leave_to_collector ? 0.0 : std::max(0.0, limit - granted);
-  double& demand = r.demand[in.self].*field;
-  if (in.yield) {
-    // Guards against gangs in several shards that each keep a remainder too small to start, for
-    // ever.
-    if (own > own_used + kAmountSlack) {
-      own = own_used;
-      changed = true;
+    const double service_lack =
+        std::min(std::max(0.0, own_used_ - own()), in_.service_reserve.*field_);
+    const double others_services = service_demand_of_others(record_, in_.self, in_.live).*field_;
+    update_service_demand(service_lack);
+    const double idle = own() - own_used_;
+    if (others_services > free_ + kAmountSlack && idle > kAmountSlack) {
+      // Guards against services that wait for ever while arrays of the team take up whatever ends.
+      own() -= std::min(idle, others_services - free_);
+      return true;
     }
-    if (demand < in.need.*field) {
-      demand = in.need.*field;
-      changed = true;
+    if (target_ > own() + kAmountSlack) {
+      grow(service_lack, others_services);
+    } else {
+      give_back();
     }
-    return changed;
+    return changed_;
+  }
+
+ private:
+  double used(const std::string& who) const {
+    const auto entry = in_.used.find(who);
+    return entry == in_.used.end() ? 0.0 : entry->second.*field_;
   }
-  const double lacking = std::max(0.0, own_used - own);
-  const double service_lack = std::min(lacking, in.service_reserve.*field);
-  const double others_services = service_demand_of_others(r, in.self, in.live).*field;
-  changed = update_service_demand(r, in.self, field, service_lack) || changed;
-  const double idle_now = own - own_used;
-  if (others_services > free + kAmountSlack && idle_now > kAmountSlack) {
-    // Guards against services that wait for ever while arrays of the team take up whatever ends.
-    own -= std::min(idle_now, others_services - free);
-    return true;
+  double& own() { return record_.leases[in_.self].*field_; }
+  double& demand() { return record_.demand[in_.self].*field_; }
+  void set(double& amount, double value) {
+    amount = value;
+    changed_ = true;
   }
-  if (target > own + kAmountSlack) {
-    const double rest = std::max(0.0, free - service_lack - others_services);
-    const double needed =
-        std::min(free, service_lack) + std::min(rest, std::max(0.0, target - own - service_lack));
+
+  // Leases of controllers that are not live shrink to what their placements still use; the view
+  // condition of the write keeps them from using more.
+  void shrink_leases_of_others_not_live() {
+    for (auto& [who, lease] : record_.leases) {
+      if (std::find(in_.live.begin(), in_.live.end(), who) != in_.live.end()) continue;
+      if (lease.*field_ > used(who) + kAmountSlack) set(lease.*field_, used(who));
+    }
+  }
+
+  void sum_up() {
+    double leased = 0;
+    for (const auto& [who, lease] : record_.leases) leased += lease.*field_;
+    for (const auto& [who, demand] : record_.demand)
+      if (who != in_.self) others_demand_ += demand.*field_;
+    // Guards against taking at once again what was given up for another: we are the first to know
+    // that it is free.
+    free_ = in_.leave_to_collector ? 0.0 : std::max(0.0, limit_ - leased);
+    // Our entries stand in every record that we write, if only as zero.
+    record_.leases.try_emplace(in_.self);
+    record_.demand.try_emplace(in_.self);
+  }
+
+  // Guards against gangs in several shards that each keep a remainder too small to start, for ever.
+  void yield() {
+    const double needed = in_.need.*field_;
+    if (own() > own_used_ + kAmountSlack) set(own(), own_used_);
+    if (demand() < needed) set(demand(), needed);
+  }
+
+  // Records what our services lack, without a write for every small change.
+  void update_service_demand(double lack) {
+    const auto told = record_.service_demand.find(in_.self);
+    const double before = told == record_.service_demand.end() ? 0.0 : told->second.*field_;
+    const bool lacks = lack > kAmountSlack;
+    const bool lacked = before > kAmountSlack;
+    if (lacks == lacked && lack <= before + kAmountSlack) return;
+    set(record_.service_demand[in_.self].*field_, lack);
+  }
+
+  // Takes what is free, and tells the others what is missing.
+  void grow(double service_lack, double others_services) {
+    const double rest = std::max(0.0, free_ - service_lack - others_services);
+    const double needed = std::min(free_, service_lack) +
+                          std::min(rest, std::max(0.0, target_ - own() - service_lack));
     // While nobody else asks, some of what is free comes along, so that the next gang or array does
     // not wait for a write; it is given back as soon as another shard wants it.
-    const bool alone = others_want <= kAmountSlack;
-    const double spare = alone ? (free - needed) / static_cast<double>(in.live.size() + 1) : 0.0;
+    const bool alone = others_demand_ <= kAmountSlack;
+    const double spare = alone ? (free_ - needed) / static_cast<double>(in_.live.size() + 1) : 0.0;
     const double take = needed + spare;
-    if (take > kAmountSlack) {
-      own += take;
-      changed = true;
-    }
-    const double missing = std::max(0.0, target - own);
-    // Tell the others, without writing for every small change.
-    if ((missing > kAmountSlack) != (demand > kAmountSlack) || missing > 2 * demand) {
-      demand = missing;
-      changed = true;
-    }
-  } else {
-    if (demand > kAmountSlack) {
-      demand = 0;
-      changed = true;
-    }
-    const double idle = own - target;
-    if (others_want > free + kAmountSlack && idle > kAmountSlack) {
-      own -= std::min(idle, others_want - free);
-      changed = true;
-    }
+    if (take > kAmountSlack) set(own(), own() + take);
+    const double missing = std::max(0.0, target_ - own());
+    // Without writing for every small change.
+    const bool lacks = missing > kAmountSlack;
+    const bool lacked = demand() > kAmountSlack;
+    if (lacks != lacked || missing > 2 * demand()) set(demand(), missing);
   }
-  return changed;
-}
+
+  // Nothing is missing: others get what is idle, as far as they want it.
+  void give_back() {
+    if (demand() > kAmountSlack) set(demand(), 0);
+    const double idle = own() - target_;
+    if (others_demand_ > free_ + kAmountSlack && idle > kAmountSlack)
+      set(own(), own() - std::min(idle, others_demand_ - free_));
+  }
+
+  const QuotaLeaseInput& in_;
+  double limit_;
+  double Amount::*field_;
+  wire::QuotaRecord& record_;
+  double own_used_;
+  double target_;  // what our lease should be
+  double free_ = 0;
+  double others_demand_ = 0;
+  bool changed_ = false;
+};
 
 }  // namespace
 
@@ -171,8 +195,8 @@
 std::optional<wire::QuotaRecord> next_quota_record(const QuotaLeaseInput& in,
                                                    const wire::QuotaRecord& record) {
   wire::QuotaRecord next = record;
-  const bool cpus = next_dimension(in, in.team->cpus_max, &Amount::cpus, next);
-  const bool gpus = next_dimension(in, in.team->gpus_max, &Amount::gpus, next);
+  const bool cpus = DimensionUpdate(in, in.team->cpus_max, &Amount::cpus, next).apply();
+  const bool gpus = DimensionUpdate(in, in.team->gpus_max, &Amount::gpus, next).apply();
   if (!cpus && !gpus) return std::nullopt;
   return next;
 }
--- a/src/scheduling/array_placement.cpp
+++ b/src/scheduling/array_placement.cpp
@@ -86,6 +86,36 @@
   return pick_of_two(pass.now, pass.candidates, spec, here, random_);
 }
 
+int ArrayPlacement::pick_machine(SchedulingPass& pass, const Job& job,
+                                 const SchedulingPriority& priority, Choice& choice) {
+  const wire::JobSpec& spec = job.record.spec;
+  const bool zoned = spec.one_zone || spec.spread;
+  std::set<std::string> zones;
+  if (zoned) zones = assigner_.zones_open(pass, job);
+  if (!zoned && !choice.preferred) choice.preferred = find_preferred(pass, spec, choice.eligible);
+  const int picked = zoned ? pick_in_zones(pass, spec, choice.eligible, zones)
+                           : pick_preferred(pass, spec, choice.eligible, *choice.preferred);
+  // What can meet no objective any more waits for capacity instead of making others late.
+  if (picked >= 0 || priority.misses_every_objective) return picked;
+  const double age_s = status_.age_s(pass.now, job.record.submitted_ms);
+  const bool urgent = is_urgent(context_.settings, spec, age_s);
+  return preemption_.preempt_for(pass, spec, urgent, zoned ? &zones : nullptr);
+}
+
+void ArrayPlacement::skip_finished(RangeState& state, const wire::RangeRecord& range) {
+  while (state.cursor < range.end &&
+         (state.cursor < range.begin || range.done[state.cursor - range.begin]))
+    ++state.cursor;
+}
+
+std::uint32_t ArrayPlacement::unstarted_from(std::uint32_t first, const RangeState& state,
+                                             const wire::RangeRecord& range) {
+  std::uint32_t count = 0;
+  for (std::uint32_t task = first; task < range.end; ++task)
+    count += state.is_unstarted(range, task) ? 1 : 0;
+  return count;
+}
+
 void ArrayPlacement::place(SchedulingPass& pass, const RangeId& id, const Job& job,
                            const wire::RangeRecord& range, const SchedulingPriority& priority) {
   const wire::JobSpec& spec = job.record.spec;
@@ -93,45 +123,27 @@
   if (!zoned && has_failed_already(pass, spec)) return;
   if (zoned) candidate_cache_.add_remote_candidates(pass);
   std::vector<int> some;
-  const std::vector<int>& eligible = eligible_machines(pass, spec, priority, some);
+  Choice choice{eligible_machines(pass, spec, priority, some), std::nullopt};
   RangeState& state = ranges_[id];
+  skip_finished(state, range);
   const std::size_t most = planner_.max_placements(range.end - range.begin);
-  while (state.cursor < range.end &&
-         (state.cursor < range.begin || range.done[state.cursor - range.begin]))
-    ++state.cursor;
-  std::optional<PreferredMachines> preferred;  // found for the first task that is placed
-  std::uint32_t without_quota = 0;
   std::uint32_t begin_with = priority.has_started ? range.end : kTasksToBegin;
   for (std::uint32_t task = std::max(state.cursor, range.begin); task < range.end; ++task) {
     if (!state.is_unstarted(range, task)) continue;
-    if (pass.remaining_placements <= 0 ||
-        range.placed.size() + state.pending_placements.size() >= most)
-      break;
-    if (begin_with-- == 0) break;
+    const bool full = range.placed.size() + state.pending_placements.size() >= most;
+    if (pass.remaining_placements <= 0 || full || begin_with-- == 0) return;
     if (!quota_.allows(pass.used, spec)) {
-      for (std::uint32_t other = task; other < range.end; ++other)
-        without_quota += state.is_unstarted(range, other) ? 1 : 0;
-      break;
-    }
-    std::set<std::string> zones;
-    if (zoned) zones = assigner_.zones_open(pass, job);
-    if (!zoned && !preferred) preferred = find_preferred(pass, spec, eligible);
-    int chosen = zoned ? pick_in_zones(pass, spec, eligible, zones)
-                       : pick_preferred(pass, spec, eligible, *preferred);
-    // What can meet no objective any more waits for capacity instead of making others late.
-    if (chosen < 0 && !priority.misses_every_objective) {
-      const double age_s = status_.age_s(pass.now, job.record.submitted_ms);
-      chosen = preemption_.preempt_for(pass, spec, is_urgent(context_.settings, spec, age_s),
-                                       zoned ? &zones : nullptr);
+      quota_.add_demand(spec, unstarted_from(task, state, range));
+      return;
     }
-    if (chosen < 0) {
+    const int machine = pick_machine(pass, job, priority, choice);
+    if (machine < 0) {
       if (!priority.has_started) pass.reserve(spec, 1);
       if (!zoned) pass.failed.push_back(&spec);
-      break;
+      return;
     }
-    assigner_.assign(pass, {spec, state, task, range.next_attempt}, chosen, false);
+    assigner_.assign(pass, {spec, state, task, range.next_attempt}, machine, false);
   }
-  quota_.add_demand(spec, without_quota);
 }
 
 }  // namespace scheduler
--- a/src/scheduling/array_placement.h
+++ b/src/scheduling/array_placement.h
@@ -49,6 +49,19 @@
     std::vector<int> useless_to_gangs;  // spot or in use, while gangs need whole machines
   };
 
+  // Where the tasks of one range may go.
+  struct Choice {
+    const std::vector<int>& eligible;
+    std::optional<PreferredMachines> preferred;  // found for the first task that is placed
+  };
+
+  // The machine for one more task, made free by preemption if need be; -1: none.
+  int pick_machine(SchedulingPass& pass, const Job& job, const SchedulingPriority& priority,
+                   Choice& choice);
+  // Moves the range's cursor past tasks that are done.
+  static void skip_finished(RangeState& state, const wire::RangeRecord& range);
+  static std::uint32_t unstarted_from(std::uint32_t first, const RangeState& state,
+                                      const wire::RangeRecord& range);
   // Something that needs no more found no capacity in this pass.
   static bool has_failed_already(const SchedulingPass& pass, const wire::JobSpec& spec);
   // Candidates that the job may use, less those that failed it or are reserved. `some` holds them
--- a/src/scheduling/range_writer.cpp
+++ b/src/scheduling/range_writer.cpp
@@ -45,13 +45,13 @@
 }
 
 // Puts the proven ends of tasks into the record. False when all of them are recorded already.
-bool RangeWriter::record_completions(const wire::JobSpec& spec, RangeState& work,
+bool RangeWriter::record_completions(const wire::JobSpec& spec, RangeState& state,
                                      wire::RangeRecord& record) {
   bool changed = false;
-  for (auto it = work.released.begin(); it != work.released.end();) {
+  for (auto it = state.released.begin(); it != state.released.end();) {
     const auto placed = record.placed.find(it->first);
     if (placed == record.placed.end() || placed->second.attempt != it->second.attempt) {
-      it = work.released.erase(it);  // recorded already
+      it = state.released.erase(it);  // recorded already
       continue;
     }
     record.placed.erase(placed);
@@ -61,7 +61,7 @@
     } else if (it->second.done) {
       record.done[it->first - record.begin] = true;
     } else {
-      work.cursor = std::min(work.cursor, it->first);
+      state.cursor = std::min(state.cursor, it->first);
     }
     changed = true;
     ++it;
@@ -70,9 +70,9 @@
 }
 
 // Takes over whether the gang is to be stopped in good order.
-bool RangeWriter::record_stop(const wire::JobSpec& spec, const RangeState& work,
+bool RangeWriter::record_stop(const wire::JobSpec& spec, const RangeState& state,
                               wire::RangeRecord& record) {
-  const bool stop = work.stop_requested && spec.is_gang() && !record.placed.empty() &&
+  const bool stop = state.stop_requested && spec.is_gang() && !record.placed.empty() &&
                     record.done_count() == 0 && !record.stopping;
   if (stop) record.stopping = true;
   if (record.placed.empty()) record.stopping = false;
@@ -81,25 +81,25 @@
 
 // Takes choices back until the record fits. Guards against a value over the service's limit, which
 // would be refused for ever: names may be longer than the rule of placed_most() counts with.
-void RangeWriter::fit_placements(const wire::JobSpec& spec, RangeState& work,
+void RangeWriter::fit_placements(const wire::JobSpec& spec, RangeState& state,
                                  const wire::RangeRecord& record) {
-  while (!spec.is_gang() && work.pending_placements.size() > 1) {
+  while (!spec.is_gang() && state.pending_placements.size() > 1) {
     wire::RangeRecord full = record;
-    for (const auto& [task, placement] : work.pending_placements) full.placed[task] = placement;
+    for (const auto& [task, placement] : state.pending_placements) full.placed[task] = placement;
     if (static_cast<double>(encode(full).size()) <= context_.value_bytes()) break;
-    candidate_cache_.drop_pending_placements(work, work.pending_placements.size() / 2);
+    candidate_cache_.drop_pending_placements(state, state.pending_placements.size() / 2);
   }
 }
 
 // Puts the chosen placements into the record, with the conditions that they rest on.
-void RangeWriter::record_placements(const Job& job, const RangeState& work,
+void RangeWriter::record_placements(const Job& job, const RangeState& state,
                                     wire::RangeRecord& record, Transaction& transaction) {
   const wire::JobSpec& spec = job.record.spec;
   // A cancellation or a change of a machine's standing in between voids the placement.
   transaction.conditions.push_back(context_.state_client.unchanged(wire::job_key(spec.id)));
   record.owner = context_.settings.name;
   std::set<std::string> owners;  // of the machines
-  for (const auto& [task, placement] : work.pending_placements) {
+  for (const auto& [task, placement] : state.pending_placements) {
     record.placed[task] = placement;
     record.next_attempt = std::max(record.next_attempt, placement.attempt + 1);
     const auto* machine = context_.replica.machine(placement.machine);
@@ -218,22 +218,22 @@
 void RangeWriter::on_written(Ms now, const RangeId& id, TxnResult result) {
   auto it = ranges_.find(id);
   if (it == ranges_.end()) return;
-  RangeState& work = it->second;
+  RangeState& state = it->second;
   pass_trigger_.request();
   const bool not_executed = result == TxnResult::refused || result == TxnResult::rejected;
   if (result == TxnResult::unknown) {
     // Guards against a late write that fills a lease or a machine a second time.
-    work.write_uncertain = true;
-  } else if (result == TxnResult::committed || (not_executed && !work.write_uncertain)) {
-    candidate_cache_.clear_pending_placements(work);
+    state.write_uncertain = true;
+  } else if (result == TxnResult::committed || (not_executed && !state.write_uncertain)) {
+    candidate_cache_.clear_pending_placements(state);
   }
   if (result == TxnResult::committed) {
-    work.busy = false;
+    state.busy = false;
     return;  // starts follow from the changed machines
   }
   if (not_executed) {
-    work.busy = false;
-    work.retry_at = now + kRefusedRetryMs;
+    state.busy = false;
+    state.retry_at = now + kRefusedRetryMs;
     return;
   }
   context_.state_client.wait_until_settled(now, [this, id, result](Ms) {
--- a/src/scheduling/range_writer.h
+++ b/src/scheduling/range_writer.h
@@ -38,16 +38,17 @@
   void write(const RangeId& id);
 
  private:
-  static bool record_completions(const wire::JobSpec& spec, RangeState& work,
+  static bool record_completions(const wire::JobSpec& spec, RangeState& state,
                                  wire::RangeRecord& record);
-  static bool record_stop(const wire::JobSpec& spec, const RangeState& work,
+  static bool record_stop(const wire::JobSpec& spec, const RangeState& state,
                           wire::RangeRecord& record);
   // Puts the chosen placements into the record, or takes them back if it is full. True if anything
   // has changed.
   bool add_placements(const Job& job, RangeState& state, wire::RangeRecord& record,
                       Transaction& transaction);
-  void fit_placements(const wire::JobSpec& spec, RangeState& work, const wire::RangeRecord& record);
-  void record_placements(const Job& job, const RangeState& work, wire::RangeRecord& record,
+  void fit_placements(const wire::JobSpec& spec, RangeState& state,
+                      const wire::RangeRecord& record);
+  void record_placements(const Job& job, const RangeState& state, wire::RangeRecord& record,
                          Transaction& transaction);
   bool write_pieces(const Job& job, const wire::RangeRecord& record, Transaction& transaction);
   void on_written(Ms now, const RangeId& id, TxnResult result);
--- a/src/scheduling/service_placement.cpp
+++ b/src/scheduling/service_placement.cpp
@@ -23,7 +23,7 @@
   const wire::JobSpec& spec = job.record.spec;
   RangeState& state = ranges_[id];
   const std::size_t most = planner_.max_placements(range.end - range.begin);
-  std::uint32_t without_grant = 0;
+  std::uint32_t without_quota = 0;
   std::uint32_t without_machine = 0;
   for (std::uint32_t task = range.begin; task < range.end; ++task) {
     if (!state.is_unstarted(range, task)) continue;
@@ -31,7 +31,7 @@
         range.placed.size() + state.pending_placements.size() >= most + state.released.size())
       break;
     if (!quota_.allows(pass.used, spec)) {
-      ++without_grant;
+      ++without_quota;
       continue;
     }
     const int machine = pick_for_replica(pass, job, task);
@@ -41,7 +41,7 @@
       break;  // others may go where a result of these is kept
     }
   }
-  quota_.add_demand(spec, without_grant);
+  quota_.add_demand(spec, without_quota);
 }
 
 int ServicePlacement::pick_local_for_replica(SchedulingPass& pass, ReplicaChoice choice) {
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -215,15 +215,15 @@
 }
 
 template <>
-Decoded<GossipMessage> decode<GossipMessage>(std::string_view bytes) {
-  const Item map = cbor::parse_map(bytes);
+Decoded<GossipMessage> decode<GossipMessage>(std::string_view text) {
+  const Item map = cbor::parse_map(text);
   if (!map) return decode_error("", "a CBOR map");
   return read_gossip(map.get());
 }
 
 template <>
-Decoded<PeerMessage> decode<PeerMessage>(std::string_view bytes) {
-  const Item map = cbor::parse_map(bytes);
+Decoded<PeerMessage> decode<PeerMessage>(std::string_view text) {
+  const Item map = cbor::parse_map(text);
   if (!map) return decode_error("", "a CBOR map");
   std::uint64_t kind = 0;
   if (!cbor::read(map.get(), kRelayKey, kind)) return read_gossip(map.get());
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -63,10 +63,10 @@
 // Reads a gossip message. All but the last two entries are required, and free CPUs are finite.
 // Links that can't be read are left out whole, and cancelled jobs from the first that can't.
 template <>
-Decoded<GossipMessage> decode<GossipMessage>(std::string_view bytes);
+Decoded<GossipMessage> decode<GossipMessage>(std::string_view text);
 // Reads a message of any kind; of relayed ones every entry is required.
 template <>
-Decoded<PeerMessage> decode<PeerMessage>(std::string_view bytes);
+Decoded<PeerMessage> decode<PeerMessage>(std::string_view text);
 
 // A frame on a peer link: four bytes of length, most significant first, then the message. Versions
 // that don't relay take in no more than the size of a gossip message.
