--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -3,6 +3,7 @@
 
 #include <CLI/CLI.hpp>
 #include <chrono>
+#include <cstdio>
 #include <cstdlib>
 #include <iostream>
 #include <random>
@@ -31,9 +32,8 @@
                                        : spdlog::level::info);
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+// Reads the command line and the files, and runs the service until the process is ended.
+int run(int argc, char** argv) {
   CLI::App app{"cluster-scheduler: one controller of a cluster"};
   std::string config;
   std::string options_path;
@@ -44,27 +44,35 @@
   app.add_flag("--check", check, "Check the settings and exit");
   app.set_version_flag("--version", std::string("cluster-scheduler ") + SCHEDULER_VERSION);
   CLI11_PARSE(app, argc, argv);
-  try {
-    auto settings = scheduler::app::load_settings(config);
-    const auto options = options_path.empty() ? scheduler::app::Options{}
-                                              : scheduler::app::load_options(options_path);
-    settings.core.expected_machines = options.machines;
-    settings.core.relays = options.relay;
-    if (check) {
-      const auto problems = scheduler::capacity_problems(settings.core);
-      for (const auto& problem : problems) std::cerr << "cluster-scheduler: " << problem << "\n";
-      if (!problems.empty()) return 1;
-      std::cout << "settings are valid\n";
-      return 0;
-    }
-    set_logging(options.log_level);
-    settings.core.log_debug = spdlog::should_log(spdlog::level::debug);
-    asio::io_context io(1);
-    scheduler::app::Service service(io, settings, options, fresh_seed());
-    service.run();
-  } catch (const std::exception& e) {
-    std::cerr << "cluster-scheduler: " << e.what() << "\n";
-    return 1;
+  auto settings = scheduler::app::load_settings(config);
+  const auto options =
+      options_path.empty() ? scheduler::app::Options{} : scheduler::app::load_options(options_path);
+  settings.core.expected_machines = options.machines;
+  settings.core.relays = options.relay;
+  if (check) {
+    const auto problems = scheduler::capacity_problems(settings.core);
+    for (const auto& problem : problems) std::cerr << "cluster-scheduler: " << problem << "\n";
+    if (!problems.empty()) return 1;
+    std::cout << "settings are valid\n";
+    return 0;
   }
+  set_logging(options.log_level);
+  settings.core.log_debug = spdlog::should_log(spdlog::level::debug);
+  asio::io_context io(1);
+  scheduler::app::Service service(io, settings, options, fresh_seed());
+  service.run();
   return 0;
 }
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  try {
+    return run(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "cluster-scheduler: %s\n", error.what());
+  } catch (...) {
+    std::fputs("cluster-scheduler: unknown error\n", stderr);
+  }
+  return 1;
+}
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <chrono>
+#include <utility>
 
 #include "net/address.h"
 #include "net/limits.h"
@@ -19,11 +20,11 @@
 
 }  // namespace
 
-Service::Service(asio::io_context& io, const NodeSettings& settings, const Options& options,
+Service::Service(asio::io_context& io, const NodeSettings& settings, Options options,
                  std::uint64_t seed)
     : io_(io),
       settings_(settings),
-      options_(options),
+      options_(std::move(options)),
       controller_(settings.core, seed),
       capacity_(capacity_of(settings.core)),
       client_(io, {static_cast<std::size_t>(settings.core.sockets / net::limits::kIdleSocketsShare),
--- a/src/app/service.h
+++ b/src/app/service.h
@@ -19,8 +19,7 @@
  public:
   // Listens at once; throws std::system_error if it can't. Two runs must never have the same
   // `seed`.
-  Service(asio::io_context& io, const NodeSettings& settings, const Options& options,
-          std::uint64_t seed);
+  Service(asio::io_context& io, const NodeSettings& settings, Options options, std::uint64_t seed);
   // Serves until the process ends.
   void run();
 
--- a/src/base/capacity.cpp
+++ b/src/base/capacity.cpp
@@ -40,8 +40,8 @@
 // Bytes of a response that is taken in, by the process's memory: decoding takes about four times as
 // much besides. The least holds any page (512 KiB) and any heartbeat.
 constexpr double kResponseMemoryShare = 1.0 / 16;
-constexpr std::size_t kResponseBytesLeast = 1024 * 1024;
-constexpr std::size_t kResponseBytesMost = 8 * 1024 * 1024;
+constexpr std::size_t kResponseBytesLeast = std::size_t{1024} * 1024;
+constexpr std::size_t kResponseBytesMost = std::size_t{8} * 1024 * 1024;
 
 }  // namespace
 
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -41,7 +41,7 @@
 }
 
 const wire::MachineType* FleetSizer::type_for(const wire::JobSpec& job,
-                                              const std::vector<wire::MachineType>& catalog) const {
+                                              const std::vector<wire::MachineType>& catalog) {
   const wire::MachineType* best = nullptr;
   double best_price = 0;
   for (const auto& type : catalog) {
--- a/src/fleet/fleet_sizer.h
+++ b/src/fleet/fleet_sizer.h
@@ -39,8 +39,8 @@
   // Tasks of the job that have to run side by side for its objective.
   [[nodiscard]] double parallel(const Demand& demand) const;
   // The cheapest allowed type that a task fits on; nullptr if none.
-  [[nodiscard]] const wire::MachineType* type_for(
-      const wire::JobSpec& job, const std::vector<wire::MachineType>& catalog) const;
+  [[nodiscard]] static const wire::MachineType* type_for(
+      const wire::JobSpec& job, const std::vector<wire::MachineType>& catalog);
   // A number of machines of a type that must be held, counting only those of the zone ("" for
   // any) and, if set, only ordinary ones.
   struct Need {
--- a/src/links/monitor.cpp
+++ b/src/links/monitor.cpp
@@ -107,7 +107,7 @@
   return {true, Reason::outage, "", age};
 }
 
-bool Monitor::may_reach(const wire::LinkRow& row, const std::string& zone) const {
+bool Monitor::may_reach(const wire::LinkRow& row, const std::string& zone) {
   const auto links = row.workers.find(zone);
   return links == row.workers.end() ||
          (links->second.reports != Status::down && links->second.commands != Status::down);
--- a/src/links/monitor.h
+++ b/src/links/monitor.h
@@ -91,7 +91,7 @@
 
  private:
   // A fresh row whose controller is known to reach the workers of the zone, or may.
-  [[nodiscard]] bool may_reach(const wire::LinkRow& row, const std::string& zone) const;
+  [[nodiscard]] static bool may_reach(const wire::LinkRow& row, const std::string& zone);
   // The controller has heard workers after our links to those zones went down, or knows none.
   static bool heard_since(const Moment& moment, const Matrix::Entry& entry,
                           const std::vector<std::string>& zones, Ms since_wall);
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -7,14 +7,14 @@
 namespace scheduler::net::limits {
 
 // Bytes of a request body (PROTOCOL: 64 KiB).
-constexpr std::size_t kBodyBytes = 64 * 1024;
+constexpr std::size_t kBodyBytes = std::size_t{64} * 1024;
 // Bytes of a request's line and headers; ours and our callers' take a few hundred.
-constexpr std::size_t kHeaderBytes = 16 * 1024;
+constexpr std::size_t kHeaderBytes = std::size_t{16} * 1024;
 // Bytes of a response that is taken in unless the process's memory allows less. A watch may bring
 // many changes at once.
-constexpr std::size_t kResponseBytes = 8 * 1024 * 1024;
+constexpr std::size_t kResponseBytes = std::size_t{8} * 1024 * 1024;
 // Bytes read at once.
-constexpr std::size_t kReadBytes = 8 * 1024;
+constexpr std::size_t kReadBytes = std::size_t{8} * 1024;
 // Milliseconds after which a connection of a client that sends nothing is closed. Users poll every
 // 5 s and workers send heartbeats every few seconds, so one this quiet has been given up.
 constexpr std::int64_t kServerIdleMs = 90'000;
@@ -46,6 +46,6 @@
 constexpr std::int64_t kPeerRetryMs = 1'000;
 // Bytes that may wait on a peer link; more are dropped, since any message between controllers may
 // be lost. Two of the largest messages that are relayed for others.
-constexpr std::size_t kPeerQueueBytes = 160 * 1024;
+constexpr std::size_t kPeerQueueBytes = std::size_t{160} * 1024;
 
 }  // namespace scheduler::net::limits
--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -55,7 +55,7 @@
   }
 
  private:
-  double used(const std::string& who) const {
+  [[nodiscard]] double used(const std::string& who) const {
     const auto entry = in_.used.find(who);
     return entry == in_.used.end() ? 0.0 : entry->second.*field_;
   }
--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -122,8 +122,11 @@
     for (const auto& [at, fresh] : booked) chosen.push_back(at);
     return chosen;
   }
-  for (auto it = booked.rbegin(); it != booked.rend(); ++it)
-    pass.candidates[static_cast<std::size_t>(it->first)]->unbook(spec, it->second);
+  while (!booked.empty()) {
+    const auto& [machine, image_was_new] = booked.back();
+    pass.candidate(machine).unbook(spec, image_was_new);
+    booked.pop_back();
+  }
   return chosen;
 }
 
--- a/src/scheduling/range_split.cpp
+++ b/src/scheduling/range_split.cpp
@@ -41,24 +41,24 @@
   return std::next(range.placed.begin(), half)->first;
 }
 
-void split_into(const wire::RangeRecord& range, std::size_t limit_bytes,
-                std::vector<wire::RangeRecord>& pieces) {
-  const bool single = range.end - range.begin < 2;
-  if (single || encode(range).size() <= limit_bytes) {
-    pieces.push_back(range);
-    return;
-  }
-  const std::uint32_t cut = std::clamp(middle(range), range.begin + 1, range.end - 1);
-  split_into(slice(range, range.begin, cut), limit_bytes, pieces);
-  split_into(slice(range, cut, range.end), limit_bytes, pieces);
-}
-
 }  // namespace
 
 std::vector<wire::RangeRecord> split_to_fit(const wire::RangeRecord& range,
                                             std::size_t limit_bytes) {
   std::vector<wire::RangeRecord> pieces;
-  split_into(range, limit_bytes, pieces);
+  std::vector<wire::RangeRecord> open{range};  // the first tasks last
+  while (!open.empty()) {
+    const wire::RangeRecord next = std::move(open.back());
+    open.pop_back();
+    const bool single = next.end - next.begin < 2;
+    if (single || encode(next).size() <= limit_bytes) {
+      pieces.push_back(next);
+      continue;
+    }
+    const std::uint32_t cut = std::clamp(middle(next), next.begin + 1, next.end - 1);
+    open.push_back(slice(next, cut, next.end));
+    open.push_back(slice(next, next.begin, cut));
+  }
   return pieces;
 }
 
--- a/src/scheduling/work_stealing.cpp
+++ b/src/scheduling/work_stealing.cpp
@@ -87,7 +87,7 @@
   write_stolen_range(best->range, best->first, {best->range.job, number});
 }
 
-double WorkStealing::free_capacity_for(SchedulingPass& pass, const wire::JobSpec& spec) const {
+double WorkStealing::free_capacity_for(SchedulingPass& pass, const wire::JobSpec& spec) {
   auto [at, fresh] = pass.free_capacity.try_emplace(
       {spec.cpus, spec.gpus, spec.memory_gb, spec.spot, spec.types, spec.zone}, 0.0);
   if (!fresh) return at->second;
--- a/src/scheduling/work_stealing.h
+++ b/src/scheduling/work_stealing.h
@@ -46,7 +46,7 @@
   // Whether the range has waited for its owner for long enough.
   bool has_waited(Ms now, const RangeId& id, const wire::RangeRecord& range);
   // Tasks of the job that our shard has capacity for; counted once a pass for each shape.
-  double free_capacity_for(SchedulingPass& pass, const wire::JobSpec& spec) const;
+  static double free_capacity_for(SchedulingPass& pass, const wire::JobSpec& spec);
   void write_stolen_range(const RangeId& from, std::uint32_t first, const RangeId& to);
 
   const Context& context_;
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -118,7 +118,7 @@
 
   void remove_range(const RangeId& id, Job& job);
   void remove_job(const std::string& id);
-  void add_unrecorded_ranges(const std::string& id, Job& job);
+  static void add_unrecorded_ranges(const std::string& id, Job& job);
   // Takes over the difference between two versions of a range; either may be missing. The cost of
   // a change is that of what changed, not of all that the range holds.
   void update_range(const RangeId& id, Job& job, const wire::RangeRecord* before,
--- a/src/state/transaction_queue.cpp
+++ b/src/state/transaction_queue.cpp
@@ -239,7 +239,10 @@
 
 // To the head of the queue, in the order in which they were.
 void TransactionQueue::requeue(std::vector<Transaction> group) {
-  for (auto it = group.rbegin(); it != group.rend(); ++it) queue_.push_front(std::move(*it));
+  while (!group.empty()) {
+    queue_.push_front(std::move(group.back()));
+    group.pop_back();
+  }
 }
 
 // Guards against asking for the same again at once and for ever: whoever asked hears of it after a
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -158,7 +158,7 @@
 };
 // What a worker is to do with one attempt of a task.
 struct Command {
-  CommandKind kind;
+  CommandKind kind = CommandKind::start;
   TaskId task;
   std::uint64_t attempt = 0;
   double grace_s = 0;  // seconds in which a stopped task may write a checkpoint
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -70,7 +70,8 @@
 
 // A frame on a peer link: four bytes of length, most significant first, then the message. Versions
 // that don't relay take in no more than the size of a gossip message.
-constexpr std::size_t kGossipBytesMost = 4096;     // bytes; a gossip message takes about 300
-constexpr std::size_t kPeerFrameMost = 80 * 1024;  // bytes; a relayed body takes up to 64 KiB
+constexpr std::size_t kGossipBytesMost = 4096;  // bytes; a gossip message takes about 300
+constexpr std::size_t kPeerFrameMost =
+    std::size_t{80} * 1024;  // bytes; a relayed body takes up to 64 KiB
 
 }  // namespace scheduler::wire
--- a/src/wire/state_service.h
+++ b/src/wire/state_service.h
@@ -23,7 +23,7 @@
 namespace scheduler::wire {
 
 // Bytes of one transaction's body (PROTOCOL allows 64 KiB), with room for its frame.
-constexpr std::size_t kTransactionBytes = 56 * 1024;
+constexpr std::size_t kTransactionBytes = std::size_t{56} * 1024;
 // Conditions allowed in a transaction for each of the writes allowed (PROTOCOL).
 constexpr std::size_t kConditionsPerWrite = 4;
 
--- a/src/workers/heartbeat_applier.h
+++ b/src/workers/heartbeat_applier.h
@@ -34,7 +34,7 @@
   void begin_incarnation(Ms now, Machine& machine);
   // Takes over address, type, tokens and preemption notice. True if that changes what the machine
   // can do.
-  bool apply_attributes(Ms now, Machine& machine, const wire::Heartbeat& heartbeat);
+  static bool apply_attributes(Ms now, Machine& machine, const wire::Heartbeat& heartbeat);
   // Takes over the listed tasks. True if that changes what the machine holds.
   bool apply_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat);
   // Remembers that the image of a task is on its machine.
--- a/src/workers/machine_monitor.cpp
+++ b/src/workers/machine_monitor.cpp
@@ -60,7 +60,7 @@
              context_.settings.lease_s * 1000.0 * (1.0 + kClockDrift) + kLeaseMarginMs;
 }
 
-void MachineMonitor::drain(Machine& machine) {
+void MachineMonitor::drain(Machine& machine) const {
   for (const auto& [task, seen] : machine.tasks) {
     const Job* job = context_.replica.job(task.job);
     if (!job || seen.state == wire::TaskState::exited || machine.stop_requests.contains(task))
--- a/src/workers/machine_monitor.h
+++ b/src/workers/machine_monitor.h
@@ -60,7 +60,7 @@
   [[nodiscard]] bool restart_elsewhere_first(const Machine& machine) const;
 
   // What still runs on a quarantined machine is stopped; it is returned once it is empty.
-  void drain(Machine& machine);
+  void drain(Machine& machine) const;
   // The cloud takes the machine away soon.
   void drain_before_preemption(Ms now, Machine& machine);
   // Stops a replica whose machine is about to go, so that it starts elsewhere.
--- a/src/workers/relay.cpp
+++ b/src/workers/relay.cpp
@@ -18,7 +18,7 @@
 // The same for a heartbeat; the worker waits 4 s for its answer (PROTOCOL).
 constexpr std::int64_t kRelayedReportMs = 3000;
 // Bytes of a body that is passed on; a heartbeat of a full machine takes about 20 KiB.
-constexpr std::size_t kRelayedBytesMost = 60 * 1024;
+constexpr std::size_t kRelayedBytesMost = std::size_t{60} * 1024;
 // Milliseconds between workers of a zone that are sent to their owner although it doesn't hear the
 // zone: each such attempt costs that worker five seconds of its lease.
 constexpr std::int64_t kDirectAttemptMs = 10'000;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -43,7 +43,7 @@
   const auto job = spec(4);
   Candidate free = machine("a", 8, 8);
   EXPECT_DOUBLE_EQ(predict_finish(kNow, free, job), 62);
-  free.images.push_back("i");
+  free.images.emplace_back("i");
   EXPECT_DOUBLE_EQ(predict_finish(kNow, free, job), 60);
   EXPECT_DOUBLE_EQ(predict_finish(kNow, machine("b", 8, 2), job), 92);
   EXPECT_GT(predict_finish(kNow, machine("c", 2, 2), job), 1e6);  // never fits
@@ -63,6 +63,7 @@
     machines.push_back(machine(std::to_string(i), 8, i == 13 ? 8 : 1));
     all.push_back(i);
   }
+  pool.reserve(machines.size());
   for (auto& m : machines) pool.push_back(&m);
   for (int n = 0; n < 50; ++n) EXPECT_EQ(pick_of_two(kNow, pool, spec(4), all, random), 13);
   machines[13].free.cpus = 0;
@@ -78,9 +79,10 @@
   std::vector<int> all;
   for (int i = 0; i < 8; ++i) {
     machines.push_back(machine(std::to_string(i), 8, 8));
-    if (i < 2) machines.back().images.push_back("i");
+    if (i < 2) machines.back().images.emplace_back("i");
     all.push_back(i);
   }
+  pool.reserve(machines.size());
   for (auto& m : machines) pool.push_back(&m);
   int hits = 0;
   for (int n = 0; n < 4000; ++n) hits += pick_of_two(kNow, pool, spec(1), all, random) < 2;
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -56,7 +56,7 @@
     client_ = std::make_unique<net::HttpClient>(io_, net::HttpClient::Limits{16});
     const auto state = free_endpoint(io_);
     state_server_ = std::make_unique<net::HttpServer>(
-        io_, state, 100, [this](std::uint64_t id, net::HttpServer::Request r) {
+        io_, state, 100, [this](std::uint64_t id, const net::HttpServer::Request& r) {
           Call call;
           call.method = r.method;
           call.path = r.path;
@@ -125,7 +125,7 @@
     rmdir(folder_.c_str());
   }
 
-  std::string settings() const { return folder_ + "/settings.toml"; }
+  [[nodiscard]] std::string settings() const { return folder_ + "/settings.toml"; }
 
   void start() {
     child_ = fork();
@@ -170,29 +170,31 @@
     std::string loads;
     for (auto& [name, task] : tasks_) {
       if (task.reports++ > 1) task.done = true;
-      loads += (loads.empty() ? "" : ",") + std::string("{\"load\":\"") + name +
-               "\",\"try\":" + std::to_string(task.attempt) +
+      loads += (loads.empty() ? "" : ",") + std::string(R"({"load":")") + name + R"(","try":)" +
+               std::to_string(task.attempt) +
                (task.done ? R"(,"status":"exited","cause":"done"})" : R"(,"status":"running"})");
     }
     const std::string body = R"({"rig":"n-000001","endpoint":")" + worker_ +
                              R"(","fleet":"t","yard":"a","standby":false,"shift":1,"tally":)" +
                              std::to_string(++tally_) + ",\"baton\":" + std::to_string(token_) +
-                             ",\"warningS\":null,\"loads\":[" + loads + "]}";
-    client_->send({bind_, "POST", "/hello", body, 2000}, [this](int status, std::string answer) {
-      reporting_ = false;
-      rapidjson::Document doc;
-      if (status != 200 || !wire::parse_object(answer, doc)) return;
-      if (doc["baton"].GetUint64() < token_) return;
-      token_ = doc["baton"].GetUint64();
-      for (const auto& o : doc["orders"].GetArray()) {
-        const std::string verb = o["verb"].GetString(), name = o["load"].GetString();
-        if (verb == "clear") tasks_.erase(name);
-        if (verb == "start" && !tasks_.contains(name)) {
-          tasks_[name].attempt = o["try"].GetUint64();
-          ++starts_;
-        }
-      }
-    });
+                             R"(,"warningS":null,"loads":[)" + loads + "]}";
+    client_->send({bind_, "POST", "/hello", body, 2000},
+                  [this](int status, const std::string& answer) {
+                    reporting_ = false;
+                    rapidjson::Document doc;
+                    if (status != 200 || !wire::parse_object(answer, doc)) return;
+                    if (doc["baton"].GetUint64() < token_) return;
+                    token_ = doc["baton"].GetUint64();
+                    for (const auto& o : doc["orders"].GetArray()) {
+                      const std::string verb = o["verb"].GetString();
+                      const std::string name = o["load"].GetString();
+                      if (verb == "clear") tasks_.erase(name);
+                      if (verb == "start" && !tasks_.contains(name)) {
+                        tasks_[name].attempt = o["try"].GetUint64();
+                        ++starts_;
+                      }
+                    }
+                  });
   }
 
   struct Task {
--- a/tests/links_monitor_test.cpp
+++ b/tests/links_monitor_test.cpp
@@ -59,9 +59,9 @@
   static MonitorSettings settings() {
     return {"a", {"b", "c"}, kHeartbeatIntervalMs, kGossipIntervalMs, true};
   }
-  [[nodiscard]] Moment at(Ms now) const { return {now, now + kWallOffset}; }
+  [[nodiscard]] static Moment at(Ms now) { return {now, now + kWallOffset}; }
 
-  [[nodiscard]] wire::LinkRow row(const std::string& name, Status state, Ms as_of) const {
+  [[nodiscard]] static wire::LinkRow row(const std::string& name, Status state, Ms as_of) {
     wire::LinkRow out = row_of(name, as_of + kWallOffset, state);
     out.heard = {{"a", Status::up}};
     out.relays = true;
--- a/tests/scale_sim_test.cpp
+++ b/tests/scale_sim_test.cpp
@@ -63,7 +63,7 @@
 }
 
 Result run_large(const Options& options) {
-  const Result r = SimulatedCluster(options).run();
+  Result r = SimulatedCluster(options).run();
   report(r);
   EXPECT_THAT(r, has_no_violations());
   EXPECT_THAT(r, has_no_unfinished_jobs());
@@ -173,9 +173,9 @@
   Options o = large_fleet(4000, 3);
   o.upgrade_from = 30'000;
   o.limits_drop_at = 60'000;
-  o.limits_after = {8, 2 * 1024, 20};
+  o.limits_after = {8, 2048, 20};
   o.fault_ms = 90'000;
-  const Result r = SimulatedCluster(o).run();
+  Result r = SimulatedCluster(o).run();
   report(r);
   EXPECT_THAT(r, has_no_violations());
   EXPECT_THAT(r, has_no_unfinished_jobs());
--- a/tests/sim/fake_state_service.h
+++ b/tests/sim/fake_state_service.h
@@ -46,7 +46,7 @@
 // errors"). Every request is checked against the limits of its moment; what is stored stays.
 struct StateLimits {
   unsigned txn_ops = 24;  // puts and deletes; four times as many conditions
-  std::size_t value_bytes = 8 * 1024;
+  std::size_t value_bytes = std::size_t{8} * 1024;
   double writes_per_s = 0;  // 0: no limit
 };
 
@@ -148,7 +148,7 @@
 
   [[nodiscard]] bool too_large(const std::string& body, const wire::Json& transaction) const {
     const auto& writes = transaction["writes"];
-    if (body.size() > 64 * 1024 || writes.Size() > limits.txn_ops ||
+    if (body.size() > std::size_t{64} * 1024 || writes.Size() > limits.txn_ops ||
         transaction["guards"].Size() > 4 * limits.txn_ops)
       return true;
     return std::any_of(writes.Begin(), writes.End(), [this](const wire::Json& w) {
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -153,7 +153,7 @@
       if (!t.present) continue;
       const auto& job = jobs_.at(task.job);
       used[job.spec.team] += job.spec.cpus;
-      if (job.cancelled_at && now_ - job.cancelled_at > settings_.cancel_s * 1000)
+      if (job.cancelled_at && now_ - job.cancelled_at > to_ms(settings_.cancel_s))
         report_violation("ran_cancelled", wire::task_name(task.job, task.index) + " on " + id);
     }
   }
--- a/tests/sim/machines.cpp
+++ b/tests/sim/machines.cpp
@@ -62,7 +62,7 @@
   at(now_ + options_.worker_step_ms, [this, id, life] { tick_worker(id, life); });
 }
 
-std::string SimulatedCluster::heartbeat_body(SimulatedWorker& w) {
+std::string SimulatedCluster::heartbeat_body(SimulatedWorker& w) const {
   Put p;
   p.str("rig", w.id);
   p.str("endpoint", w.address);
@@ -129,7 +129,8 @@
   if (w.hanging) return;
   if (w.unreachable_since) status = 0;
   const Ms interval = to_ms(options_.heartbeat_interval_s);
-  w.next_heartbeat_at = now_ + (w.changed ? 500 : interval * 3 / 4 + random(interval / 2));
+  w.next_heartbeat_at =
+      now_ + (w.changed ? 500 : interval * 3 / 4 + random(static_cast<int>(interval / 2)));
   w.changed = false;
   rapidjson::Document doc;
   if (status == 200 && wire::parse_object(body, doc) && doc.HasMember("baton")) {
--- a/tests/sim/options.h
+++ b/tests/sim/options.h
@@ -90,7 +90,7 @@
   Ms upgrade_from = 0;      // restart of the first; 0: all run the new version from the start
   Ms upgrade_every = 8000;  // time between the restarts
   Ms limits_drop_at = 0;    // the state service's limits become `limits_after`; 0: never
-  StateLimits limits_after{8, 2 * 1024, 28};
+  StateLimits limits_after{8, std::size_t{2} * 1024, 28};
 
   // ---- granularity; coarser for large fleets ----
 
--- a/tests/sim/simulated_cluster.h
+++ b/tests/sim/simulated_cluster.h
@@ -140,7 +140,7 @@
   void expire_worker_lease(SimulatedWorker& w);
   // All tasks are gone from the machine.
   void clear_tasks(SimulatedWorker& w);
-  std::string heartbeat_body(SimulatedWorker& w);
+  std::string heartbeat_body(SimulatedWorker& w) const;
   void send_heartbeat(SimulatedWorker& w);
   void on_heartbeat_reply(const Heartbeat& heartbeat, int status, const std::string& body);
   void renew_worker_lease(SimulatedWorker& w, const Heartbeat& heartbeat, const wire::Json& reply);
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -470,7 +470,7 @@
 }
 
 TEST_F(StateClientTest, WritesStayWithinTheRateOfTheService) {
-  state_.set_limits(now_, {24, 8 * 1024, settings_.state_write_rps});
+  state_.set_limits(now_, {24, 8192, settings_.state_write_rps});
   run(1000);
   for (int i = 0; i < 600; ++i) client_.submit(write("job/" + std::to_string(i)));
   run(2000);
@@ -499,7 +499,7 @@
 }
 
 TEST_F(StateClientTest, ThrottledTransactionsAreSentAgain) {
-  state_.set_limits(now_, {24, 8 * 1024, 10});
+  state_.set_limits(now_, {24, 8192, 10});
   run(1000);
   for (int i = 0; i < 20; ++i) client_.submit(write("job/" + std::to_string(i)));
   settings_.txn_ops = 10;
--- a/tests/support/single_controller_test.h
+++ b/tests/support/single_controller_test.h
@@ -193,13 +193,13 @@
     if (id == std::string("n-1")) sequence_ = std::max(sequence_, sequence);
     controller_->on_request(now_, request, {"POST", "/hello", body(incarnation_, sequence, id)});
     pump();
-    const HttpReply a = answers_[request];
+    HttpReply reply = answers_[request];
     rapidjson::Document doc;
-    if (receives_replies_ && a.status == 200 && wire::parse_object(a.body, doc)) {
+    if (receives_replies_ && reply.status == 200 && wire::parse_object(reply.body, doc)) {
       token_ = std::max(token_, doc["baton"].GetUint64());
       execute_commands_of(doc["orders"]);
     }
-    return a;
+    return reply;
   }
 
   // A heartbeat that was sent before the machine had any task arrives only now.
