--- a/src/membership/cluster_view.cpp
+++ b/src/membership/cluster_view.cpp
@@ -7,31 +7,32 @@
 
 namespace {
 
-// Bits of a token below the epoch: fences raised per machine within one epoch.
+// Low bits of a token below the epoch. They count the fences raised for one machine within one
+// epoch.
 constexpr int kFenceBits = 24;
 
 }  // namespace
 
 namespace {
-// FNV-1a with a final mix: the hash must be the same in every process, unlike std::hash.
-std::uint64_t weight(std::string_view key, std::string_view candidate) {
-  std::uint64_t h = 14695981039346656037ULL;
-  auto feed = [&h](std::string_view s) {
-    for (const char c : s) {
-      h ^= static_cast<unsigned char>(c);
-      h *= 1099511628211ULL;
+// FNV-1a with a final mix. Unlike std::hash it gives the same value in every process.
+std::uint64_t hash_pair(std::string_view key, std::string_view candidate) {
+  std::uint64_t hash = 14695981039346656037ULL;
+  auto add_bytes = [&hash](std::string_view bytes) {
+    for (const char c : bytes) {
+      hash ^= static_cast<unsigned char>(c);
+      hash *= 1099511628211ULL;
     }
-    h ^= 0xff;
-    h *= 1099511628211ULL;
+    hash ^= 0xff;
+    hash *= 1099511628211ULL;
   };
-  feed(key);
-  feed(candidate);
-  h ^= h >> 33;
-  h *= 0xff51afd7ed558ccdULL;
-  h ^= h >> 33;
-  h *= 0xc4ceb9fe1a85ec53ULL;
-  h ^= h >> 33;
-  return h;
+  add_bytes(key);
+  add_bytes(candidate);
+  hash ^= hash >> 33;
+  hash *= 0xff51afd7ed558ccdULL;
+  hash ^= hash >> 33;
+  hash *= 0xc4ceb9fe1a85ec53ULL;
+  hash ^= hash >> 33;
+  return hash;
 }
 }  // namespace
 
@@ -42,9 +43,11 @@
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const double share = shares.empty() ? 1.0 : shares[i];
     if (share <= 0) continue;
-    // Weighted highest random weight: a uniform number in (0, 1), by its logarithm.
-    const double u = (static_cast<double>(weight(key, candidates[i]) >> 11U) + 0.5) * 0x1p-53;
-    const double score = std::log(u) / share;  // negative: the nearest to zero wins
+    // Weighted rendezvous hashing: the score is the logarithm of a uniform number in (0, 1),
+    // divided by the share.
+    const double uniform =
+        (static_cast<double>(hash_pair(key, candidates[i]) >> 11U) + 0.5) * 0x1p-53;
+    const double score = std::log(uniform) / share;  // negative: the nearest to zero wins
     if (!best || score > best_score) {
       best = &candidates[i];
       best_score = score;
@@ -55,7 +58,7 @@
 
 ClusterView::ClusterView(const Settings& settings) : zones_(settings.zones) {
   zone_of_[settings.name] = settings.zone;
-  for (const auto& p : settings.peers) zone_of_[p.name] = p.zone;
+  for (const auto& peer : settings.peers) zone_of_[peer.name] = peer.zone;
 }
 
 void ClusterView::update(const wire::ViewRecord& view) {
@@ -71,27 +74,30 @@
   }
   if (owners_.empty()) owners_ = live_;
   for (const auto& name : owners_) {
-    if (auto z = zone_of_.find(name); z != zone_of_.end()) by_zone_[z->second].push_back(name);
+    if (auto zone_entry = zone_of_.find(name); zone_entry != zone_of_.end())
+      by_zone_[zone_entry->second].push_back(name);
   }
-  // Zones count alike, since how many machines each will have is not known. Guards against a
-  // controller that is alone in its zone carrying nearly half of the fleet.
-  double all = 0;
-  std::vector<double> own(owners_.size(), 0.0);
+  // Every configured zone counts the same, since the number of machines in each is not known in
+  // advance. An owner's share of the machines in zones without a controller is an equal part of all
+  // zones minus its part of its own zone. Guards against a controller that is the only one in its
+  // zone owning nearly half of the fleet.
+  double total_share = 0;
+  std::vector<double> own_zone_shares(owners_.size(), 0.0);
   for (std::size_t i = 0; i < owners_.size(); ++i) {
-    auto z = zone_of_.find(owners_[i]);
-    if (z == zone_of_.end()) continue;
-    if (std::find(zones_.begin(), zones_.end(), z->second) == zones_.end()) continue;
-    own[i] = 1.0 / static_cast<double>(by_zone_[z->second].size());
+    auto zone_entry = zone_of_.find(owners_[i]);
+    if (zone_entry == zone_of_.end()) continue;
+    if (std::find(zones_.begin(), zones_.end(), zone_entry->second) == zones_.end()) continue;
+    own_zone_shares[i] = 1.0 / static_cast<double>(by_zone_[zone_entry->second].size());
   }
-  const double each =
+  const double equal_share =
       owners_.empty() ? 0.0
                       : static_cast<double>(zones_.size()) / static_cast<double>(owners_.size());
   shares_.clear();
-  for (const double o : own) {
-    shares_.push_back(std::max(0.0, each - o));
-    all += shares_.back();
+  for (const double own_zone_share : own_zone_shares) {
+    shares_.push_back(std::max(0.0, equal_share - own_zone_share));
+    total_share += shares_.back();
   }
-  if (all <= 0) shares_.assign(owners_.size(), 1.0);
+  if (total_share <= 0) shares_.assign(owners_.size(), 1.0);
 }
 
 bool ClusterView::is_live(const std::string& name) const {
--- a/src/membership/cluster_view.h
+++ b/src/membership/cluster_view.h
@@ -1,4 +1,5 @@
-// Who is live, who owns which machine, and the tokens that prove it. Pure functions of the view.
+// Which controllers are live, which of them owns each machine and range, and the tokens that prove
+// ownership. Pure functions of the view.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +14,10 @@
 
 namespace scheduler {
 
-// The live controller that a name is hashed to (highest random weight), or empty. With shares, each
-// gets that part of all names; they are as many as the candidates and not all zero.
+// Returns the candidate that the key is assigned to by rendezvous hashing (highest random weight),
+// or an empty string if there is none. With `shares`, each candidate gets keys in proportion to its
+// share. `shares` is empty, or has one entry for each candidate of which at least one is above
+// zero.
 std::string rendezvous(std::string_view key, const std::vector<std::string>& candidates,
                        const std::vector<double>& shares = {});
 
@@ -23,7 +26,7 @@
   explicit ClusterView(const Settings& settings);
 
   void update(const wire::ViewRecord& view);
-  // Whether a view has been read.
+  // Whether any view has been read.
   bool known() const { return known_; }
   std::uint64_t epoch() const { return epoch_; }
   const std::vector<std::string>& live() const { return live_; }
@@ -31,11 +34,12 @@
   const std::vector<std::string>& owners() const { return owners_; }
   bool is_live(const std::string& name) const;
 
-  // Machines go to live controllers of their own zone, if there are any: when zones are partitioned
-  // from each other, only a controller on the same side can keep a machine's lease. Those of other
-  // zones go to all, more of them to whom its own zone leaves more time.
+  // A machine is owned by a live controller of its own zone if there is one: when zones are
+  // partitioned from each other, only a controller on the machine's side can renew its lease.
+  // Machines of zones without a controller are divided among all owners; an owner with fewer
+  // machines in its own zone gets more of them.
   const std::string& machine_owner(const std::string& machine, const std::string& zone) const;
-  // A range stays with the controller it was given to while that is live.
+  // A range stays with the recorded controller as long as that one may own ranges.
   std::string range_owner(const std::string& key, const std::string& recorded) const;
   std::string leader_of(std::string_view duty) const { return rendezvous(duty, live_); }
 
@@ -48,10 +52,11 @@
   bool known_ = false;
   std::uint64_t epoch_ = 0;
   std::vector<std::string> live_;
-  std::vector<std::string> owners_;  // of those, the ones that workers can reach
+  std::vector<std::string> owners_;  // the live controllers that workers can reach
   std::map<std::string, std::vector<std::string>> by_zone_;
   std::vector<std::string> zones_;
-  std::vector<double> shares_;  // of the machines of zones without a controller, as owners_
+  // For each of owners_, its share of the machines in zones without a controller.
+  std::vector<double> shares_;
   mutable std::map<std::string, std::string> owner_cache_;
 };
 
--- a/src/membership/context.h
+++ b/src/membership/context.h
@@ -1,6 +1,6 @@
-// What the components of one controller have in common: its settings, its replica of the records,
-// the state service, and the ways to send requests, to reply and to log. Components keep a
-// reference to it; it outlives them.
+// Objects shared by the components of one controller: its settings, its replica of the records, the
+// state service, and the functions to send requests, to reply and to log. Components keep a
+// reference to the context, which outlives them.
 #pragma once
 
 #include <algorithm>
@@ -24,54 +24,55 @@
 
   const Settings& settings;
   const Capacity& capacity;
-  // Components only read it. What is learned of a final state beside the watch is added by
-  // JobReader.
+  // Read-only for components, except for JobReader, which adds final states that it reads without
+  // the watch.
   Replica& replica;
   StateClient& state_client;
   const ClusterView& cluster_view;
-  // Name of this run of the program; no two runs of any controller share one.
+  // Identifies this run of the program; unique among all runs of all controllers.
   const std::string& incarnation;
   StateClient::Send call;
   StateClient::Log log;
-  // Whether transactions may be submitted: in the view, resynchronised, and the state service
-  // answers.
+  // Whether transactions may be submitted: this controller is in the view, is resynchronised after
+  // a process pause, and the state service answers.
   std::function<bool(Ms now)> can_write;
-  // Answers a request of a user or a worker; used through reply(). Empty in tests of components
-  // that have no requests.
+  // Answers a request of a user or a worker; called through reply(). Empty in tests of components
+  // that receive no requests.
   Reply send_reply = {};
 
-  // Answers a request. `retry_after_s`: seconds of the header Retry-After; 0: none.
+  // Answers a request. `retry_after_s`: seconds in the header Retry-After; 0: no such header.
   void reply(std::uint64_t request, int status, std::string body, int retry_after_s = 0) const {
     send_reply(request, status, std::move(body), retry_after_s);
   }
-  // 503: it can't be said or done now, by this controller.
+  // Answers with status 503: this controller can't serve the request at the moment.
   void reply_unavailable(std::uint64_t request, int retry_after_s) const;
 
-  // Condition that nothing has changed in the view since it was last read.
+  // Condition that the view still has the version that the replica holds.
   [[nodiscard]] wire::Compare view_unchanged() const {
     return state_client.unchanged(std::string(wire::kViewKey));
   }
-  // Whether this incarnation is a member of the view.
+  // Whether this incarnation of the controller is in the view.
   [[nodiscard]] bool is_member() const;
-  // Whether this controller is the one that carries out the duty.
+  // Whether this controller is responsible for the duty.
   [[nodiscard]] bool is_leader_of(std::string_view duty) const {
     return cluster_view.leader_of(duty) == settings.name;
   }
-  // Bytes that a value may take, now and after an announced change of the limits.
+  // Maximum size of a value in bytes, both now and after an announced change of the service's
+  // limits.
   [[nodiscard]] double value_bytes() const { return settings.value_kb * 1024.0; }
-  // Bytes that a value written by the former version may take; ours may too until all controllers
-  // run the new one.
+  // Maximum size in bytes of a value written by the previous version. Applies to this controller
+  // too until all controllers run the current version.
   [[nodiscard]] double stored_value_bytes() const {
     const double now = services_enabled() ? 0.0 : settings.stored_value_kb * 1024.0;
     return std::max(now, value_bytes());
   }
-  // Whether services may be accepted: every controller reads their records.
+  // Whether services may be accepted, because every controller can read their records.
   [[nodiscard]] bool services_enabled() const { return replica.format() >= wire::kServiceFormat; }
   // The team, or nullptr if the settings don't name it.
   [[nodiscard]] const Team* team(const std::string& name) const;
-  // Lines of level debug are built only if this is true.
+  // Whether debug logging is enabled; debug lines are built only then.
   [[nodiscard]] bool logs_debug() const { return settings.log_debug; }
-  // Logs a decision that rests on the links, with its evidence.
+  // Logs a decision that is based on the state of the links, with its evidence.
   void log_decision(std::string_view subject, const links::Decision& decision) const;
 };
 
--- a/src/membership/controller_status.cpp
+++ b/src/membership/controller_status.cpp
@@ -4,12 +4,14 @@
 
 namespace {
 
-// Milliseconds without any input after which the process counts as having been paused: twenty looks
-// of kIdleLookMs; a busy processor delays them by less than a second.
-constexpr Ms kPauseMs = 2000;
-// Milliseconds after that within which the state service is to say what has changed meanwhile; then
-// it counts as out of reach, and the controller renews its workers' leases as in an outage.
-constexpr Ms kResynchroniseMs = 1500;
+// Milliseconds without any input after which the process counts as having been paused: twenty times
+// the interval between ticks of an idle controller (100 ms). A busy processor delays an input by
+// less than a second.
+constexpr Ms kPauseThresholdMs = 2000;
+// Milliseconds after a detected pause within which the state service must report what has changed.
+// After that it counts as unreachable, and the controller renews its workers' leases as in an
+// outage.
+constexpr Ms kResynchroniseTimeoutMs = 1500;
 
 }  // namespace
 
@@ -30,12 +32,12 @@
 std::optional<Ms> ControllerStatus::observe_input(Ms now) {
   const Ms gap = now - last_input_at_;
   last_input_at_ = std::max(last_input_at_, now);
-  if (gap > kPauseMs && context_.state_client.loaded()) return gap;
+  if (gap > kPauseThresholdMs && context_.state_client.loaded()) return gap;
   return std::nullopt;
 }
 
 std::uint64_t ControllerStatus::begin_resynchronising(Ms now) {
-  resynchronising_until_ = now + kResynchroniseMs;
+  resynchronising_until_ = now + kResynchroniseTimeoutMs;
   return ++pauses_;
 }
 
--- a/src/membership/controller_status.h
+++ b/src/membership/controller_status.h
@@ -1,5 +1,5 @@
-// Whether this controller may act: in the view, resynchronised after a pause of its process, and
-// not deposed by a newer view.
+// Whether this controller may act: it is in the view, has resynchronised after a pause of its
+// process, and no newer view that it can't read has replaced its own.
 #pragma once
 
 #include <algorithm>
@@ -12,59 +12,61 @@
 
 namespace scheduler {
 
-// Owns the clocks, the count of process pauses and the newest epoch heard of; the rest is read from
-// the components that own it. Only the controller tells it of inputs.
+// Owns the clocks, the number of process pauses and the newest epoch named in any message;
+// everything else is read from the components that own it. Only the controller reports inputs to
+// it.
 class ControllerStatus {
  public:
   explicit ControllerStatus(const Context& context) : context_(context) {}
 
-  // In the view, and every record has been read.
+  // Whether this controller is in the view and has read every record.
   [[nodiscard]] bool ready() const;
-  // Whether transactions may be submitted.
   [[nodiscard]] bool can_write(Ms now) const {
     return ready() && context_.state_client.answering(now) && resynchronised();
   }
-  // A newer view exists that this controller can't read: whoever it names gives the commands now.
+  // Whether a newer view exists that this controller can't read. The owners that the newer view
+  // names then send the commands to the workers.
   [[nodiscard]] bool deposed(Ms now) const;
 
   // ---- process pauses ----
-  // Takes note of an input. The milliseconds since the last one if they mean that the process had
-  // been paused: the processor was taken from it, or the whole machine stopped, while clocks ran
+  // Records an input. Returns the milliseconds since the last input if they mean that the process
+  // was paused: the process got no processor time, or the whole machine stopped, while clocks ran
   // on.
   std::optional<Ms> observe_input(Ms now);
-  // A pause has been found; its number.
+  // Records a detected pause and returns its number, counted from one.
   std::uint64_t begin_resynchronising(Ms now);
-  // The state service has told what changed during the pause.
+  // Records that the state service has reported what changed during the pause.
   void finish_resynchronising() { resynchronising_until_ = 0; }
-  // Paused, and not heard yet from the state service what changed meanwhile; for a while only, then
-  // the state service counts as out of reach.
+  // Whether the process was paused and the state service has not yet reported what changed in the
+  // meantime. Limited in time; then the state service counts as unreachable.
   [[nodiscard]] bool resynchronising(Ms now) const {
     return resynchronising_until_ != 0 && now < resynchronising_until_;
   }
   [[nodiscard]] bool resynchronised() const { return resynchronising_until_ == 0; }
-  // Pauses so far. What was asked before the last one says nothing about now.
+  // Number of pauses so far. Replies to requests sent before the last pause are no evidence of the
+  // current state.
   [[nodiscard]] std::uint64_t pauses() const { return pauses_; }
   [[nodiscard]] Ms last_input_at() const { return last_input_at_; }
 
   // ---- clocks ----
   void start(Ms now, Ms wall);
   void set_wall_clock(Ms now, Ms wall) { wall_offset_ = wall - now; }
-  // Time of day, milliseconds.
+  // Time of day in milliseconds.
   [[nodiscard]] Ms wall(Ms now) const { return now + wall_offset_; }
   [[nodiscard]] links::Moment moment(Ms now) const { return {now, wall(now)}; }
-  // Seconds since a time of day, such as that of a submission.
-  [[nodiscard]] double age_s(Ms now, std::int64_t since_wall) const {
-    return static_cast<double>(wall(now) - since_wall) / 1000.0;
+  // Seconds since a time of day in milliseconds, such as the time of a submission.
+  [[nodiscard]] double age_s(Ms now, std::int64_t wall_time) const {
+    return static_cast<double>(wall(now) - wall_time) / 1000.0;
   }
 
   // ---- epochs ----
-  // Takes note of an epoch that a heartbeat or a gossip message names.
+  // Records an epoch named in a heartbeat or a gossip message.
   void see_epoch(std::uint64_t epoch) { newest_epoch_seen_ = std::max(newest_epoch_seen_, epoch); }
   [[nodiscard]] std::uint64_t newest_epoch_seen() const { return newest_epoch_seen_; }
 
  private:
   const Context& context_;
-  Ms wall_offset_ = 0;  // time of day minus steady time
+  Ms wall_offset_ = 0;  // time of day minus steady clock
   Ms last_input_at_ = 0;
   Ms resynchronising_until_ = 0;  // 0: resynchronised
   std::uint64_t pauses_ = 0;
--- a/src/membership/format_switch.cpp
+++ b/src/membership/format_switch.cpp
@@ -15,7 +15,7 @@
   const auto member = replica.view().live.find(controller);
   if (member == replica.view().live.end()) return wire::kFirstFormat;
   const auto live = replica.live().find(controller);
-  // A live record of another incarnation says nothing about the process that serves now.
+  // A live record of another incarnation does not describe the process that is in the view.
   if (live == replica.live().end() || live->second.incarnation != member->second)
     return wire::kFirstFormat;
   return live->second.format;
@@ -29,15 +29,15 @@
   return names;
 }
 
-std::uint32_t FormatSwitch::supported() const {
+std::uint32_t FormatSwitch::supported_format() const {
   std::uint32_t format = context_.settings.record_format;
   for (const std::string& name : configured_controllers())
     format = std::min(format, announced_format(context_.replica, name));
   return format;
 }
 
-std::optional<Transaction> FormatSwitch::propose() const {
-  const std::uint32_t format = supported();
+std::optional<Transaction> FormatSwitch::propose_switch() const {
+  const std::uint32_t format = supported_format();
   if (format <= context_.replica.format()) return std::nullopt;
   Transaction transaction;
   const std::string key(wire::kFormatKey);
@@ -51,7 +51,7 @@
 
 void FormatSwitch::tick(Ms now) {
   if (write_in_flight_ || !context_.can_write(now)) return;
-  std::optional<Transaction> transaction = propose();
+  std::optional<Transaction> transaction = propose_switch();
   if (!transaction) return;
   write_in_flight_ = true;
   transaction->done = [this](Ms at, TxnResult result, const auto&) {
--- a/src/membership/format_switch.h
+++ b/src/membership/format_switch.h
@@ -1,10 +1,10 @@
 // Decides when records of a newer format may be written.
 //
-// During an upgrade controllers of two versions serve side by side and read each other's records.
-// Each announces in its live record the newest format that it reads. Once every configured
-// controller is in the view and announces a format, that is recorded, and records of that format
-// may be written from then on. Guards against a controller of the former version that meets a
-// record which it would drop or misread.
+// During an upgrade, controllers of two versions run at the same time and read each other's
+// records. Each controller announces in its live record the newest format that it can read. Once
+// every configured controller is in the view and has announced a format, the oldest of these
+// formats is recorded, and records of that format may be written from then on. Guards against a
+// controller of the previous version dropping or misreading a record of the newer format.
 #pragma once
 
 #include <optional>
@@ -17,21 +17,22 @@
 
 namespace scheduler {
 
-// Writes `formats`, together with the other controllers.
+// Writes the key `formats`. Every controller runs this; conditions on the transaction keep the
+// writes consistent.
 class FormatSwitch {
  public:
   explicit FormatSwitch(const Context& context) : context_(context) {}
 
-  // Records the format that all controllers support, once they do.
+  // Records the newest format that all controllers support if it is newer than the recorded one.
   void tick(Ms now);
 
  private:
-  // The newest format that every configured controller reads; kFirstFormat while one of them is not
-  // in the view or has not announced any.
-  [[nodiscard]] std::uint32_t supported() const;
-  // The write that records a newer format than is recorded now, if all controllers support one. Its
-  // conditions are the view and every live record that it rests on.
-  [[nodiscard]] std::optional<Transaction> propose() const;
+  // The newest format that every configured controller can read; kFirstFormat while one of them is
+  // not in the view or has not announced a format.
+  [[nodiscard]] std::uint32_t supported_format() const;
+  // The transaction that records a newer format, if all controllers support one. Its conditions are
+  // the view and the live record of every configured controller.
+  [[nodiscard]] std::optional<Transaction> propose_switch() const;
   [[nodiscard]] std::vector<std::string> configured_controllers() const;
 
   const Context& context_;
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -9,16 +9,18 @@
 
 namespace {
 
-// Milliseconds that a member's session lease must have been missing before others remove it.
+// Milliseconds for which a member's session lease must have been missing before another member
+// removes it from the view.
 constexpr std::int64_t kMemberRemovalDelayMs = 400;
-// Further milliseconds for each live controller before us in order, so that one of them writes.
+// Additional milliseconds for each live controller that precedes this one in the order of names, so
+// that usually only one controller writes the removal.
 constexpr std::int64_t kMemberRemovalStaggerMs = 300;
 
 }  // namespace
 
 MembershipManager::MembershipManager(const Context& context, links::Monitor& links,
-                                     std::function<void(Ms now)> joined)
-    : context_(context), links_(links), on_joined_(std::move(joined)) {}
+                                     std::function<void(Ms now)> on_joined)
+    : context_(context), links_(links), on_joined_(std::move(on_joined)) {}
 
 void MembershipManager::tick(Ms now) {
   const bool member = context_.is_member();
@@ -32,7 +34,7 @@
   remove_expired_members(now);
 }
 
-bool MembershipManager::others_live() const {
+bool MembershipManager::another_member_is_live() const {
   const auto& records = context_.replica.live();
   const auto& live = context_.replica.view().live;
   return std::any_of(live.begin(), live.end(), [&](const auto& member) {
@@ -58,20 +60,21 @@
   StateClient& state_client = context_.state_client;
   if (joining_ || !state_client.lease_valid() || !state_client.answering(now) || now < join_after_)
     return;
-  // Guards against a view that changes each time a link comes and goes.
-  if (!links_.may_join(now, others_live()).allowed) return;
+  // Guards against a view that changes each time an unstable link fails and recovers.
+  if (!links_.may_join(now, another_member_is_live()).allowed) return;
   joining_ = true;
   const std::string& name = context_.settings.name;
-  wire::ViewRecord next = context_.replica.view();
-  ++next.epoch;
-  // A process of our name is ours alone: the former incarnation has ended.
-  next.live[name] = context_.incarnation;
-  next.departing.erase(name);
-  next.unreachable.erase(name);
+  wire::ViewRecord next_view = context_.replica.view();
+  ++next_view.epoch;
+  // Only one process at a time runs under this controller's name, so the previous incarnation has
+  // ended.
+  next_view.live[name] = context_.incarnation;
+  next_view.departing.erase(name);
+  next_view.unreachable.erase(name);
   Transaction transaction;
   transaction.conditions = {context_.view_unchanged(), state_client.unchanged(live_key())};
-  transaction.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt},
-                        live_record(next.epoch)};
+  transaction.writes = {{std::string(wire::kViewKey), encode(next_view), std::nullopt},
+                        live_record(next_view.epoch)};
   transaction.urgent = true;
   transaction.done = [this](Ms at, TxnResult result, const auto&) {
     join_after_ = at + kStateProbeMs / 4;
@@ -85,8 +88,9 @@
   state_client.submit(std::move(transaction));
 }
 
-// Our own record tells the others that we act on this view, and so no longer answer workers that
-// it took from us; and it carries our lease, which may have ended.
+// Writes this controller's live record, which tells the other controllers that it acts on the
+// current view and no longer answers workers that the view assigned to another controller. The
+// record is attached to the session lease, so it must be written again after the lease has expired.
 void MembershipManager::acknowledge(Ms now) {
   StateClient& state_client = context_.state_client;
   if (acknowledging_ || !state_client.lease_valid() || !state_client.answering(now)) return;
@@ -110,12 +114,12 @@
 }
 
 Ms MembershipManager::removal_delay() const {
-  Ms patience = kMemberRemovalDelayMs;
+  Ms delay = kMemberRemovalDelayMs;
   for (const auto& name : context_.cluster_view.live()) {
     if (name == context_.settings.name) break;
-    patience += kMemberRemovalStaggerMs;
+    delay += kMemberRemovalStaggerMs;
   }
-  return patience;
+  return delay;
 }
 
 void MembershipManager::remove_expired_members(Ms now) {
@@ -123,8 +127,8 @@
   const auto& records = context_.replica.live();
   for (const auto& [name, incarnation] : context_.replica.view().live) {
     const auto record = records.find(name);
-    const bool held = record != records.end() && record->second.incarnation == incarnation;
-    if (held || name == context_.settings.name) {
+    const bool holds_lease = record != records.end() && record->second.incarnation == incarnation;
+    if (holds_lease || name == context_.settings.name) {
       lease_missing_since_.erase(name);
       continue;
     }
@@ -136,18 +140,19 @@
 }
 
 void MembershipManager::remove(const std::string& name, const std::string& incarnation) {
-  wire::ViewRecord next = context_.replica.view();
-  ++next.epoch;
-  next.live.erase(name);
-  next.unreachable.erase(name);
-  // It may still be alive and answering workers; it stays listed until it comes back.
-  next.departing[name] = incarnation;
+  wire::ViewRecord next_view = context_.replica.view();
+  ++next_view.epoch;
+  next_view.live.erase(name);
+  next_view.unreachable.erase(name);
+  // The removed controller may still be running and answering workers; it stays listed as departing
+  // until it joins again.
+  next_view.departing[name] = incarnation;
   context_.log(LogLevel::info, "removing " + name + " from the view");
   removing_ = true;
   lease_missing_since_.erase(name);
   Transaction transaction;
   transaction.conditions = {context_.view_unchanged()};
-  transaction.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}};
+  transaction.writes = {{std::string(wire::kViewKey), encode(next_view), std::nullopt}};
   transaction.urgent = true;
   transaction.done = [this](Ms at, TxnResult, const auto&) {
     context_.state_client.wait_until_settled(at, [this](Ms) { removing_ = false; });
--- a/src/membership/membership_manager.h
+++ b/src/membership/membership_manager.h
@@ -1,5 +1,5 @@
-// This controller's membership in the view: it joins, acknowledges each view, and removes members
-// whose lease at the state service has ended.
+// Maintains this controller's membership in the view: joins the view, acknowledges each new view,
+// and removes members whose session lease has expired.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,18 @@
 
 namespace scheduler {
 
-// Every change of the view is one write under the condition that nobody else has changed it, so
-// that views follow one another without gaps whoever writes them.
+// Every change of the view is one write under the condition that the view has not changed in the
+// meantime, so that the epochs of views follow one another without gaps whichever controller writes
+// them.
 class MembershipManager {
  public:
-  // `joined` is called once this controller is in the view.
+  // `on_joined` is called each time this controller has joined the view.
   MembershipManager(const Context& context, links::Monitor& links,
-                    std::function<void(Ms now)> joined);
+                    std::function<void(Ms now)> on_joined);
 
   void tick(Ms now);
-  // This process was paused: how long others' leases have been missing counts anew.
+  // Restarts the measurement of how long other members' leases have been missing, after a pause of
+  // this process.
   void on_pause() { lease_missing_since_.clear(); }
 
  private:
@@ -30,15 +32,16 @@
   void acknowledge(Ms now);
   void remove_expired_members(Ms now);
   void remove(const std::string& name, const std::string& incarnation);
-  // This controller's own record, which carries its lease.
+  // The write of this controller's live record, which is attached to its session lease.
   [[nodiscard]] wire::Write live_record(std::uint64_t epoch) const;
   [[nodiscard]] std::string live_key() const;
-  // Milliseconds that a member's lease must have been missing before this controller removes it:
-  // longer for each live controller that comes before it, so that one of them writes.
+  // Milliseconds for which a member's session lease must have been missing before this controller
+  // removes the member. Increases with each live controller that precedes this one, so that usually
+  // only one of them writes the removal.
   [[nodiscard]] Ms removal_delay() const;
 
-  // Some other controller of the view holds its lease.
-  [[nodiscard]] bool others_live() const;
+  // Whether at least one other member of the view holds its session lease.
+  [[nodiscard]] bool another_member_is_live() const;
 
   const Context& context_;
   links::Monitor& links_;
@@ -48,7 +51,7 @@
   bool acknowledging_ = false;
   bool removing_ = false;
   Ms join_after_ = 0;
-  std::map<std::string, Ms> lease_missing_since_;  // by member
+  std::map<std::string, Ms> lease_missing_since_;  // by name of the member
 };
 
 }  // namespace scheduler
--- a/src/state/decode_record.h
+++ b/src/state/decode_record.h
@@ -1,4 +1,4 @@
-// Decoding the value of a key, which may have been deleted.
+// Decodes the value of a key that may have been deleted.
 #pragma once
 
 #include <optional>
@@ -8,13 +8,13 @@
 
 namespace scheduler {
 
-// The record of a key; an empty one if the key was deleted.
+// Decodes the record of a key. Returns an empty record if the key was deleted.
 template <typename Record>
 wire::Decoded<Record> decode_or_empty(const std::optional<std::string>& value) {
   return value ? wire::decode<Record>(*value) : Record{};
 }
 
-// The record of a key that is never deleted.
+// Decodes the record of a key that is never deleted. Returns an error if there is no value.
 template <typename Record>
 wire::Decoded<Record> decode_present(const std::optional<std::string>& value) {
   return value ? wire::decode<Record>(*value) : wire::decode_error("", "a record");
--- a/src/state/job_revision.h
+++ b/src/state/job_revision.h
@@ -1,4 +1,4 @@
-// The revision of what is known of a job.
+// The newest revision of a job's records in the replica.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace scheduler {
 
-// The newest revision of what the replica holds of the job: its record, its final state and its
-// ranges. 0 if it holds nothing.
+// The newest revision among the job's own record, its final state and its ranges, as the replica
+// holds them. 0 if the replica holds none of them.
 std::uint64_t newest_job_revision(const Replica& replica, const StateClient& state_client,
                                   const std::string& id);
 
--- a/src/state/key_versions.cpp
+++ b/src/state/key_versions.cpp
@@ -9,18 +9,18 @@
   return it == versions_.end() ? 0 : it->second;
 }
 
-bool KeyVersions::advance(const wire::StoredItem& item) {
-  if (auto deleted = tombstones_.find(item.key); deleted != tombstones_.end()) {
-    if (item.version <= deleted->second) return false;
-    if (item.value) tombstones_.erase(deleted);
+bool KeyVersions::record_if_newer(const wire::StoredItem& item) {
+  if (auto tombstone = tombstones_.find(item.key); tombstone != tombstones_.end()) {
+    if (item.version <= tombstone->second) return false;
+    if (item.value) tombstones_.erase(tombstone);
   }
-  auto known = versions_.find(item.key);
-  if (known != versions_.end() && item.version <= known->second) return false;
+  auto current = versions_.find(item.key);
+  if (current != versions_.end() && item.version <= current->second) return false;
   if (item.value) {
     versions_[item.key] = item.version;
   } else {
     versions_.erase(item.key);
-    // Older events of this key may still come from the watch; they must not bring it back.
+    // The watch may still deliver older events of this key; they must not recreate it.
     tombstones_[item.key] = item.version;
   }
   return true;
@@ -30,11 +30,12 @@
   std::erase_if(tombstones_, [revision](const auto& t) { return t.second <= revision; });
 }
 
-std::vector<std::string> KeyVersions::missing(const std::set<std::string>& found,
-                                              std::uint64_t revision) const {
+std::vector<std::string> KeyVersions::missing_keys(const std::set<std::string>& found_keys,
+                                                   std::uint64_t revision) const {
   std::vector<std::string> keys;
   for (const auto& [key, version] : versions_) {
-    if (version <= revision && !found.contains(key) && !key.starts_with(wire::kFinalStatePrefix))
+    if (version <= revision && !found_keys.contains(key) &&
+        !key.starts_with(wire::kFinalStatePrefix))
       keys.push_back(key);
   }
   return keys;
--- a/src/state/key_versions.h
+++ b/src/state/key_versions.h
@@ -1,4 +1,4 @@
-// Which version of each key the replica holds.
+// Tracks which version of each key the replica holds.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,26 @@
 
 namespace scheduler {
 
-// Owns the version of every key that exists, and a tombstone of each key that was deleted a short
-// while ago. News of a key come by three ways (pages, the watch, replies to own transactions) that
-// overtake each other; a key only ever goes forward. Guards against an older value replacing a
-// newer one, and against a deleted key coming back.
+// Owns the version of every existing key, and a tombstone for each recently deleted key. Changes of
+// a key arrive by three ways that may overtake each other: pages of a full read, the watch, and
+// replies to this controller's own transactions. The version of a key only ever increases. Guards
+// against an older value replacing a newer one, and against an older change recreating a deleted
+// key.
 class KeyVersions {
  public:
-  // 0: the key doesn't exist.
+  // Version of the key; 0 if the key doesn't exist.
   std::uint64_t version(const std::string& key) const;
-  // Records the version of the item. False when it is not newer than what is known: it must then be
-  // ignored.
-  bool advance(const wire::StoredItem& item);
-  // Everything up to the revision has been brought by the watch: no older news can come.
+  // Records the version of the item. Returns false if the item is not newer than the recorded
+  // version or tombstone; the caller must then ignore the item.
+  bool record_if_newer(const wire::StoredItem& item);
+  // Drops the tombstones up to the revision. The watch has delivered every change up to it, so no
+  // older change can arrive any more.
   void drop_tombstones(std::uint64_t revision);
-  // Keys up to the revision that are not among those found by a full read at that revision. Final
-  // states are left out, since a full read doesn't cover them.
-  std::vector<std::string> missing(const std::set<std::string>& found,
-                                   std::uint64_t revision) const;
+  // Returns the keys whose version is at or below the revision and that are not in `found_keys`,
+  // the keys found by a full read at that revision. Skips final states, since a full read doesn't
+  // cover them.
+  std::vector<std::string> missing_keys(const std::set<std::string>& found_keys,
+                                        std::uint64_t revision) const;
 
  private:
   std::unordered_map<std::string, std::uint64_t> versions_;
--- a/src/state/machine_index.cpp
+++ b/src/state/machine_index.cpp
@@ -11,16 +11,16 @@
   const auto decoded = decode_or_empty<wire::FleetRecord>(value);
   if (!decoded) return false;
   const wire::FleetRecord& record = *decoded;
-  const wire::FleetRecord before = std::exchange(fleet_[group], record);
+  const wire::FleetRecord previous = std::exchange(fleet_[group], record);
   for (const auto& [id, machine] : record.machines) group_of_[id] = group;
-  for (const auto& [id, machine] : before.machines) {
+  for (const auto& [id, machine] : previous.machines) {
     if (record.machines.contains(id)) continue;
-    // The machine may already stand in another group.
-    auto at = group_of_.find(id);
-    if (at != group_of_.end() && at->second == group) group_of_.erase(at);
-    merge(id, changed);
+    // The machine may already belong to another group.
+    auto entry = group_of_.find(id);
+    if (entry != group_of_.end() && entry->second == group) group_of_.erase(entry);
+    update_merged_record(id, changed);
   }
-  for (const auto& [id, machine] : record.machines) merge(id, changed);
+  for (const auto& [id, machine] : record.machines) update_merged_record(id, changed);
   if (!value) fleet_.erase(group);
   return true;
 }
@@ -32,51 +32,53 @@
   if (!decoded) return false;
   const wire::ShardRecord& record = *decoded;
   const ShardId shard{controller, group};
-  const wire::ShardRecord before = std::exchange(shards_[shard], record);
-  for (const auto& [id, contact] : before.machines) {
+  const wire::ShardRecord previous = std::exchange(shards_[shard], record);
+  for (const auto& [id, contact] : previous.machines) {
     if (record.machines.contains(id)) continue;
-    auto at = contacts_.find(id);
-    if (at == contacts_.end()) continue;
-    at->second.erase(shard);
-    if (at->second.empty()) contacts_.erase(at);
-    merge(id, changed);
+    auto entry = contacts_.find(id);
+    if (entry == contacts_.end()) continue;
+    entry->second.erase(shard);
+    if (entry->second.empty()) contacts_.erase(entry);
+    update_merged_record(id, changed);
   }
   for (const auto& [id, contact] : record.machines) {
     contacts_[id][shard] = contact;
-    merge(id, changed);
+    update_merged_record(id, changed);
   }
   if (!value) shards_.erase(shard);
   return true;
 }
 
-wire::MachineRecord MachineIndex::merged(const std::string& id, std::uint32_t group) const {
-  wire::MachineRecord sum = fleet_.at(group).machines.at(id);
+wire::MachineRecord MachineIndex::build_merged_record(const std::string& id,
+                                                      std::uint32_t group) const {
+  wire::MachineRecord merged_record = fleet_.at(group).machines.at(id);
   auto contacts = contacts_.find(id);
-  if (contacts == contacts_.end()) return sum;
+  if (contacts == contacts_.end()) return merged_record;
   std::uint64_t newest = 0;
   for (const auto& [shard, contact] : contacts->second) {
     if (contact.epoch >= newest) {
-      // Not the highest incarnation: a machine that has restarted counts from one again.
+      // Use the incarnation of the newest epoch, not the highest incarnation: a restarted machine
+      // counts its incarnations from one again.
       newest = contact.epoch;
-      sum.incarnation = contact.incarnation;
-      if (!contact.address.empty()) sum.address = contact.address;
+      merged_record.incarnation = contact.incarnation;
+      if (!contact.address.empty()) merged_record.address = contact.address;
     }
-    // A decision is never taken back: quarantined, draining, lost, terminated in this order.
-    sum.state = std::max(sum.state, contact.state);
+    // The state only moves forward, in the order quarantined, draining, lost, terminated.
+    merged_record.state = std::max(merged_record.state, contact.state);
   }
-  return sum;
+  return merged_record;
 }
 
-void MachineIndex::merge(const std::string& id, std::set<std::string>& changed) {
+void MachineIndex::update_merged_record(const std::string& id, std::set<std::string>& changed) {
   auto group = group_of_.find(id);
   if (group == group_of_.end()) {
     if (machines_.erase(id)) changed.insert(id);
     return;
   }
-  wire::MachineRecord sum = merged(id, group->second);
-  auto [it, added] = machines_.try_emplace(id, sum);
-  if (!added && it->second == sum) return;
-  it->second = std::move(sum);
+  wire::MachineRecord merged_record = build_merged_record(id, group->second);
+  auto [it, added] = machines_.try_emplace(id, merged_record);
+  if (!added && it->second == merged_record) return;
+  it->second = std::move(merged_record);
   changed.insert(id);
 }
 
@@ -98,11 +100,11 @@
 
 std::vector<std::pair<std::uint32_t, const wire::ShardRecord*>> MachineIndex::shards_of(
     const std::string& controller) const {
-  std::vector<std::pair<std::uint32_t, const wire::ShardRecord*>> out;
+  std::vector<std::pair<std::uint32_t, const wire::ShardRecord*>> shards;
   for (auto it = shards_.lower_bound({controller, 0});
        it != shards_.end() && it->first.first == controller; ++it)
-    out.emplace_back(it->first.second, &it->second);
-  return out;
+    shards.emplace_back(it->first.second, &it->second);
+  return shards;
 }
 
 }  // namespace scheduler
--- a/src/state/placement_index.cpp
+++ b/src/state/placement_index.cpp
@@ -17,13 +17,13 @@
 
 void PlacementIndex::change_usage(const wire::JobSpec& spec, const wire::Placement& placement,
                                   int sign) {
-  Usage& u = usage_[spec.team][placement.quota_holder];
-  u.cpus += sign * spec.cpus;
-  u.gpus += sign * spec.gpus;
+  Usage& used = usage_[spec.team][placement.quota_holder];
+  used.cpus += sign * spec.cpus;
+  used.gpus += sign * spec.gpus;
   if (!spec.is_service()) return;
-  const auto replicas = replicas_on_.try_emplace(placement.machine, 0).first;
+  const auto replicas = service_replicas_on_.try_emplace(placement.machine, 0).first;
   replicas->second += sign;
-  if (replicas->second == 0) replicas_on_.erase(replicas);
+  if (replicas->second == 0) service_replicas_on_.erase(replicas);
 }
 
 const std::set<TaskRef>& PlacementIndex::placed_on(const std::string& machine) const {
@@ -33,21 +33,21 @@
 }
 
 Usage PlacementIndex::usage(const std::string& team, const std::string& quota_holder) const {
-  auto t = usage_.find(team);
-  if (t == usage_.end()) return {};
-  auto q = t->second.find(quota_holder);
-  return q == t->second.end() ? Usage{} : q->second;
+  auto team_entry = usage_.find(team);
+  if (team_entry == usage_.end()) return {};
+  auto holder_entry = team_entry->second.find(quota_holder);
+  return holder_entry == team_entry->second.end() ? Usage{} : holder_entry->second;
 }
 
 Usage PlacementIndex::usage(const std::string& team) const {
-  Usage sum;
-  auto t = usage_.find(team);
-  if (t == usage_.end()) return sum;
-  for (const auto& [holder, u] : t->second) {
-    sum.cpus += u.cpus;
-    sum.gpus += u.gpus;
+  Usage total;
+  auto team_entry = usage_.find(team);
+  if (team_entry == usage_.end()) return total;
+  for (const auto& [holder, used] : team_entry->second) {
+    total.cpus += used.cpus;
+    total.gpus += used.gpus;
   }
-  return sum;
+  return total;
 }
 
 }  // namespace scheduler
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -9,25 +9,26 @@
 
 namespace {
 
-// Final states kept in memory; each takes about 100 bytes, older ones are read again.
+// Number of final states kept in memory; each takes about 100 bytes. Dropped ones are read from the
+// service again when needed.
 constexpr std::size_t kFinalStatesCached = 20'000;
 
-// Records that are kept by name, as they are.
+// Applies a record that is stored by name without any index.
 template <typename Record>
-bool apply_named(std::map<std::string, Record>& into, const std::string& name,
+bool apply_named(std::map<std::string, Record>& records, const std::string& name,
                  const std::optional<std::string>& value) {
   if (!value) {
-    into.erase(name);
+    records.erase(name);
     return true;
   }
   auto record = wire::decode<Record>(*value);
   if (!record) return false;
-  into[name] = std::move(*record);
+  records[name] = std::move(*record);
   return true;
 }
 
-// What follows the prefix.
-std::string name_of(const std::string& key, std::string_view prefix) {
+// Returns the part of the key after the prefix.
+std::string strip_prefix(const std::string& key, std::string_view prefix) {
   return key.substr(prefix.size());
 }
 
@@ -35,9 +36,9 @@
 
 bool Job::whole() const {
   if (!known) return false;
-  std::uint64_t n = 0;
-  for (const auto& [number, r] : ranges) n += r.end - r.begin;
-  return n == record.spec.tasks;
+  std::uint64_t covered_tasks = 0;
+  for (const auto& [number, r] : ranges) covered_tasks += r.end - r.begin;
+  return covered_tasks == record.spec.tasks;
 }
 
 // ---- records ----
@@ -49,12 +50,12 @@
   if (key.starts_with(wire::kFinalStatePrefix)) return apply_final_state(item);
   if (key.starts_with(wire::kFleetPrefix)) return apply_fleet(item);
   if (key.starts_with(wire::kShardPrefix)) return apply_shard(item);
-  if (key.starts_with(wire::kShardGuardPrefix)) return true;  // only its version matters
+  if (key.starts_with(wire::kShardGuardPrefix)) return true;  // only its version is used
   if (key.starts_with(wire::kLivePrefix)) return apply_live(item);
   if (key.starts_with(wire::kScaleOutPrefix))
-    return apply_named(scale_out_requests_, name_of(key, wire::kScaleOutPrefix), item.value);
+    return apply_named(scale_out_requests_, strip_prefix(key, wire::kScaleOutPrefix), item.value);
   if (key.starts_with(wire::kQuotaPrefix))
-    return apply_named(quotas_, name_of(key, wire::kQuotaPrefix), item.value);
+    return apply_named(quotas_, strip_prefix(key, wire::kQuotaPrefix), item.value);
   if (key == wire::kViewKey) return apply_view(item);
   if (key == wire::kFormatKey) return apply_format(item);
   if (key == wire::kCatalogKey) return apply_catalog(item);
@@ -93,7 +94,7 @@
 }
 
 bool Replica::apply_job(const wire::StoredItem& item) {
-  const std::string id = name_of(item.key, wire::kJobPrefixKey);
+  const std::string id = strip_prefix(item.key, wire::kJobPrefixKey);
   changed_jobs_.insert(id);
   if (!item.value) {
     remove_job(id);
@@ -102,31 +103,32 @@
   auto record = wire::decode<wire::JobRecord>(*item.value);
   if (!record) return false;
   Job& job = jobs_[id];
-  const bool cancelled_now = record->cancelled && !job.record.cancelled;
-  if (job.known) uncount_placements(job);
+  const bool newly_cancelled = record->cancelled && !job.record.cancelled;
+  if (job.known) remove_usage_of_placements(job);
   job.record = std::move(*record);
   job.known = true;
-  count_placements(job);
+  add_usage_of_placements(job);
   add_unrecorded_ranges(id, job);
-  if (cancelled_now) {
+  if (newly_cancelled) {
     for (const auto& [number, range] : job.ranges) mark_machines_changed(range);
   }
   return true;
 }
 
-// Ranges that still have a record of their own stay, until that is deleted too.
+// Removes the job's record and the ranges derived from it. Ranges with a range record stay until
+// that record is deleted too.
 void Replica::remove_job(const std::string& id) {
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   Job& job = it->second;
-  if (job.known) uncount_placements(job);
+  if (job.known) remove_usage_of_placements(job);
   job.known = false;
   for (const std::uint32_t number : std::exchange(job.unrecorded_ranges, {}))
     job.ranges.erase(number);
   if (job.ranges.empty()) jobs_.erase(it);
 }
 
-// The job's record stands for the ranges as first given out, as long as they have none themselves.
+// Adds the ranges that the job's record assigned at submission and that have no range record yet.
 void Replica::add_unrecorded_ranges(const std::string& id, Job& job) {
   for (const auto& share : job.record.shares) {
     auto [range, added] = job.ranges.try_emplace(share.number);
@@ -145,7 +147,7 @@
 bool Replica::apply_final_state(const wire::StoredItem& item) {
   const auto record = decode_present<wire::FinalStateRecord>(item.value);
   if (!record) return false;
-  remember_final_state(name_of(item.key, wire::kFinalStatePrefix), *record);
+  remember_final_state(strip_prefix(item.key, wire::kFinalStatePrefix), *record);
   return true;
 }
 
@@ -162,7 +164,7 @@
 
 bool Replica::apply_live(const wire::StoredItem& item) {
   view_changed_ = true;
-  return apply_named(live_, name_of(item.key, wire::kLivePrefix), item.value);
+  return apply_named(live_, strip_prefix(item.key, wire::kLivePrefix), item.value);
 }
 
 bool Replica::apply_view(const wire::StoredItem& item) {
@@ -176,7 +178,7 @@
 bool Replica::apply_format(const wire::StoredItem& item) {
   const auto record = decode_present<wire::FormatRecord>(item.value);
   if (!record) return false;
-  // Records of a format that was switched on once may exist for ever.
+  // The format never goes back: records of a newer format may exist once it has been enabled.
   format_.format = std::max(format_.format, record->format);
   return true;
 }
@@ -202,52 +204,52 @@
     job.done += after->done_count();
     job.placed += after->placed.size();
   }
-  const auto has = [](const wire::RangeRecord* range, std::uint32_t task,
-                      const wire::Placement& placement) {
+  const auto has_placement = [](const wire::RangeRecord* range, std::uint32_t task,
+                                const wire::Placement& placement) {
     if (!range) return false;
     auto at = range->placed.find(task);
     return at != range->placed.end() && at->second == placement;
   };
   if (before) {
     for (const auto& [task, p] : before->placed)
-      if (!has(after, task, p)) remove_placement(job, {id, task}, p);
+      if (!has_placement(after, task, p)) remove_placement(job, {id, task}, p);
   }
   if (after) {
     for (const auto& [task, p] : after->placed)
-      if (!has(before, task, p)) add_placement(job, {id, task}, p);
+      if (!has_placement(before, task, p)) add_placement(job, {id, task}, p);
   }
-  // What becomes of one task of a gang concerns all.
+  // A change of one task of a gang affects the machines of all its tasks.
   if (before && after && job.known && job.record.spec.is_gang()) mark_machines_changed(*after);
 }
 
 void Replica::add_placement(const Job& job, TaskRef task, const wire::Placement& placement) {
-  if (job.known) placements_.count(job.record.spec, placement);
+  if (job.known) placements_.add_usage(job.record.spec, placement);
   changed_machines_.insert(placement.machine);
   placements_.add(std::move(task), placement);
 }
 
 void Replica::remove_placement(const Job& job, const TaskRef& task,
                                const wire::Placement& placement) {
-  if (job.known) placements_.uncount(job.record.spec, placement);
+  if (job.known) placements_.remove_usage(job.record.spec, placement);
   changed_machines_.insert(placement.machine);
   placements_.remove(task, placement);
 }
 
-void Replica::count_placements(const Job& job) {
+void Replica::add_usage_of_placements(const Job& job) {
   for (const auto& [number, range] : job.ranges)
-    for (const auto& [task, p] : range.placed) placements_.count(job.record.spec, p);
+    for (const auto& [task, p] : range.placed) placements_.add_usage(job.record.spec, p);
 }
 
-void Replica::uncount_placements(const Job& job) {
+void Replica::remove_usage_of_placements(const Job& job) {
   for (const auto& [number, range] : job.ranges)
-    for (const auto& [task, p] : range.placed) placements_.uncount(job.record.spec, p);
+    for (const auto& [task, p] : range.placed) placements_.remove_usage(job.record.spec, p);
 }
 
 void Replica::mark_machines_changed(const wire::RangeRecord& range) {
   for (const auto& [task, p] : range.placed) changed_machines_.insert(p.machine);
 }
 
-// ---- reading ----
+// ---- lookups ----
 
 const Job* Replica::job(const std::string& id) const {
   auto it = jobs_.find(id);
@@ -289,10 +291,10 @@
 }
 
 std::vector<std::string> Replica::unrecorded_machines() const {
-  std::vector<std::string> out;
+  std::vector<std::string> unrecorded;
   for (const auto& [id, tasks] : placements_.by_machine())
-    if (!machine_index_.machine(id)) out.push_back(id);
-  return out;
+    if (!machine_index_.machine(id)) unrecorded.push_back(id);
+  return unrecorded;
 }
 
 }  // namespace scheduler
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -1,4 +1,4 @@
-// Everything the state service holds, decoded, with the indexes that scheduling needs.
+// Decoded copy of the records of the state service, with the indexes that scheduling needs.
 #pragma once
 
 #include <cstdint>
@@ -18,31 +18,32 @@
 
 namespace scheduler {
 
-// A job that is not over, with its task ranges.
+// A job that has not ended, with its task ranges.
 struct Job {
   wire::JobRecord record;
   std::map<std::uint32_t, wire::RangeRecord> ranges;
-  // Of these, the ones that have no record of their own yet.
+  // Numbers of the ranges in `ranges` that have no range record yet; they are derived from the
+  // job's record.
   std::set<std::uint32_t> unrecorded_ranges;
-  // Known once the record itself was read; ranges may come first.
+  // Whether the job's own record has been read. Range records may arrive before it.
   bool known = false;
-  // Sums over the ranges, kept up to date.
+  // Numbers of finished and of placed tasks over all ranges, kept up to date.
   std::uint64_t done = 0, placed = 0;
 
   [[nodiscard]] std::uint64_t done_tasks() const { return done; }
   [[nodiscard]] std::uint64_t placed_tasks() const { return placed; }
-  // Every task belongs to a range held here, so nothing about the job is missing.
+  // Whether the job's record is known and its ranges in the replica cover every task.
   [[nodiscard]] bool whole() const;
 };
 
-// The replica of the stored records. Changes only by apply(), one record at a time and in any order
-// of keys, and (for final states, which the watch doesn't replay) by remember_final_state().
-// Whoever works on changes takes them by take_changed_*(); a change that nobody has taken yet is
-// kept.
+// This controller's replica of the stored records. It changes only by apply(), one record at a time
+// and with the keys in any order, and by remember_final_state() for final states, which the watch
+// doesn't replay. Consumers fetch the pending changes with the take_*changed*() functions; a change
+// stays pending until it is fetched.
 class Replica {
  public:
-  // Takes over a record, or its deletion. Returns false when a record could not be decoded (it is
-  // then ignored).
+  // Applies a new value of a record, or its deletion. Returns false if the record can't be decoded;
+  // the record is then ignored.
   bool apply(const wire::StoredItem& item);
 
   const wire::ViewRecord& view() const { return view_; }
@@ -54,16 +55,17 @@
   const std::vector<wire::MachineType>& catalog() const { return catalog_; }
   bool has_catalog() const { return has_catalog_; }
   const wire::MachineType* type(const std::string& name) const;
-  // The format of records that all controllers read (wire/records.h).
+  // Newest record format that all controllers can read (wire/records.h).
   std::uint32_t format() const { return format_.format; }
 
   const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
-  // nullptr while the job's own record is not known.
+  // Returns nullptr until the job's own record has been read.
   const Job* job(const std::string& id) const;
   const wire::RangeRecord* range(const RangeId& id) const;
   const wire::Placement* placement(const TaskRef& task) const;
   const wire::FinalStateRecord* final_state(const std::string& id) const;
-  // Keeps a final state that was read by itself; the oldest are dropped when there are many.
+  // Caches a final state that was read with a single request. Drops the oldest one when the cache
+  // is full.
   void remember_final_state(const std::string& id, const wire::FinalStateRecord& record);
 
   // Machines (state/machine_index.h).
@@ -96,16 +98,17 @@
     return placements_.usage(team, quota_holder);
   }
   Usage usage(const std::string& team) const { return placements_.usage(team); }
-  // Machines with placements of which there is no record.
+  // Machines that have placements but no machine record.
   std::vector<std::string> unrecorded_machines() const;
 
-  // Changed since the last call, for level-triggered work.
+  // Return what has changed since the last call, and clear it. Consumers act on the current state
+  // of what has changed, not on each single change (level-triggered).
   std::set<std::string> take_changed_machines() { return std::exchange(changed_machines_, {}); }
   bool take_view_changed() { return std::exchange(view_changed_, false); }
   std::set<std::string> take_changed_jobs() { return std::exchange(changed_jobs_, {}); }
 
  private:
-  // One for each kind of record; the results are those of apply().
+  // One function for each kind of record; the return value is that of apply().
   bool apply_range(const wire::StoredItem& item);
   bool apply_job(const wire::StoredItem& item);
   bool apply_final_state(const wire::StoredItem& item);
@@ -119,15 +122,16 @@
   void remove_range(const RangeId& id, Job& job);
   void remove_job(const std::string& id);
   static void add_unrecorded_ranges(const std::string& id, Job& job);
-  // Takes over the difference between two versions of a range; either may be missing. The cost of
-  // a change is that of what changed, not of all that the range holds.
+  // Applies the difference between two versions of a range; either may be nullptr. The cost grows
+  // with the number of changed placements, not with the size of the range.
   void update_range(const RangeId& id, Job& job, const wire::RangeRecord* before,
                     const wire::RangeRecord* after);
   void add_placement(const Job& job, TaskRef task, const wire::Placement& placement);
   void remove_placement(const Job& job, const TaskRef& task, const wire::Placement& placement);
-  // All placements of the job begin or end to use resources: its record has come or gone.
-  void count_placements(const Job& job);
-  void uncount_placements(const Job& job);
+  // Adds or subtracts the resource usage of all placements of the job, when its record appears or
+  // is removed.
+  void add_usage_of_placements(const Job& job);
+  void remove_usage_of_placements(const Job& job);
   void mark_machines_changed(const wire::RangeRecord& range);
 
   wire::ViewRecord view_;
--- a/src/state/replica_feed.cpp
+++ b/src/state/replica_feed.cpp
@@ -6,21 +6,22 @@
 namespace scheduler {
 
 void ReplicaFeed::apply(Ms now, const wire::StoredItem& item) {
-  if (versions_.advance(item)) apply_(now, item);
+  if (versions_.record_if_newer(item)) apply_(now, item);
 }
 
-void ReplicaFeed::advance(std::uint64_t revision) {
+void ReplicaFeed::advance_to(std::uint64_t revision) {
   applied_revision_ = std::max(applied_revision_, revision);
   versions_.drop_tombstones(applied_revision_);
 }
 
-void ReplicaFeed::restart(Ms now, std::uint64_t revision, const std::set<std::string>& found) {
-  for (auto& key : versions_.missing(found, revision))
+void ReplicaFeed::finish_full_read(Ms now, std::uint64_t revision,
+                                   const std::set<std::string>& found_keys) {
+  for (auto& key : versions_.missing_keys(found_keys, revision))
     apply(now, {std::move(key), std::nullopt, revision + 1});
   applied_revision_ = revision;
 }
 
-void ReplicaFeed::learn_revision(Ms now, std::uint64_t revision) {
+void ReplicaFeed::record_revision(Ms now, std::uint64_t revision) {
   if (newest_known_revision_ <= applied_revision_) behind_since_ = now;
   newest_known_revision_ = std::max(newest_known_revision_, revision);
 }
--- a/src/state/session_lease.h
+++ b/src/state/session_lease.h
@@ -1,4 +1,4 @@
-// The session lease: what shows the other controllers that this one is alive.
+// The session lease, which shows the other controllers that this controller is alive.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +9,28 @@
 
 namespace scheduler {
 
-// Milliseconds between renewals of the session lease: three may fail before it ends. While nothing
-// else is asked, the link is probed as often.
+// Milliseconds between renewals of the session lease; three renewals may fail before the lease
+// expires. It is also the interval between probes of the link while no other request is sent.
 constexpr std::int64_t kLeaseRenewalMs = 1200;
 
-// Acquires a lease, renews it, and acquires another once it has ended. Keys that are attached to a
-// lease are deleted by the service when it ends, which tells the others that this controller is
-// gone. Owns the lease's id.
+// Acquires a session lease, renews it, and acquires a new one after it has expired. The service
+// deletes the keys attached to a lease when the lease expires, which tells the other controllers
+// that this controller is gone. Owns the id of the lease.
 class SessionLease {
  public:
   SessionLease(StateConnection& connection, const StateLog& log)
       : connection_(connection), log_(log) {}
 
-  // Acquires or renews it if that is due.
+  // Acquires or renews the lease if that is due.
   void tick(Ms now);
-  // The service doesn't know the lease any more: another is acquired at the next tick.
-  void lose(Ms now);
-  // A process pause may have lasted longer than the lease: it is renewed at the next tick.
-  void on_pause(Ms now) { due_ = now; }
+  // Handles a lease that the service no longer knows: the next tick acquires a new one.
+  void mark_expired(Ms now);
+  // Makes the next tick renew the lease, since a process pause may have lasted longer than the
+  // lease.
+  void on_pause(Ms now) { next_request_at_ = now; }
 
   [[nodiscard]] bool valid() const { return id_ != 0; }
-  [[nodiscard]] std::uint64_t id() const { return id_; }  // 0: none
+  [[nodiscard]] std::uint64_t id() const { return id_; }  // 0: no lease
 
  private:
   void acquire(Ms now);
@@ -41,7 +42,7 @@
   const StateLog& log_;
   std::uint64_t id_ = 0;
   bool in_flight_ = false;
-  Ms due_ = 0;
+  Ms next_request_at_ = 0;
 };
 
 }  // namespace scheduler
--- a/src/state/state_client.cpp
+++ b/src/state/state_client.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Milliseconds between looks at the time while nothing waits. Waking up costs more processor time
-// than what is done then.
+// Milliseconds between ticks while nothing is queued. More frequent ticks would cost more processor
+// time for waking up than for the work.
 constexpr std::int64_t kIdleTickMs = 100;
 
 }  // namespace
--- a/src/state/state_client.h
+++ b/src/state/state_client.h
@@ -1,4 +1,4 @@
-// Client of the state service, the consensus-backed key-value store.
+// Client of the state service, a key-value store replicated by consensus.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +21,10 @@
 
 namespace scheduler {
 
-// What a controller reads of the stored records and writes to them. Every record is read once, then
-// a watch keeps the replica up to date; reads are served from the replica, writes are transactions
-// with compare-and-swap conditions. Puts the components together and orders a tick; all state is
-// theirs:
+// Reads and writes the stored records for one controller. Every record is read once, then a watch
+// keeps the replica up to date. Reads are served from the replica; writes are transactions with
+// compare-and-swap conditions. This class connects the components and calls them in order at each
+// tick; the state is held by the components:
 //
 //   StateConnection   requests, evidence of the link
 //   ReplicaFeed       revisions, versions of keys
@@ -39,70 +39,72 @@
   using Apply = ReplicaFeed::Apply;
   using Log = StateLog::Log;
 
-  // `send` is called for every request, `apply` for every change of the replica, in order.
+  // `send` is called for every request, `apply` for every change of the replica in order.
   StateClient(const Settings& settings, Send send, Apply apply, Log log);
-  // Its components and the requests under way refer to it.
+  // Not copyable: the components and the pending requests refer to this object.
   StateClient(const StateClient&) = delete;
   StateClient& operator=(const StateClient&) = delete;
 
   void start(Ms now);
   void tick(Ms now);
-  // When tick() should be called next at the latest.
+  // Latest time at which tick() should be called again.
   Ms next_tick(Ms now) const;
-  // Nobody looked at the time or at replies for a while. What was asked before says nothing about
-  // now: the service counts as not answering until something asked from here on is answered.
+  // Handles a process pause, during which no replies were processed. Replies to requests sent
+  // before it are no evidence of the link: the service counts as not answering until a request sent
+  // after the pause is answered.
   void on_pause(Ms now);
 
-  // True once every record has been read and the watch has passed all that was read: before that,
-  // the replica is a mixture of the moments at which its pages were read.
+  // True once every record has been read and the watch has passed the newest revision of the pages.
+  // Before that, the pages in the replica come from different revisions.
   bool loaded() const { return loader_.complete(); }
-  // True while the service answers.
   bool answering(Ms now) const { return link().answering(now); }
   const links::RequestLink& link() const { return connection_.link(); }
   bool lease_valid() const { return lease_.valid(); }
   std::uint64_t lease_id() const { return lease_.id(); }
 
-  // Version of the key that the replica holds; 0: it doesn't exist.
+  // Version of the key that the replica holds; 0 if the key doesn't exist.
   std::uint64_t version(const std::string& key) const { return feed_.version(key); }
-  // Condition that the key is still as the replica holds it.
+  // Condition that the key still has the version that the replica holds.
   wire::Compare unchanged(const std::string& key) const { return {key, version(key)}; }
-  // Revision up to which the replica holds every change. Beyond it, it holds only what this
-  // controller has written itself.
+  // Revision up to which the replica holds every change. Of later revisions the replica holds only
+  // this controller's own writes.
   std::uint64_t applied_revision() const { return feed_.applied_revision(); }
-  // The replica holds every change up to the newest of this key.
+  // Whether the replica holds every change up to the version of this key.
   bool has_applied(const std::string& key) const { return version(key) <= applied_revision(); }
 
-  // Queues a transaction; its `done` is called once.
+  // Queues a transaction; its `done` is called exactly once.
   void submit(Transaction transaction) { transactions_.submit(std::move(transaction)); }
   std::size_t queued() const { return transactions_.size(); }
-  // Replies that a transaction was over the limit on sizes, or on the rate of changes.
+  // Number of replies that rejected a transaction for its size, and of replies that exceeded the
+  // service's rate.
   std::uint64_t rejections() const { return transactions_.rejections(); }
   std::uint64_t throttles() const { return transactions_.throttles(); }
-  // Nothing waits and enough of the write rate is left: what can wait may be written now.
+  // Whether no transaction waits and enough of the write rate is left for background writes.
   bool has_write_headroom(Ms now) const { return transactions_.has_write_headroom(now); }
-  // Live controllers share the rates.
-  void set_rate_sharers(int controllers) { rates_.set_sharers(controllers); }
+  // Sets the number of live controllers, which share the service's rates.
+  void set_rate_sharers(int controllers) { rates_.set_live_controllers(controllers); }
 
-  // Barrier read: calls back once the replica holds everything written before this call, or with
-  // false; at `deadline` (0: never) at the latest.
+  // Barrier read: calls `done` with true once the replica holds everything written before this
+  // call, or with false if it fails or at `deadline` (0: no deadline).
   void barrier_read(Ms now, Ms deadline, BarrierReads::Done done) {
     barriers_.read(now, deadline, std::move(done));
   }
-  // After a write that did not succeed: calls back once the replica holds whatever was written
-  // instead, however long that takes.
+  // To be called after a write that did not succeed: calls `done` once the replica holds everything
+  // written before this call, including what was written instead. Retries without a limit.
   void wait_until_settled(Ms now, std::function<void(Ms now)> done) {
-    barriers_.read_until_passed(now, std::move(done));
+    barriers_.read_with_retries(now, std::move(done));
   }
-  // Calls back once the replica holds every change up to the revision; or, at `deadline`, with
-  // false.
+  // Calls `done` with true once the replica holds every change up to the revision, or with false at
+  // `deadline` (0: no deadline).
   void wait_for_revision(Ms now, std::uint64_t revision, Ms deadline, BarrierReads::Done done) {
     barriers_.wait_for_revision(now, revision, deadline, std::move(done));
   }
-  // The same for the newest change that any reply has named, our own last write among them.
+  // Waits for the newest revision that any reply has named, which includes this controller's own
+  // last write.
   void wait_until_current(Ms now, Ms deadline, BarrierReads::Done done) {
     wait_for_revision(now, feed_.newest_known_revision(), deadline, std::move(done));
   }
-  // Reads one key from the service itself.
+  // Reads one key from the service instead of the replica.
   void read(Ms now, const std::string& key, ResultHandler done);
 
  private:
--- a/src/state/state_connection.cpp
+++ b/src/state/state_connection.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Milliseconds until an unanswered request counts as such; replies take 10 ms, rarely hundreds.
+// Timeout of a request, milliseconds; replies usually take 10 ms and rarely several hundred.
 constexpr std::int64_t kRequestTimeoutMs = 2000;
-// Milliseconds without transactions after a 429.
+// Milliseconds without transactions after a reply with status 429.
 constexpr std::int64_t kThrottledPauseMs = 250;
 
 }  // namespace
@@ -16,9 +16,9 @@
 void StateConnection::request(Ms now, std::string method, std::string path, std::string body,
                               ResultHandler done) {
   send_(Target::state, "", std::move(method), std::move(path), std::move(body), kRequestTimeoutMs,
-        [this, sent = now, pauses = pauses_, done = std::move(done)](
+        [this, sent_at = now, pause_count = pause_count_, done = std::move(done)](
             Ms at, const HttpResult& http_result) {
-          take_evidence(at, sent, pauses, http_result.status);
+          record_outcome(at, sent_at, pause_count, http_result.status);
           done(at, http_result);
         });
 }
@@ -27,16 +27,16 @@
   send_(Target::state, "", "GET", std::move(path), "", timeout, std::move(done));
 }
 
-void StateConnection::take_evidence(Ms now, Ms sent, std::uint64_t pauses, int status) {
+void StateConnection::record_outcome(Ms now, Ms sent_at, std::uint64_t pause_count, int status) {
   if (status == 429) {
     throttled_until_ = std::max(throttled_until_, now + kThrottledPauseMs);
     return;
   }
-  if (pauses != pauses_) return;
+  if (pause_count != pause_count_) return;
   if (status == kNoReply) {
-    // Guards against taking single replies that were lost for a service that is down: what was
-    // asked later has been answered.
-    if (link_.last_answer() <= sent) link_.unanswered(now);
+    // Ignore the timeout if a request sent later has been answered. Guards against treating a
+    // single lost reply as an outage of the service.
+    if (link_.last_answer() <= sent_at) link_.unanswered(now);
   } else if (status == 503) {
     link_.refused(now);
   } else {
@@ -45,7 +45,7 @@
 }
 
 void StateConnection::on_pause(Ms now) {
-  ++pauses_;
+  ++pause_count_;
   link_.on_pause(now, kStateProbeMs);
 }
 
--- a/src/state/state_connection.h
+++ b/src/state/state_connection.h
@@ -1,4 +1,4 @@
-// Requests to the state service, and what their outcomes tell of the link to it.
+// Sends requests to the state service and derives the state of the link from their outcomes.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 
 namespace scheduler {
 
-// Milliseconds between probes while the service does not answer; also until the next attempt where
-// a request has failed.
+// Milliseconds between probes while the service does not answer, and before a failed request is
+// retried.
 constexpr std::int64_t kStateProbeMs = 400;
 
-// Time of a next tick: nothing is due.
+// Next tick time that means that nothing is due.
 constexpr Ms kNever = std::numeric_limits<Ms>::max();
 
-// Owns the evidence of the link to the state service: whether it answers, and until when it wants
-// to be left alone after throttling.
+// Owns the evidence of the link to the state service: whether the service answers, and until when
+// no transactions may be sent because the service throttled them.
 class StateConnection {
  public:
   using Send = std::function<void(Target, std::string address, std::string method, std::string path,
@@ -27,30 +27,33 @@
 
   explicit StateConnection(Send send) : send_(std::move(send)) {}
 
-  // Sends a request; its outcome is taken as evidence of the link before `done` is called.
+  // Sends a request. Its outcome is recorded as evidence of the link before `done` is called.
   void request(Ms now, std::string method, std::string path, std::string body, ResultHandler done);
-  // Sends a request that the service leaves open. Its outcome says nothing by itself.
+  // Sends a request that the service answers only when there is something to report. Its outcome is
+  // not evidence of the link by itself; the caller calls answered() for a valid reply.
   void long_poll(std::string path, Ms timeout, ResultHandler done);
-  // A reply to a long poll has come.
+  // Records that a reply to a long poll has arrived.
   void answered(Ms now) { link_.answered(now); }
 
-  // Guards against replies to requests from before a process pause being taken for evidence of now:
-  // the service counts as not answering until something asked from here on is answered.
+  // Makes the service count as not answering until a request sent after the process pause is
+  // answered. Guards against taking replies to earlier requests as evidence of the current state of
+  // the link.
   void on_pause(Ms now);
-  // Process pauses so far. A request during which it has grown was sent before a pause.
-  [[nodiscard]] std::uint64_t pauses() const { return pauses_; }
+  // Number of process pauses so far. If it has grown since a request was sent, the request was sent
+  // before a pause.
+  [[nodiscard]] std::uint64_t pause_count() const { return pause_count_; }
 
   [[nodiscard]] const links::RequestLink& link() const { return link_; }
-  // No transaction is to be sent before that time.
+  // Time before which no transaction may be sent.
   [[nodiscard]] Ms throttled_until() const { return throttled_until_; }
 
  private:
-  void take_evidence(Ms now, Ms sent, std::uint64_t pauses, int status);
+  void record_outcome(Ms now, Ms sent_at, std::uint64_t pause_count, int status);
 
   Send send_;
   links::RequestLink link_;
   Ms throttled_until_ = 0;
-  std::uint64_t pauses_ = 0;
+  std::uint64_t pause_count_ = 0;
 };
 
 }  // namespace scheduler
--- a/src/state/state_loader.h
+++ b/src/state/state_loader.h
@@ -1,4 +1,4 @@
-// Reading every record from the state service.
+// Reads every record from the state service.
 #pragma once
 
 #include <cstdint>
@@ -14,34 +14,37 @@
 namespace scheduler {
 
 // Reads all records page by page, at the start and whenever the watch has fallen too far behind.
-// Final states are not read: they grow for ever, and are read one at a time.
+// Final states are not loaded, since their number grows without limit; they are read one at a time
+// when needed.
 class StateLoader {
  public:
-  // `on_pages_read`: every page has been read, so the watch may be opened.
+  // `on_pages_read` is called when every page has been read, so that the watch may be opened.
   StateLoader(StateConnection& connection, ReplicaFeed& feed, const StateLog& log,
               std::function<void(Ms now)> on_pages_read)
       : connection_(connection), feed_(feed), log_(log), on_pages_read_(std::move(on_pages_read)) {}
 
-  // Everything is to be read (again), from `now` on.
+  // Schedules a full read of all records, to begin at `now` or later.
   void restart(Ms now);
-  // Begins the reading if it is due.
+  // Begins the full read if it is due.
   void tick(Ms now);
-  // The watch has brought more changes.
+  // Checks whether the full read is complete; to be called when the watch has applied changes.
   void on_applied();
 
-  // The watch may be open: it starts where the first page was read.
+  // Whether all pages have been read, so that the watch may be open. The watch starts at the
+  // revision of the first page.
   [[nodiscard]] bool pages_read() const {
     return phase_ == Phase::catching_up || phase_ == Phase::complete;
   }
-  // Guards against replies and decisions from pages that were read at different revisions: a job's
-  // record from before its end, say, without the range that was removed with it.
+  // Whether the watch has also passed the newest revision of the pages. Guards against replies and
+  // decisions based on pages of different revisions: for example a job's record from before the
+  // job's end without the range that was removed at its end.
   [[nodiscard]] bool complete() const { return phase_ == Phase::complete; }
 
  private:
   enum class Phase : std::uint8_t {
-    none,         // to be begun
-    reading,      // page after page
-    catching_up,  // all pages are read; the watch has not passed the newest of them
+    not_started,
+    reading,      // reading pages
+    catching_up,  // all pages are read; the watch has not passed their newest revision yet
     complete
   };
 
@@ -55,14 +58,14 @@
   const StateLog& log_;
   std::function<void(Ms)> on_pages_read_;
 
-  Phase phase_ = Phase::none;
-  Ms due_ = 0;              // while none
-  std::size_t prefix_ = 0;  // index of the prefix that is being read
-  std::string after_;       // the last key read of it
+  Phase phase_ = Phase::not_started;
+  Ms begin_at_ = 0;               // start time of the full read, in Phase::not_started
+  std::size_t prefix_index_ = 0;  // index of the key prefix that is being read
+  std::string last_key_;          // last key read with that prefix
   std::uint64_t first_revision_ = 0;
   bool first_revision_known_ = false;
-  std::uint64_t newest_revision_ = 0;  // of all pages
-  std::set<std::string> found_;
+  std::uint64_t newest_revision_ = 0;  // newest revision of any page
+  std::set<std::string> found_keys_;
 };
 
 }  // namespace scheduler
--- a/src/state/state_log.cpp
+++ b/src/state/state_log.cpp
@@ -4,22 +4,22 @@
 
 namespace scheduler {
 
-void StateLog::read(Ms now, Ms sent, std::string_view kind, std::uint64_t revision,
+void StateLog::read(Ms now, Ms sent_at, std::string_view kind, std::uint64_t revision,
                     std::size_t count) const {
   if (!settings_.log_debug) return;
   LogEvent event(kind);
   event.field("revision", revision).field("applied", feed_.applied_revision());
-  event.field("count", count).field("took_ms", now - sent);
+  event.field("count", count).field("took_ms", now - sent_at);
   log_(LogLevel::debug, event.text());
 }
 
-void StateLog::transaction(Ms now, Ms sent, int status, std::uint64_t revision,
+void StateLog::transaction(Ms now, Ms sent_at, int status, std::uint64_t revision,
                            std::string_view first_key) const {
   if (!settings_.log_debug) return;
   LogEvent event("transaction");
   event.field("status", status).field("revision", revision);
   event.field("applied", feed_.applied_revision()).field("first", first_key);
-  event.field("took_ms", now - sent);
+  event.field("took_ms", now - sent_at);
   log_(LogLevel::debug, event.text());
 }
 
--- a/src/state/state_log.h
+++ b/src/state/state_log.h
@@ -1,4 +1,4 @@
-// What the client of the state service logs.
+// Log lines of the state client.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +12,9 @@
 
 namespace scheduler {
 
-// Lines of level debug say what the state service answered, at which revision, and how long it took
-// from `sent` on; docs/operations.md lists them. Building them costs time, so that is done only
-// where they are wanted.
+// Writes debug lines with the reply of the state service, its revision and the milliseconds since
+// the request was sent at `sent_at` (listed in docs/operations.md). The lines are built only if
+// debug logging is enabled, since building them costs processor time.
 class StateLog {
  public:
   using Log = std::function<void(LogLevel, std::string)>;
@@ -25,11 +25,12 @@
   void info(std::string text) const { log_(LogLevel::info, std::move(text)); }
   void error(std::string text) const { log_(LogLevel::error, std::move(text)); }
 
-  // `kind`: "watch" or "barrier"; `count`: events brought, or reads that share the request.
-  void read(Ms now, Ms sent, std::string_view kind, std::uint64_t revision,
+  // `kind`: "watch" or "barrier"; `count`: number of events received, or of reads that share the
+  // request.
+  void read(Ms now, Ms sent_at, std::string_view kind, std::uint64_t revision,
             std::size_t count) const;
-  // `revision`: 0 when it was not committed.
-  void transaction(Ms now, Ms sent, int status, std::uint64_t revision,
+  // `revision`: 0 if the transaction was not committed.
+  void transaction(Ms now, Ms sent_at, int status, std::uint64_t revision,
                    std::string_view first_key) const;
   void conflict(const std::vector<std::string>& failed_keys) const;
 
--- a/src/state/transaction.h
+++ b/src/state/transaction.h
@@ -1,4 +1,4 @@
-// A change of stored records that is made as a whole or not at all.
+// A change of stored records that is applied atomically.
 #pragma once
 
 #include <cstdint>
@@ -11,30 +11,31 @@
 
 namespace scheduler {
 
-// Milliseconds before a refused write is tried again: an outage is over in a moment or lasts long.
+// Milliseconds before a refused write is retried. Outages of the service are either over within a
+// moment or last long.
 constexpr std::int64_t kRefusedRetryMs = 250;
-// Milliseconds before a change that the service has rejected for its size is tried again: it can
-// only succeed once something has shrunk.
+// Milliseconds before a rejection for size is reported to the submitter, and before a change that
+// is too large is retried. A retry can only succeed once the change has become smaller.
 constexpr std::int64_t kRejectedPauseMs = 5000;
 
 enum class TxnResult : std::uint8_t {
   committed,
   conflict,  // a condition failed; nothing was written
-  refused,   // not executed
-  rejected,  // over the service's limits: never executed as it is
-  unknown    // no reply: executed, or still to be executed, or lost
+  refused,   // not executed; may be retried
+  rejected,  // over the service's limits; can't succeed unchanged
+  unknown    // no reply: executed, still to be executed, or lost
 };
 
-// Writes that take effect together, and only if every compare-and-swap condition holds.
+// Writes that are applied together, and only if every compare-and-swap condition holds.
 struct Transaction {
   std::vector<wire::Compare> conditions;
   std::vector<wire::Write> writes;
-  // Called once. `failed`: keys of the conditions that failed, after a conflict; among them may be
-  // keys of other transactions.
+  // Called exactly once. `failed`: after a conflict, the keys of all conditions that failed in the
+  // request, including those of other transactions sent with this one.
   std::function<void(Ms now, TxnResult, const std::vector<std::string>& failed)> done;
-  bool urgent = false;     // users wait for it
-  Ms deadline = 0;         // 0: never; afterwards it is refused instead of sent
-  bool exclusive = false;  // not sent together with others, one of which the service has rejected
+  bool urgent = false;     // a user waits for the result
+  Ms deadline = 0;         // 0: no deadline; after it the transaction is refused instead of sent
+  bool exclusive = false;  // must be sent alone, since a request that contained it was rejected
 };
 
 }  // namespace scheduler
--- a/src/state/transaction_queue.cpp
+++ b/src/state/transaction_queue.cpp
@@ -10,18 +10,19 @@
 
 namespace {
 
-// Groups under way at once: one slow reply must not hold up everything.
+// Maximum number of groups in flight: one slow reply must not hold up all other groups.
 constexpr int kGroupsInFlight = 3;
-// Milliseconds between looks at the queue while something waits. Waking up costs more processor
-// time than what is done then.
+// Milliseconds between ticks while transactions are queued. More frequent ticks would cost more
+// processor time for waking up than for the work.
 constexpr std::int64_t kBusyTickMs = 20;
 
-void tell(Ms now, std::vector<Transaction>& transactions, TxnResult result,
-          const std::vector<std::string>& failed_keys = {}) {
+void report_result(Ms now, std::vector<Transaction>& transactions, TxnResult result,
+                   const std::vector<std::string>& failed_keys = {}) {
   for (auto& t : transactions) t.done(now, result, failed_keys);
 }
 
-bool has_failed(const Transaction& transaction, const std::vector<std::string>& failed_keys) {
+bool has_failed_condition(const Transaction& transaction,
+                          const std::vector<std::string>& failed_keys) {
   return std::any_of(transaction.conditions.begin(), transaction.conditions.end(),
                      [&](const wire::Compare& condition) {
                        return std::find(failed_keys.begin(), failed_keys.end(), condition.key) !=
@@ -52,7 +53,7 @@
 
 Ms TransactionQueue::next_tick(Ms now) const {
   if (queue_.empty() || in_flight_ >= kGroupsInFlight) return kNever;
-  return std::max({send_after_, parts_.connection.throttled_until(), now + kBusyTickMs});
+  return std::max({send_after_, components_.connection.throttled_until(), now + kBusyTickMs});
 }
 
 bool TransactionQueue::has_write_headroom(Ms now) const {
@@ -63,10 +64,10 @@
 
 void TransactionQueue::flush(Ms now) {
   if (queue_.empty()) return;
-  const links::Status link = parts_.connection.link().status(now);
+  const links::Status link = components_.connection.link().status(now);
   refuse_unsendable(now, link);
-  if (link == links::Status::down || !parts_.loader.complete() ||
-      now < parts_.connection.throttled_until())
+  if (link == links::Status::down || !components_.loader.complete() ||
+      now < components_.connection.throttled_until())
     return;
 
   budget_.refill(now);
@@ -74,45 +75,47 @@
   while (!queue_.empty() && in_flight_ < kGroupsInFlight && now >= send_after_) {
     TransactionGroup group = form_group(oversize);
     if (group.empty()) break;
-    budget_.take(group.writes());
-    send_after_ = now + parts_.rates.between_transactions();
+    budget_.spend(group.writes());
+    send_after_ = now + components_.rates.transaction_interval();
     send(now, group.take_members());
   }
   for (auto& t : oversize) reject(now, std::move(t));
 }
 
-// Refuses at once what can't be sent; whoever asked decides whether to come back.
+// Refuses at once the transactions that can't be sent: all of them while the service doesn't
+// answer, otherwise those past their deadline. The submitter decides whether to retry.
 void TransactionQueue::refuse_unsendable(Ms now, links::Status link) {
   std::vector<Transaction> refused;
   for (std::size_t i = 0; i < queue_.size();) {
     const Ms deadline = queue_[i].deadline;
     if (link == links::Status::down || (deadline != 0 && now >= deadline)) {
-      refused.push_back(take(i));
+      refused.push_back(remove_from_queue(i));
     } else {
       ++i;
     }
   }
-  tell(now, refused, TxnResult::refused);
+  report_result(now, refused, TxnResult::refused);
 }
 
-// Takes from the queue what can be sent together now, and what can never be sent.
+// Removes from the queue the transactions that can be sent together now, and into `oversize` those
+// that can never be sent.
 TransactionGroup TransactionQueue::form_group(std::vector<Transaction>& oversize) {
-  TransactionGroup group(static_cast<std::size_t>(std::max(1, parts_.settings.txn_ops)));
+  TransactionGroup group(static_cast<std::size_t>(std::max(1, components_.settings.txn_ops)));
   for (std::size_t i = 0; i < queue_.size();) {
     const TransactionGroup::Addition addition = group.measure(queue_[i]);
     switch (fit(group, queue_[i], addition)) {
       case Fit::joins:
-        group.add(take(i), addition);
+        group.add(remove_from_queue(i), addition);
         break;
-      case Fit::follows:
+      case Fit::send_later:
         ++i;
         break;
       case Fit::group_full:
         return group;
-      case Fit::never:
-        // Guards against one that can never be sent holding up all behind it.
-        parts_.log.error(over_limits_text(addition));
-        oversize.push_back(take(i));
+      case Fit::too_large:
+        // Guards against a transaction that can never be sent holding up all later ones.
+        components_.log.error(over_limits_text(addition));
+        oversize.push_back(remove_from_queue(i));
         break;
     }
   }
@@ -123,17 +126,17 @@
                                             const Transaction& transaction,
                                             const TransactionGroup::Addition& addition) const {
   if (group.excludes(transaction)) return Fit::group_full;
-  if (!group.has_room_for(addition)) return group.empty() ? Fit::never : Fit::group_full;
-  // What users wait for finds something left of the rate.
+  if (!group.has_room_for(addition)) return group.empty() ? Fit::too_large : Fit::group_full;
+  // Background writes leave a part of the rate for urgent ones.
   const auto priority =
       transaction.urgent ? WriteBudget::Priority::urgent : WriteBudget::Priority::background;
   const bool affordable = budget_.allows(group.writes() + addition.writes, priority) ||
-                          (group.empty() && budget_.full());
+                          (group.empty() && budget_.is_full());
   if (!affordable) return Fit::group_full;
-  return group.depends_on_group(transaction) ? Fit::follows : Fit::joins;
+  return group.depends_on_group(transaction) ? Fit::send_later : Fit::joins;
 }
 
-Transaction TransactionQueue::take(std::size_t index) {
+Transaction TransactionQueue::remove_from_queue(std::size_t index) {
   Transaction transaction = std::move(queue_[index]);
   queue_.erase(queue_.begin() + static_cast<std::ptrdiff_t>(index));
   return transaction;
@@ -144,22 +147,23 @@
 void TransactionQueue::send(Ms now, std::vector<Transaction> group) {
   ++in_flight_;
   std::string body = group_body(group);
-  auto shared = std::make_shared<std::vector<Transaction>>(std::move(group));
-  parts_.connection.request(now, "POST", wire::kTransactionPath, std::move(body),
-                            [this, shared, sent = now](Ms at, const HttpResult& http_result) {
-                              on_reply(at, sent, std::move(*shared), http_result);
-                            });
+  auto shared_group = std::make_shared<std::vector<Transaction>>(std::move(group));
+  components_.connection.request(
+      now, "POST", wire::kTransactionPath, std::move(body),
+      [this, shared_group, sent_at = now](Ms at, const HttpResult& http_result) {
+        on_reply(at, sent_at, std::move(*shared_group), http_result);
+      });
 }
 
-void TransactionQueue::on_reply(Ms now, Ms sent, std::vector<Transaction> group,
+void TransactionQueue::on_reply(Ms now, Ms sent_at, std::vector<Transaction> group,
                                 const HttpResult& http_result) {
   --in_flight_;
   const int status = http_result.status;
   const auto revision = wire::parse_revision(http_result.body);
   const bool committed = status == 200 && revision;
   const auto& writes = group.front().writes;
-  parts_.log.transaction(now, sent, status, committed ? *revision : 0,
-                         writes.empty() ? "-" : writes.front().key);
+  components_.log.transaction(now, sent_at, status, committed ? *revision : 0,
+                              writes.empty() ? "-" : writes.front().key);
   if (committed) {
     on_committed(now, std::move(group), *revision);
   } else if (status == 409) {
@@ -169,47 +173,50 @@
   } else if (status == 400) {
     on_bad_request(now, std::move(group), http_result.body);
   } else {
-    tell(now, group, status == 503 ? TxnResult::refused : TxnResult::unknown);
+    report_result(now, group, status == 503 ? TxnResult::refused : TxnResult::unknown);
   }
 }
 
 void TransactionQueue::on_committed(Ms now, std::vector<Transaction> group,
                                     std::uint64_t revision) {
-  parts_.feed.learn_revision(now, revision);
-  // Guards against bringing back what the watch has meanwhile seen deleted: a reply that comes
-  // after the watch has passed its revision tells nothing new.
-  if (revision > parts_.feed.applied_revision()) {
+  components_.feed.record_revision(now, revision);
+  // Guards against recreating a key whose deletion the watch has already delivered: if the watch
+  // has passed this revision, the reply contains nothing new.
+  if (revision > components_.feed.applied_revision()) {
     for (const auto& t : group) {
       for (const auto& write : t.writes) {
-        // The view comes by the watch alone, after everything written before it. Guards against
-        // acting as an owner on records from before the view that made us one.
-        if (write.key != wire::kViewKey) parts_.feed.apply(now, {write.key, write.value, revision});
+        // The view is applied only by the watch, after everything written before it. Otherwise a
+        // controller that the new view makes an owner could act on records older than that view.
+        if (write.key != wire::kViewKey)
+          components_.feed.apply(now, {write.key, write.value, revision});
       }
     }
   }
-  tell(now, group, TxnResult::committed);
+  report_result(now, group, TxnResult::committed);
   flush(now);
 }
 
 void TransactionQueue::on_conflict(Ms now, std::vector<Transaction> group,
                                    const wire::Decoded<wire::Conflict>& conflict) {
   if (!conflict) {
-    tell(now, group, TxnResult::unknown);
+    report_result(now, group, TxnResult::unknown);
     return;
   }
-  parts_.log.conflict(conflict->failed_keys);
+  components_.log.conflict(conflict->failed_keys);
   std::vector<Transaction> conflicted;
-  std::vector<Transaction> innocent;
+  std::vector<Transaction> unaffected;
   for (auto& t : group)
-    (has_failed(t, conflict->failed_keys) ? conflicted : innocent).push_back(std::move(t));
-  // Guards against sending the same group for ever when the reply names no key that it compares.
-  if (conflicted.empty()) conflicted.swap(innocent);
-  requeue(std::move(innocent));
-  tell(now, conflicted, TxnResult::conflict, conflict->failed_keys);
+    (has_failed_condition(t, conflict->failed_keys) ? conflicted : unaffected)
+        .push_back(std::move(t));
+  // Guards against endlessly sending the group again if the reply names no key that the group
+  // compares.
+  if (conflicted.empty()) conflicted.swap(unaffected);
+  requeue(std::move(unaffected));
+  report_result(now, conflicted, TxnResult::conflict, conflict->failed_keys);
   flush(now);
 }
 
-// The rate was exceeded, by us or by others that share it.
+// The rate was exceeded by this controller or by another one that shares it.
 void TransactionQueue::on_throttled(std::vector<Transaction> group) {
   ++throttles_;
   budget_.drain();
@@ -218,26 +225,28 @@
 
 void TransactionQueue::on_bad_request(Ms now, std::vector<Transaction> group,
                                       const std::string& reason) {
-  // A lease that has ended meanwhile is no fault: the next one carries the record.
+  // A lease that has expired is no error of the transaction: the submitter writes its record again
+  // with the next lease.
   if (reason.find("no such lease") != std::string::npos) {
-    parts_.log.info("the state service rejected a transaction: " + reason);
-    parts_.lease.lose(now);
-    tell(now, group, TxnResult::refused);
+    components_.log.info("the state service rejected a transaction: " + reason);
+    components_.lease.mark_expired(now);
+    report_result(now, group, TxnResult::refused);
     return;
   }
   ++rejections_;
   if (group.size() > 1) {
-    // Guards against one that is too large making all that were sent with it fail.
+    // Guards against one transaction that is too large failing all others in its group: each is
+    // sent alone.
     for (auto& t : group) t.exclusive = true;
     requeue(std::move(group));
     flush(now);
     return;
   }
-  parts_.log.error("the state service rejected a transaction: " + reason);
+  components_.log.error("the state service rejected a transaction: " + reason);
   for (auto& t : group) reject(now, std::move(t));
 }
 
-// To the head of the queue, in the order in which they were.
+// Puts the transactions back at the head of the queue in their previous order.
 void TransactionQueue::requeue(std::vector<Transaction> group) {
   while (!group.empty()) {
     queue_.push_front(std::move(group.back()));
@@ -245,8 +254,8 @@
   }
 }
 
-// Guards against asking for the same again at once and for ever: whoever asked hears of it after a
-// pause, unless a user waits.
+// Reports the rejection after a delay, so that the submitter doesn't retry the transaction at once
+// and endlessly. A transaction with a deadline, for which a user waits, is reported at once.
 void TransactionQueue::reject(Ms now, Transaction transaction) {
   if (transaction.deadline != 0) {
     transaction.done(now, TxnResult::rejected, {});
@@ -261,7 +270,7 @@
     due.push_back(std::move(rejected_.front().transaction));
     rejected_.erase(rejected_.begin());
   }
-  tell(now, due, TxnResult::rejected);
+  report_result(now, due, TxnResult::rejected);
 }
 
 }  // namespace scheduler
--- a/src/state/transaction_queue.h
+++ b/src/state/transaction_queue.h
@@ -1,4 +1,4 @@
-// The transactions on their way to the state service.
+// Queue of the transactions to be sent to the state service.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +19,15 @@
 
 namespace scheduler {
 
-// Sends transactions in the order of their submission, urgent ones first, in groups, within the
-// rates. Owns those that wait, the number under way, and those that the service has rejected. Each
-// transaction is told its result exactly once. Of a group that had a conflict, only the members
-// whose conditions failed are told so; the others are sent again.
+// Sends transactions in the order of submission, urgent ones first, in groups and within the rates.
+// Owns the waiting transactions, the number of groups in flight, and the transactions that the
+// service has rejected. Each transaction's `done` is called exactly once. If a group has a
+// conflict, only the members whose conditions failed receive the conflict; the others are sent
+// again.
 class TransactionQueue {
  public:
-  // What the queue reads, and what its results act on.
-  struct Parts {
+  // The components that the queue reads from and that its results act on.
+  struct Components {
     const Settings& settings;
     const RateShares& rates;
     StateConnection& connection;
@@ -36,20 +37,23 @@
     const StateLog& log;
   };
 
-  explicit TransactionQueue(const Parts& parts) : parts_(parts), budget_(parts.rates) {}
+  explicit TransactionQueue(const Components& components)
+      : components_(components), budget_(components.rates) {}
 
   void start(Ms now) { budget_.start(now); }
-  // Queues it; it is sent at a later tick.
+  // Queues the transaction; a later tick sends it.
   void submit(Transaction transaction);
-  // Sends what may be sent, and tells the results that are due.
+  // Sends the transactions that may be sent now and reports the results that are due.
   void tick(Ms now);
-  // When the next group may be sent; kNever if none waits for that.
+  // Time at which the next group may be sent; kNever if no transaction waits or the maximum number
+  // of groups is in flight.
   [[nodiscard]] Ms next_tick(Ms now) const;
 
   [[nodiscard]] std::size_t size() const { return queue_.size(); }
-  // Nothing waits and enough of the write rate is left: what can wait may be written now.
+  // Whether no transaction waits and enough of the write rate is left for background writes.
   [[nodiscard]] bool has_write_headroom(Ms now) const;
-  // Replies that a transaction was over the limit on sizes, or on the rate of changes.
+  // Number of replies that rejected a transaction for its size, and of replies that exceeded the
+  // service's rate.
   [[nodiscard]] std::uint64_t rejections() const { return rejections_; }
   [[nodiscard]] std::uint64_t throttles() const { return throttles_; }
 
@@ -57,9 +61,9 @@
   // Whether a transaction can be sent with the group that is being formed.
   enum class Fit : std::uint8_t {
     joins,
-    follows,     // depends on the group; others may still join
-    group_full,  // nor may any behind it
-    never        // over the service's limits even by itself
+    send_later,  // depends on the group and is sent later; later transactions may still join
+    group_full,  // does not fit, and no later transaction may join either
+    too_large    // over the service's limits even alone
   };
   struct Rejected {
     Ms release_at = 0;
@@ -71,10 +75,10 @@
   TransactionGroup form_group(std::vector<Transaction>& oversize);
   [[nodiscard]] Fit fit(const TransactionGroup& group, const Transaction& transaction,
                         const TransactionGroup::Addition& addition) const;
-  Transaction take(std::size_t index);
+  Transaction remove_from_queue(std::size_t index);
 
   void send(Ms now, std::vector<Transaction> group);
-  void on_reply(Ms now, Ms sent, std::vector<Transaction> group, const HttpResult& http_result);
+  void on_reply(Ms now, Ms sent_at, std::vector<Transaction> group, const HttpResult& http_result);
   void on_committed(Ms now, std::vector<Transaction> group, std::uint64_t revision);
   void on_conflict(Ms now, std::vector<Transaction> group,
                    const wire::Decoded<wire::Conflict>& conflict);
@@ -84,10 +88,10 @@
   void reject(Ms now, Transaction transaction);
   void release_rejected(Ms now);
 
-  Parts parts_;
+  Components components_;
   WriteBudget budget_;
   std::deque<Transaction> queue_;
-  int in_flight_ = 0;  // groups
+  int in_flight_ = 0;  // number of groups in flight
   Ms send_after_ = 0;
   std::vector<Rejected> rejected_;  // in the order of release_at
   std::uint64_t rejections_ = 0, throttles_ = 0;
--- a/src/state/watch_stream.cpp
+++ b/src/state/watch_stream.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-// Milliseconds that a watch is left open by the service.
-constexpr std::int64_t kWatchMs = 10000;
-// Milliseconds beyond that after which a watch counts as lost.
+// Milliseconds for which the service keeps a watch open.
+constexpr std::int64_t kWatchDurationMs = 10000;
+// Milliseconds after the end of kWatchDurationMs after which a watch counts as lost.
 constexpr std::int64_t kWatchGraceMs = 2500;
-// Milliseconds for which the watch may be behind what other replies name before it is reopened;
-// it usually takes a few tens.
-constexpr std::int64_t kWatchBehindMs = 800;
+// Milliseconds for which the watch may lack a revision that another reply has named before the
+// watch is reopened; usually it lacks it for a few tens of milliseconds.
+constexpr std::int64_t kMaxWatchLagMs = 800;
 
 }  // namespace
 
-// Guards against a watch whose reply was lost: other replies name revisions that it should have
-// brought long ago.
-bool WatchStream::lost(Ms now) const {
-  return open_ &&
-         (feed_.behind_for(now, kWatchBehindMs) || now - opened_at_ > kWatchMs + kWatchGraceMs);
+// Guards against a watch whose reply was lost: it should have delivered revisions that other
+// replies name.
+bool WatchStream::is_lost(Ms now) const {
+  return open_ && (feed_.is_behind_longer_than(now, kMaxWatchLagMs) ||
+                   now - opened_at_ > kWatchDurationMs + kWatchGraceMs);
 }
 
 void WatchStream::tick(Ms now) {
-  if (lost(now)) {
+  if (is_lost(now)) {
     ++generation_;
     open_ = false;
     feed_.restart_behind_timer(now);
@@ -40,19 +40,21 @@
   open_ = true;
   opened_at_ = now;
   const std::uint64_t generation = ++generation_;
-  connection_.long_poll(
-      wire::watch_path(feed_.applied_revision(), kWatchMs), kWatchMs + kWatchGraceMs,
-      [this, generation, pauses = connection_.pauses()](Ms at, const HttpResult& http_result) {
-        on_reply(at, generation, pauses, http_result);
-      });
+  connection_.long_poll(wire::watch_path(feed_.applied_revision(), kWatchDurationMs),
+                        kWatchDurationMs + kWatchGraceMs,
+                        [this, generation, pause_count = connection_.pause_count()](
+                            Ms at, const HttpResult& http_result) {
+                          on_reply(at, generation, pause_count, http_result);
+                        });
 }
 
-void WatchStream::on_reply(Ms now, std::uint64_t generation, std::uint64_t pauses,
+void WatchStream::on_reply(Ms now, std::uint64_t generation, std::uint64_t pause_count,
                            const HttpResult& http_result) {
   if (generation != generation_) return;
   open_ = false;
-  open_after_ = std::max(now, opened_at_ + rates_.between_watches());
-  // Guards against asking for ever for a reply that is longer each time, after a long cut.
+  open_after_ = std::max(now, opened_at_ + rates_.watch_interval());
+  // The watch fell behind during a long interruption of the link. Read all records again instead of
+  // endlessly requesting a reply that only grows.
   if (http_result.status == 410 || http_result.status == kReplyTooLarge) {
     log_.info("watch fell behind; reading the state again");
     events_.on_fell_behind(now);
@@ -63,9 +65,9 @@
     open_after_ = now + kStateProbeMs;
     return;
   }
-  if (pauses == connection_.pauses()) connection_.answered(now);
+  if (pause_count == connection_.pause_count()) connection_.answered(now);
   for (const auto& item : events->items) feed_.apply(now, item);
-  feed_.advance(events->revision);
+  feed_.advance_to(events->revision);
   log_.read(now, opened_at_, "watch", events->revision, events->items.size());
   events_.on_applied(now);
   if (now >= open_after_) open(now);
--- a/src/state/watch_stream.h
+++ b/src/state/watch_stream.h
@@ -1,4 +1,4 @@
-// The watch: a long poll that brings every change of the state service in order.
+// The watch: a long poll that delivers every change of the state service in order.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 namespace scheduler {
 
-// Keeps one watch open and applies what it brings, so that the replica follows the service without
-// gaps. Owns the one request that is open and when the next may be opened.
+// Keeps one watch open and applies the changes that it delivers, so that the replica follows the
+// service without gaps. Owns the one open request and the time at which the next one may be opened.
 class WatchStream {
  public:
   struct Events {
-    std::function<void(Ms now)> on_applied;      // changes have been applied, perhaps none
-    std::function<void(Ms now)> on_fell_behind;  // everything has to be read again
+    std::function<void(Ms now)> on_applied;      // changes have been applied, possibly none
+    std::function<void(Ms now)> on_fell_behind;  // all records have to be read again
   };
 
   WatchStream(const RateShares& rates, StateConnection& connection, ReplicaFeed& feed,
@@ -29,15 +29,15 @@
         log_(log),
         events_(std::move(events)) {}
 
-  // Opens the watch again if it has ended or must be given up.
+  // Opens the watch if none is open, and reopens it if it counts as lost.
   void tick(Ms now);
-  // When it may be opened; kNever while it is open.
+  // Time at which the watch may be opened; kNever while it is open.
   [[nodiscard]] Ms next_tick(Ms now) const;
 
  private:
-  [[nodiscard]] bool lost(Ms now) const;
+  [[nodiscard]] bool is_lost(Ms now) const;
   void open(Ms now);
-  void on_reply(Ms now, std::uint64_t generation, std::uint64_t pauses,
+  void on_reply(Ms now, std::uint64_t generation, std::uint64_t pause_count,
                 const HttpResult& http_result);
 
   const RateShares& rates_;
@@ -46,7 +46,7 @@
   const StateLog& log_;
   Events events_;
 
-  // Replies to other generations are ignored.
+  // Number of the newest watch request; replies to earlier ones are ignored.
   std::uint64_t generation_ = 0;
   bool open_ = false;
   Ms opened_at_ = 0;
--- a/src/state/write_budget.cpp
+++ b/src/state/write_budget.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Share of a second's writes that is kept for what users wait for.
+// Share of the writes of one second that is reserved for urgent writes.
 constexpr double kUrgentShare = 0.25;
-// Share of a second's writes that must be left for what can wait to be written.
+// Share of the writes of one second that must be left before background writes are made.
 constexpr double kHeadroomShare = 0.5;
 
 }  // namespace
@@ -32,9 +32,9 @@
   return tokens_ - reserved >= static_cast<double>(writes);
 }
 
-bool WriteBudget::full() const { return tokens_ >= rates_.writes_per_s() - 1; }
+bool WriteBudget::is_full() const { return tokens_ >= rates_.writes_per_s() - 1; }
 
-void WriteBudget::take(std::size_t writes) { tokens_ -= static_cast<double>(writes); }
+void WriteBudget::spend(std::size_t writes) { tokens_ -= static_cast<double>(writes); }
 
 void WriteBudget::drain() { tokens_ = std::min(tokens_, 0.0); }
 
--- a/src/state/write_budget.h
+++ b/src/state/write_budget.h
@@ -1,37 +1,37 @@
-// Token bucket for the writes of a second.
+// Token bucket that limits the rate of writes.
 #pragma once
 
 #include "state/rate_shares.h"
 
 namespace scheduler {
 
-// Holds at most a second's writes. Guards against transactions being throttled by the service, and
-// against background writes using up what users wait for.
+// Holds up to the writes of one second. Guards against the service throttling transactions, and
+// against background writes using up the rate that urgent writes need.
 class WriteBudget {
  public:
   enum class Priority : std::uint8_t {
-    background,  // leaves a share of the bucket untouched
-    urgent       // may take all of it
+    background,  // leaves a share of the bucket for urgent writes
+    urgent       // may use the whole bucket
   };
 
   explicit WriteBudget(const RateShares& rates) : rates_(rates) {}
 
-  // The bucket is half full at first.
+  // Starts with a half full bucket.
   void start(Ms now);
   void refill(Ms now);
-  // Whether that many writes may be made now.
+  // Whether this number of writes may be sent now.
   [[nodiscard]] bool allows(std::size_t writes, Priority priority) const;
-  // Nearly a second's writes are left: even a transaction of more writes than that may go, since
-  // waiting longer would not help it.
-  [[nodiscard]] bool full() const;
-  void take(std::size_t writes);
-  // The service has throttled: nothing is left of this second.
+  // Whether the bucket is full to within one write. A transaction with more writes than the bucket
+  // holds may then be sent too, since waiting longer would not help.
+  [[nodiscard]] bool is_full() const;
+  void spend(std::size_t writes);
+  // Empties the bucket after the service has throttled a transaction.
   void drain();
-  // Whether enough is left at that time for writes that can wait.
+  // Whether enough is left at `now` for background writes.
   [[nodiscard]] bool has_headroom(Ms now) const;
 
  private:
-  // Writes left, with what has been refilled by that time.
+  // Writes left at `now`, including those refilled since the last refill().
   [[nodiscard]] double available(Ms now) const;
 
   const RateShares& rates_;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,5 @@
-// Whether a controller may act, without a whole controller.
+// Tests of ControllerStatus, which decides whether a controller may act, without a whole
+// controller.
 #include <gtest/gtest.h>
 
 #include "membership/controller_status.h"
@@ -18,23 +19,23 @@
   EXPECT_FALSE(status_.ready());
   run(1000, [](Ms) {});
   EXPECT_TRUE(status_.ready());
-  wire::ViewRecord without;
-  without.epoch = 2;
-  put(std::string(wire::kViewKey), encode(without));
+  wire::ViewRecord view_without_controller;
+  view_without_controller.epoch = 2;
+  put(std::string(wire::kViewKey), encode(view_without_controller));
   run(1000, [](Ms) {});
   EXPECT_FALSE(status_.ready());
 }
 
-TEST_F(ControllerStatusTest, AnotherIncarnationOfItsNameIsNotItself) {
-  wire::ViewRecord other;
-  other.epoch = 2;
-  other.live[kName] = "another";
-  put(std::string(wire::kViewKey), encode(other));
+TEST_F(ControllerStatusTest, IsNotReadyIfTheViewNamesAnotherIncarnation) {
+  wire::ViewRecord view_with_other_incarnation;
+  view_with_other_incarnation.epoch = 2;
+  view_with_other_incarnation.live[kName] = "another";
+  put(std::string(wire::kViewKey), encode(view_with_other_incarnation));
   run(1000, [](Ms) {});
   EXPECT_FALSE(status_.ready());
 }
 
-TEST_F(ControllerStatusTest, TwoSecondsWithoutInputAreAPause) {
+TEST_F(ControllerStatusTest, MoreThanTwoSecondsWithoutInputAreAPause) {
   run(1000, [](Ms) {});
   EXPECT_FALSE(status_.observe_input(now_).has_value());
   EXPECT_FALSE(status_.observe_input(now_ + 2000).has_value());
@@ -49,14 +50,15 @@
   EXPECT_EQ(status_.begin_resynchronising(now_), 1U);
   EXPECT_TRUE(status_.resynchronising(now_));
   EXPECT_FALSE(status_.can_write(now_));
-  // After a while the state service counts as out of reach; writes still wait for its word.
+  // After kResynchroniseTimeoutMs the state service counts as unreachable; writes still wait until
+  // it has reported what changed.
   EXPECT_FALSE(status_.resynchronising(now_ + 1500));
   EXPECT_FALSE(status_.can_write(now_ + 1500));
   status_.finish_resynchronising();
   EXPECT_TRUE(status_.can_write(now_));
 }
 
-TEST_F(ControllerStatusTest, IsDeposedByANewerEpochThatItCantRead) {
+TEST_F(ControllerStatusTest, IsDeposedByANewerEpochWhoseViewItCantRead) {
   run(1000, [](Ms) {});
   status_.see_epoch(2);
   EXPECT_FALSE(status_.deposed(now_)) << "the watch will bring the view";
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -1,5 +1,5 @@
-// The client of the state service by itself, against a stand-in of the service: session lease,
-// watch, transactions and barrier reads.
+// Tests of the state client against a fake state service: session lease, watch, transactions and
+// barrier reads.
 #include "state/state_client.h"
 
 #include <gtest/gtest.h>
@@ -16,12 +16,12 @@
 namespace scheduler {
 namespace {
 
-constexpr Ms kStep = 20;
+constexpr Ms kStepMs = 20;
 
-// Replies come one step after the request, as those of the network: never during the call.
+// Replies arrive one step after the request, like those of a network, and never during the call.
 class StateClientTest : public testing::Test {
  protected:
-  struct Sent {
+  struct SentRequest {
     Ms at;
     Call call;
   };
@@ -52,18 +52,18 @@
             [this](Ms, const wire::StoredItem& item) { on_applied(item); },
             [](LogLevel, const std::string&) {}) {}
 
-  // Time passes, one tick at each step.
-  void run(Ms lasts) {
+  // Advances the clock by `duration_ms`, with one tick of the client at each step.
+  void run(Ms duration_ms) {
     if (!std::exchange(started_, true)) client_.start(now_);
-    for (const Ms end = now_ + lasts; now_ < end; now_ += kStep) {
+    for (const Ms end = now_ + duration_ms; now_ < end; now_ += kStepMs) {
       client_.tick(now_);
-      if (watch_served_ && !replies_lost_)
+      if (watches_are_served_ && !replies_are_lost_)
         state_.serve_watchers(now_, [](std::size_t) { return true; });
       deliver();
     }
   }
 
-  // Another controller changes a key.
+  // Writes or removes a key as another controller would.
   void put(const std::string& key, const std::string& value = "{}") {
     state_.items[key] = {value, ++state_.revision, 0};
     state_.change(key, value);
@@ -74,12 +74,12 @@
     state_.change(key, std::nullopt);
   }
 
-  // A transaction of one write, whose result will stand under the key.
+  // A transaction of one write; its result is recorded in results_ under the key.
   Transaction write(const std::string& key, const std::string& value = "{}") {
     Transaction transaction;
     transaction.writes = {{key, value, std::nullopt}};
     transaction.done = [this, key](Ms, TxnResult result, const std::vector<std::string>&) {
-      EXPECT_TRUE(results_.emplace(key, result).second) << key << " was told twice";
+      EXPECT_TRUE(results_.emplace(key, result).second) << key << " was reported twice";
     };
     return transaction;
   }
@@ -88,45 +88,45 @@
     return it == results_.end() ? std::nullopt : std::optional(it->second);
   }
 
-  // Requests so far whose path begins so.
-  std::vector<Sent> sent(const std::string& path) const {
-    std::vector<Sent> out;
-    std::copy_if(sent_.begin(), sent_.end(), std::back_inserter(out),
-                 [&](const Sent& s) { return s.call.path.starts_with(path); });
-    return out;
+  // Requests sent so far whose path starts with `path`.
+  std::vector<SentRequest> requests_to(const std::string& path) const {
+    std::vector<SentRequest> matching;
+    std::copy_if(sent_requests_.begin(), sent_requests_.end(), std::back_inserter(matching),
+                 [&](const SentRequest& s) { return s.call.path.starts_with(path); });
+    return matching;
   }
-  // Writes of each transaction request, in order.
-  std::vector<unsigned> writes_of_groups() const {
-    std::vector<unsigned> out;
-    for (const auto& s : sent(wire::kTransactionPath)) {
+  // Number of writes in each transaction request, in the order of sending.
+  std::vector<unsigned> write_counts_of_requests() const {
+    std::vector<unsigned> write_counts;
+    for (const auto& s : requests_to(wire::kTransactionPath)) {
       rapidjson::Document doc;
       EXPECT_TRUE(wire::parse_object(s.call.body, doc));
-      out.push_back(doc["writes"].Size());
+      write_counts.push_back(doc["writes"].Size());
     }
-    return out;
+    return write_counts;
   }
 
   Ms now_ = 1000;
   Settings settings_;
   sim::FakeStateService state_;
-  bool replies_lost_ = false;                // every reply is; requests fail at their timeout
-  bool watch_served_ = true;                 // else it stays open
-  Ms transaction_reply_after_ = kStep;       // milliseconds
-  std::map<std::string, std::string> held_;  // what the replica holds, by key
-  std::vector<std::string> applied_;         // keys, in the order in which they came
+  bool replies_are_lost_ = false;   // every reply is lost; requests fail at their timeout
+  bool watches_are_served_ = true;  // if false, watches stay open
+  Ms transaction_reply_delay_ms_ = kStepMs;
+  std::map<std::string, std::string> replica_items_;  // items applied by the client, by key
+  std::vector<std::string> applied_keys_;             // keys in the order of application
   StateClient client_;
 
  private:
   void on_request(const Call& call, ResultHandler done) {
-    sent_.push_back({now_, call});
-    const Ms delay = call.path == wire::kTransactionPath ? transaction_reply_after_ : kStep;
-    if (replies_lost_) {
+    sent_requests_.push_back({now_, call});
+    const Ms delay_ms = call.path == wire::kTransactionPath ? transaction_reply_delay_ms_ : kStepMs;
+    if (replies_are_lost_) {
       replies_.push_back({now_ + call.timeout, std::move(done), {kNoReply, ""}});
       return;
     }
     state_.serve(now_, call, 0,
-                 [this, delay, done = std::move(done)](int status, const std::string& body) {
-                   replies_.push_back({now_ + delay, done, {status, body}});
+                 [this, delay_ms, done = std::move(done)](int status, const std::string& body) {
+                   replies_.push_back({now_ + delay_ms, done, {status, body}});
                  });
   }
 
@@ -144,16 +144,16 @@
   }
 
   void on_applied(const wire::StoredItem& item) {
-    applied_.push_back(item.key);
+    applied_keys_.push_back(item.key);
     if (item.value) {
-      held_[item.key] = *item.value;
+      replica_items_[item.key] = *item.value;
     } else {
-      held_.erase(item.key);
+      replica_items_.erase(item.key);
     }
   }
 
   bool started_ = false;
-  std::vector<Sent> sent_;
+  std::vector<SentRequest> sent_requests_;
   std::vector<PendingReply> replies_;
   std::map<std::string, TxnResult> results_;
 };
@@ -186,7 +186,7 @@
   Transaction announce = write("live/a");
   announce.writes.front().lease_id = first;
   client_.submit(std::move(announce));
-  run(5 * kStep);
+  run(5 * kStepMs);
   EXPECT_EQ(result("live/a"), TxnResult::refused);
   EXPECT_EQ(client_.rejections(), 0U);
   EXPECT_NE(client_.lease_id(), first);
@@ -194,11 +194,11 @@
 
 TEST_F(StateClientTest, SessionLeaseIsNotRenewedWhileNoRepliesCome) {
   run(3000);
-  replies_lost_ = true;
+  replies_are_lost_ = true;
   run(10'000);
-  const std::size_t renewals = sent("/holds/").size();
+  const std::size_t renewals = requests_to("/holds/").size();
   run(10'000);
-  EXPECT_EQ(sent("/holds/").size(), renewals);
+  EXPECT_EQ(requests_to("/holds/").size(), renewals);
   EXPECT_FALSE(client_.answering(now_));
 }
 
@@ -206,37 +206,37 @@
 
 TEST_F(StateClientTest, IsLoadedOnceTheWatchHasPassedEveryPage) {
   for (int i = 0; i < 300; ++i) put("job/" + std::to_string(i));
-  watch_served_ = false;
-  run(6 * kStep);
+  watches_are_served_ = false;
+  run(6 * kStepMs);
   put("quota/t");  // between the first page and the last
   run(1000);
-  EXPECT_TRUE(held_.contains("quota/t"));
+  EXPECT_TRUE(replica_items_.contains("quota/t"));
   EXPECT_FALSE(client_.loaded());
-  watch_served_ = true;
-  run(2 * kStep);
+  watches_are_served_ = true;
+  run(2 * kStepMs);
   EXPECT_TRUE(client_.loaded());
   EXPECT_EQ(client_.applied_revision(), state_.revision);
-  EXPECT_EQ(held_.size(), 301U);
+  EXPECT_EQ(replica_items_.size(), 301U);
 }
 
 TEST_F(StateClientTest, WatchThatFallsBehindIsReopened) {
   run(1000);
   state_.watchers.clear();  // its reply is lost
   put("job/a");
-  std::optional<bool> passed;
-  client_.barrier_read(now_, 0, [&](Ms, bool ok) { passed = ok; });
+  std::optional<bool> succeeded;
+  client_.barrier_read(now_, 0, [&](Ms, bool ok) { succeeded = ok; });
   run(400);
-  EXPECT_EQ(passed, std::nullopt);
+  EXPECT_EQ(succeeded, std::nullopt);
   run(1000);
-  EXPECT_EQ(passed, true);
-  EXPECT_TRUE(held_.contains("job/a"));
+  EXPECT_EQ(succeeded, true);
+  EXPECT_TRUE(replica_items_.contains("job/a"));
 }
 
-TEST_F(StateClientTest, WatchThatIsTooOldIsFollowedByAFullRead) {
+TEST_F(StateClientTest, WatchFromACompactedRevisionIsFollowedByAFullRead) {
   put("job/a");
   put("job/b");
   run(1000);
-  ASSERT_EQ(held_.size(), 2U);
+  ASSERT_EQ(replica_items_.size(), 2U);
   state_.watchers.clear();
   state_.changes_kept = 1;
   remove("job/a");
@@ -247,30 +247,30 @@
   EXPECT_EQ(state_.compacted_watches, 1);
   EXPECT_TRUE(client_.loaded());
   EXPECT_EQ(client_.applied_revision(), state_.revision);
-  EXPECT_FALSE(held_.contains("job/a"));
+  EXPECT_FALSE(replica_items_.contains("job/a"));
   EXPECT_EQ(client_.version("job/a"), 0U);
-  EXPECT_EQ(held_.size(), 3U);
+  EXPECT_EQ(replica_items_.size(), 3U);
 }
 
-TEST_F(StateClientTest, LateReplyToAnOwnWriteDoesNotBringBackARemovedKey) {
+TEST_F(StateClientTest, LateReplyToAnOwnWriteDoesNotRecreateARemovedKey) {
   run(1000);
-  transaction_reply_after_ = 1500;
+  transaction_reply_delay_ms_ = 1500;
   client_.submit(write("job/a"));
   run(200);
-  ASSERT_TRUE(held_.contains("job/a"));  // by the watch
+  ASSERT_TRUE(replica_items_.contains("job/a"));  // applied by the watch
   remove("job/a");
   run(200);
-  ASSERT_FALSE(held_.contains("job/a"));
+  ASSERT_FALSE(replica_items_.contains("job/a"));
   ASSERT_EQ(result("job/a"), std::nullopt);
   run(1500);
   EXPECT_EQ(result("job/a"), TxnResult::committed);
-  EXPECT_FALSE(held_.contains("job/a"));
+  EXPECT_FALSE(replica_items_.contains("job/a"));
   EXPECT_EQ(client_.version("job/a"), 0U);
 }
 
-TEST_F(StateClientTest, LateWatchDoesNotBringBackAKeyThatWasRemovedByAnOwnWrite) {
+TEST_F(StateClientTest, LateWatchEventDoesNotRecreateAKeyRemovedByAnOwnWrite) {
   run(1000);
-  watch_served_ = false;
+  watches_are_served_ = false;
   put("job/a");
   Transaction removal = write("job/a");
   removal.writes.front().value.reset();
@@ -278,93 +278,94 @@
   run(200);
   ASSERT_EQ(result("job/a"), TxnResult::committed);
   ASSERT_EQ(client_.applied_revision(), 0U);
-  watch_served_ = true;
+  watches_are_served_ = true;
   run(200);
   EXPECT_EQ(client_.applied_revision(), state_.revision);
-  EXPECT_EQ(std::count(applied_.begin(), applied_.end(), "job/a"), 1);  // the removal alone
+  // Only the removal is applied.
+  EXPECT_EQ(std::count(applied_keys_.begin(), applied_keys_.end(), "job/a"), 1);
 }
 
-TEST_F(StateClientTest, OwnWriteIsHeldBeforeTheWatchBringsIt) {
+TEST_F(StateClientTest, OwnWriteIsAppliedBeforeTheWatchDeliversIt) {
   run(1000);
-  watch_served_ = false;
+  watches_are_served_ = false;
   client_.submit(write("job/a", R"({"x":1})"));
   run(200);
-  EXPECT_EQ(held_["job/a"], R"({"x":1})");
+  EXPECT_EQ(replica_items_["job/a"], R"({"x":1})");
   EXPECT_FALSE(client_.has_applied("job/a"));
-  watch_served_ = true;
+  watches_are_served_ = true;
   run(200);
   EXPECT_TRUE(client_.has_applied("job/a"));
-  EXPECT_EQ(std::count(applied_.begin(), applied_.end(), "job/a"), 1);
+  EXPECT_EQ(std::count(applied_keys_.begin(), applied_keys_.end(), "job/a"), 1);
 }
 
 // ---- barrier reads ----
 
-TEST_F(StateClientTest, BarrierReadIsReleasedOnlyOnceTheWatchHasPassed) {
+TEST_F(StateClientTest, BarrierReadSucceedsOnlyOnceTheWatchHasReachedItsRevision) {
   run(1000);
-  watch_served_ = false;
+  watches_are_served_ = false;
   put("job/a");
-  std::optional<bool> passed;
+  std::optional<bool> succeeded;
   client_.barrier_read(now_, 0, [&](Ms, bool ok) {
-    passed = ok;
-    EXPECT_TRUE(held_.contains("job/a"));
+    succeeded = ok;
+    EXPECT_TRUE(replica_items_.contains("job/a"));
   });
   run(400);
-  EXPECT_EQ(passed, std::nullopt);
-  watch_served_ = true;
-  run(3 * kStep);
-  EXPECT_EQ(passed, true);
+  EXPECT_EQ(succeeded, std::nullopt);
+  watches_are_served_ = true;
+  run(3 * kStepMs);
+  EXPECT_EQ(succeeded, true);
 }
 
 TEST_F(StateClientTest, BarrierReadsShareARequest) {
   run(1000);
-  const std::size_t before = sent("/store/barrier").size();
-  int passed = 0;
-  for (int i = 0; i < 50; ++i) client_.barrier_read(now_, 0, [&](Ms, bool ok) { passed += ok; });
+  const std::size_t before = requests_to("/store/barrier").size();
+  int succeeded = 0;
+  for (int i = 0; i < 50; ++i) client_.barrier_read(now_, 0, [&](Ms, bool ok) { succeeded += ok; });
   run(200);
-  EXPECT_EQ(passed, 50);
-  EXPECT_LE(sent("/store/barrier").size(), before + 2);
+  EXPECT_EQ(succeeded, 50);
+  EXPECT_LE(requests_to("/store/barrier").size(), before + 2);
 }
 
 TEST_F(StateClientTest, BarrierReadFailsAtItsDeadline) {
   run(1000);
-  watch_served_ = false;
+  watches_are_served_ = false;
   put("job/a");
-  std::optional<bool> passed;
-  client_.barrier_read(now_, now_ + 300, [&](Ms, bool ok) { passed = ok; });
+  std::optional<bool> succeeded;
+  client_.barrier_read(now_, now_ + 300, [&](Ms, bool ok) { succeeded = ok; });
   run(280);
-  EXPECT_EQ(passed, std::nullopt);
-  run(3 * kStep);
-  EXPECT_EQ(passed, false);
+  EXPECT_EQ(succeeded, std::nullopt);
+  run(3 * kStepMs);
+  EXPECT_EQ(succeeded, false);
 }
 
-TEST_F(StateClientTest, ProcessPauseFailsBarrierReadsAndVoidsWhatWasAskedBefore) {
+TEST_F(StateClientTest, ProcessPauseFailsBarrierReadsAndIgnoresRepliesToEarlierRequests) {
   run(1000);
-  watch_served_ = false;
+  watches_are_served_ = false;
   put("job/a");
-  std::optional<bool> waiting;
-  std::optional<bool> asked;
-  client_.barrier_read(now_, 0, [&](Ms, bool ok) { waiting = ok; });
+  std::optional<bool> waiting_result;
+  std::optional<bool> in_flight_result;
+  client_.barrier_read(now_, 0, [&](Ms, bool ok) { waiting_result = ok; });
   run(200);
-  client_.barrier_read(now_, 0, [&](Ms, bool ok) { asked = ok; });
+  client_.barrier_read(now_, 0, [&](Ms, bool ok) { in_flight_result = ok; });
   now_ += 8000;
   client_.on_pause(now_);
-  EXPECT_EQ(waiting, false);
+  EXPECT_EQ(waiting_result, false);
   EXPECT_FALSE(client_.answering(now_));
-  run(kStep);  // brings the reply to the read that was asked for before the pause
-  EXPECT_EQ(asked, false);
+  run(kStepMs);  // delivers the reply to the request sent before the pause
+  EXPECT_EQ(in_flight_result, false);
   EXPECT_FALSE(client_.answering(now_));
   run(1000);
   EXPECT_TRUE(client_.answering(now_));
 }
 
-TEST_F(StateClientTest, SettledOnlyWhenARepeatedBarrierReadHasPassed) {
+TEST_F(StateClientTest, BarrierReadIsRepeatedUntilItSucceedsAfterAFailedWrite) {
   run(1000);
-  replies_lost_ = true;
+  replies_are_lost_ = true;
   bool settled = false;
   client_.wait_until_settled(now_, [&](Ms) { settled = true; });
   run(5000);
   EXPECT_FALSE(settled);
-  replies_lost_ = false;
+  replies_are_lost_ = false;
   run(3000);
   EXPECT_TRUE(settled);
 }
@@ -376,7 +377,7 @@
   run(1000);
   for (int i = 0; i < 6; ++i) client_.submit(write("job/" + std::to_string(i)));
   run(200);
-  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{4, 2}));
+  EXPECT_EQ(write_counts_of_requests(), (std::vector<unsigned>{4, 2}));
   for (int i = 0; i < 6; ++i)
     EXPECT_EQ(result("job/" + std::to_string(i)), TxnResult::committed) << i;
 }
@@ -386,8 +387,8 @@
   const std::string value = R"({"x":")" + std::string(7000, 'x') + R"("})";
   for (int i = 0; i < 10; ++i) client_.submit(write("job/" + std::to_string(i), value));
   run(200);
-  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{8, 2}));
-  for (const auto& s : sent(wire::kTransactionPath))
+  EXPECT_EQ(write_counts_of_requests(), (std::vector<unsigned>{8, 2}));
+  for (const auto& s : requests_to(wire::kTransactionPath))
     EXPECT_LE(s.call.body.size(), wire::kTransactionBytes);
 }
 
@@ -401,7 +402,7 @@
     client_.submit(std::move(transaction));
   }
   run(200);
-  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{1, 1}));
+  EXPECT_EQ(write_counts_of_requests(), (std::vector<unsigned>{1, 1}));
 }
 
 TEST_F(StateClientTest, TransactionThatDependsOnAnotherIsSentLater) {
@@ -412,7 +413,7 @@
   client_.submit(std::move(dependent));
   client_.submit(write("job/c"));
   run(200);
-  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{2, 1}));
+  EXPECT_EQ(write_counts_of_requests(), (std::vector<unsigned>{2, 1}));
   EXPECT_EQ(result("job/b"), TxnResult::committed);
 }
 
@@ -421,11 +422,11 @@
   Transaction stale = write("job/a");
   stale.conditions = {{"job/a", 7}};
   client_.submit(std::move(stale));
-  Transaction sound = write("job/b");
-  sound.conditions = {client_.unchanged("job/b")};
-  client_.submit(std::move(sound));
+  Transaction valid = write("job/b");
+  valid.conditions = {client_.unchanged("job/b")};
+  client_.submit(std::move(valid));
   run(200);
-  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{2, 1}));
+  EXPECT_EQ(write_counts_of_requests(), (std::vector<unsigned>{2, 1}));
   EXPECT_EQ(result("job/a"), TxnResult::conflict);
   EXPECT_EQ(result("job/b"), TxnResult::committed);
   EXPECT_FALSE(state_.items.contains("job/a"));
@@ -445,7 +446,7 @@
   EXPECT_EQ(result("job/large"), std::nullopt);
   run(600);
   EXPECT_EQ(result("job/large"), TxnResult::rejected);
-  EXPECT_EQ(writes_of_groups(), (std::vector<unsigned>{1}));
+  EXPECT_EQ(write_counts_of_requests(), (std::vector<unsigned>{1}));
 }
 
 TEST_F(StateClientTest, OversizedTransactionThatAUserWaitsForIsRejectedAtOnce) {
@@ -464,7 +465,7 @@
   run(300);
   EXPECT_EQ(result("job/a"), TxnResult::committed);
   EXPECT_EQ(result("job/large"), std::nullopt);
-  EXPECT_EQ(client_.rejections(), 2U);  // of the group, and by itself
+  EXPECT_EQ(client_.rejections(), 2U);  // once for the group, once for the transaction alone
   run(kRejectedPauseMs);
   EXPECT_EQ(result("job/large"), TxnResult::rejected);
 }
@@ -484,7 +485,7 @@
   EXPECT_TRUE(client_.has_write_headroom(now_));
 }
 
-TEST_F(StateClientTest, BackgroundWritesLeaveSomethingForUrgentOnes) {
+TEST_F(StateClientTest, BackgroundWritesLeaveRateForUrgentWrites) {
   run(1000);
   for (int i = 0; i < 600; ++i) client_.submit(write("job/" + std::to_string(i)));
   run(500);
@@ -494,7 +495,7 @@
   for (int i = 0; i < 19; ++i)
     urgent.writes.push_back({"range/urgent/" + std::to_string(i), "{}", std::nullopt});
   client_.submit(std::move(urgent));
-  run(4 * kStep);
+  run(4 * kStepMs);
   EXPECT_EQ(result("job/urgent"), TxnResult::committed);
 }
 
@@ -513,16 +514,16 @@
 
 TEST_F(StateClientTest, TransactionsAreRefusedAtOnceWhileTheServiceDoesNotAnswer) {
   run(1000);
-  replies_lost_ = true;
+  replies_are_lost_ = true;
   run(10'000);
   client_.submit(write("job/a"));
-  run(kStep);
+  run(kStepMs);
   EXPECT_EQ(result("job/a"), TxnResult::refused);
 }
 
 TEST_F(StateClientTest, LostReplyLeavesTheResultUnknown) {
   run(1000);
-  replies_lost_ = true;
+  replies_are_lost_ = true;
   client_.submit(write("job/a"));
   run(3000);
   EXPECT_EQ(result("job/a"), TxnResult::unknown);
