--- a/src/allocation/pass_trigger.h
+++ b/src/allocation/pass_trigger.h
@@ -1,9 +1,10 @@
-// Asks for a scheduling pass.
+// Requests scheduling passes.
 #pragma once
 
 namespace scheduler {
 
-// Set by whatever changes what could be placed; taken by the scheduler.
+// A request flag that is set by every component that changes what could be placed, and cleared by
+// the scheduler.
 class PassTrigger {
  public:
   void request() { requested_ = true; }
--- a/src/allocation/placement.cpp
+++ b/src/allocation/placement.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Milliseconds that a booked replica counts as still running in predictions: it ends when its user
-// cancels it, so its machine counts as full for longer than any array runs.
+// Milliseconds for which a booked replica is predicted to run. A service ends only when its user
+// cancels it, so the prediction is longer than any array task runs.
 constexpr std::int64_t kServiceRunsMs = 24LL * 3600 * 1000;
 
 }  // namespace
@@ -56,7 +56,8 @@
 
 namespace {
 
-// Seconds until the ends of booked tasks make enough free; very many if they never do.
+// Seconds until enough booked tasks have ended for the demand to fit; kNever if they never free
+// enough.
 double wait_until_fits(Ms now, const Candidate& machine, const Resources& demand) {
   constexpr double kNever = 1e9;
   std::vector<Booked> ends = machine.booked;
@@ -86,8 +87,8 @@
   if (eligible.empty()) return -1;
   int best = -1;
   double best_finish = 0;
-  // Equal predictions go to the machine that the task fills more: large tasks then still find
-  // whole machines.
+  // Among equal predictions, the machine with fewer free CPUs is chosen, so that whole machines
+  // stay free for large tasks.
   auto consider = [&](int i) {
     const Candidate& candidate = *machines[static_cast<std::size_t>(i)];
     if (!candidate.fits(job)) return;
--- a/src/allocation/placement.h
+++ b/src/allocation/placement.h
@@ -1,4 +1,4 @@
-// Sampling and prediction: which machine a task goes to.
+// Chooses the machine of a task by sampling machines and predicting the finish time.
 #pragma once
 
 #include <pcg_random.hpp>
@@ -11,54 +11,56 @@
 
 namespace scheduler {
 
-// Machines sampled per task. The paper's default; eight changed nothing (docs/results.md).
+// Machines sampled per task. Two is the default of the paper that describes the method; eight gave
+// the same results (docs/results.md).
 constexpr int kSampledMachines = 2;
-// Seconds in which an overrunning task is counted as ending; the design's starting value.
+// Remaining seconds assumed for a task that runs longer than its estimate.
 constexpr double kOverrunAllowanceS = 10.0;
 
-// What a booked task holds, and when it should be through by its estimate.
+// Resources of a booked task and its expected end by the estimate.
 struct Booked {
   Resources resources;
   Ms ends_at = 0;
 };
 
-// A machine as placement sees it: the last heartbeat plus starts since.
+// A machine as seen by placement: the state of its last heartbeat plus tasks started since.
 struct Candidate {
   std::string id;
   std::string zone;
   std::string type;
   bool spot = false;
-  bool local = true;  // of this controller's shard
+  bool local = true;  // in this controller's shard
   std::uint64_t incarnation = 0;
   Resources free;
   double fetch_gb_per_s = 1;
-  std::vector<std::string> images;  // known to be there or on their way
+  std::vector<std::string> images;  // images on the machine or being fetched by it
   std::vector<Booked> booked;
 
   [[nodiscard]] bool fits(const wire::JobSpec& job) const;
-  // True when the task's image was not counted yet.
+  // Books the task's resources. Returns true if the task's image was not yet in `images`.
   bool book(const wire::JobSpec& job, Ms ends_at);
-  // Takes the last booking back.
+  // Undoes the last booking.
   void unbook(const wire::JobSpec& job, bool image_was_new);
 };
 
 bool allowed(const wire::JobSpec& job, const std::string& type, const std::string& zone, bool spot);
 bool type_fits(const wire::JobSpec& job, const wire::MachineType& type);
 
-// When a task that starts at `from` should end, by its estimate; far away for a service, which has
-// no end to predict.
+// Returns the expected end, by the estimate, of a task that starts at `from`. Services have no
+// predictable end; the result is then far in the future.
 Ms predicted_end(Ms from, const wire::JobSpec& spec);
 
-// Remaining seconds of a task that should end at `ends_at`. An overrunning task counts as ending
-// within the allowance.
+// Returns the remaining seconds of a task that should end at `ends_at`, or kOverrunAllowanceS if
+// that time has passed.
 double remaining_s(Ms now, Ms ends_at);
 
-// Predicted finish, seconds from now: the wait until capacity is free, the image fetch, the
-// estimate.
+// Returns the predicted finish in seconds from now: the sum of the wait for free capacity, the
+// image fetch and the estimate.
 double predict_finish(Ms now, const Candidate& machine, const wire::JobSpec& job);
 
-// Index of the machine that takes the task now, or -1 when it has to wait: the lower prediction of
-// two sampled machines; if neither has capacity, the lowest of one scan.
+// Returns the index of the machine on which the task can start now, or -1 if it must wait. Samples
+// two eligible machines and takes the one with the earlier predicted finish; if neither has
+// capacity, scans all eligible machines.
 int pick_of_two(Ms now, const std::vector<Candidate*>& machines, const wire::JobSpec& job,
                 const std::vector<int>& eligible, pcg32& random);
 
--- a/src/allocation/range_table.h
+++ b/src/allocation/range_table.h
@@ -1,5 +1,5 @@
-// What this controller holds of task ranges beyond their records: placements that are being
-// written, and tasks whose end is proven but not recorded.
+// This controller's in-memory state of task ranges in addition to their records: placements whose
+// write is in progress, and tasks whose end is proven but not recorded.
 #pragma once
 
 #include <cstdint>
@@ -15,35 +15,42 @@
 
 namespace scheduler {
 
-// A task whose machine provably no longer has it.
+// A task that has provably ended on its machine.
 struct ReleasedTask {
   std::uint64_t attempt = 0;
   bool done = false;
 };
 
 struct RangeState {
-  bool busy = false;  // its record is being written
+  bool busy = false;  // a write of its record is in progress
   Ms retry_at = 0;
-  Ms first_seen = 0;                                            // with tasks to place
-  std::map<std::uint32_t, ReleasedTask> released;               // to be recorded
-  Ms released_since = 0;                                        // the first of them
-  std::map<std::uint32_t, wire::Placement> pending_placements;  // being written
-  std::uint32_t cursor = 0;                                     // no unstarted task before it
-  bool stop_requested = false;                                  // gang to be stopped in good order
-  std::string_view waits_for;                                   // of a gang; for the log
-  // A write of `pending_placements` got no answer and may still be applied; until the record is
-  // written again, which voids it, the placements count as made.
+  Ms first_seen = 0;                                            // when the range was first seen
+                                                                // with tasks to place; 0: not yet
+  std::map<std::uint32_t, ReleasedTask> released;               // ended tasks to be recorded
+  Ms released_since = 0;                                        // time of the oldest entry of
+                                                                // `released`; 0: none
+  std::map<std::uint32_t, wire::Placement> pending_placements;  // placements whose write is in
+                                                                // progress
+  std::uint32_t cursor = 0;                                     // lower bound on the first
+                                                                // unstarted task
+  bool stop_requested = false;                                  // the gang is to be stopped; to be
+                                                                // recorded
+  std::string_view waits_for;                                   // last logged reason why the gang
+                                                                // is waiting
+  // A write of `pending_placements` got no answer and may still be applied. The placements count as
+  // made until the record is written again, which invalidates the uncertain write.
   bool write_uncertain = false;
-  Resources task_resources;  // of each task in `pending_placements`
+  Resources task_resources;  // resources of each task in `pending_placements`
 
-  // The task can be placed: neither done nor placed nor being placed. What is proven gone, though
-  // not recorded yet, is recorded together with its next placement.
+  // True if the task can be placed: it is not done, not placed, and not in `pending_placements`. A
+  // placed task whose release is not recorded yet also counts; its release is then recorded
+  // together with the next placement.
   [[nodiscard]] bool is_unstarted(const wire::RangeRecord& range, std::uint32_t task) const;
-  // Tasks of the range that could be placed now.
+  // Number of tasks of the range that could be placed now.
   [[nodiscard]] std::size_t open_tasks(const wire::RangeRecord& range) const;
 };
 
-// Owns the state of every range that this controller works on.
+// Owns the in-memory state of every range that this controller works on.
 class RangeTable {
  public:
   using Map = std::map<RangeId, RangeState>;
@@ -58,19 +65,21 @@
   [[nodiscard]] Map::const_iterator end() const { return ranges_.end(); }
   Map::iterator find(const RangeId& id) { return ranges_.find(id); }
   [[nodiscard]] Map::const_iterator find(const RangeId& id) const { return ranges_.find(id); }
-  // Forgets ranges that have no record any more and nothing under way.
+  // Removes the state of ranges that have no record any more and no write in progress.
   void erase_unrecorded();
 
-  // The task is proven to be gone from its machine; `done`: it has completed.
+  // Records in memory that the attempt has provably ended on its machine; `done`: it completed
+  // successfully.
   void release_task(const TaskRef& ref, std::uint64_t attempt, bool done);
   [[nodiscard]] bool is_released(const TaskRef& ref, std::uint64_t attempt) const;
-  // What was held for proven of a machine's tasks and is not recorded. Guards against a controller
-  // back from a partition that releases what its count of a lease said, while the next owner kept
-  // that lease: the task ran on, and was started elsewhere. The owner of now proves it again.
+  // Discards unrecorded releases of tasks on the machine, whose new owner must prove them again.
+  // Guards against a controller that returns from a partition and releases tasks because, by its
+  // own count, their machine's lease had expired, although the next owner had renewed the lease:
+  // the tasks would keep running while being started again elsewhere.
   void discard_unrecorded_releases(const std::string& machine);
-  // What the team uses, with the placements that are being written. `recorded`: by the records.
+  // Returns the team's usage including pending placements. `recorded`: usage by the records.
   [[nodiscard]] Usage usage_with_pending(const std::string& team, Usage recorded) const;
-  // Ranges whose record is being written, or may be.
+  // Number of ranges with a write that is in progress or has an uncertain result.
   [[nodiscard]] std::size_t writes_in_flight() const;
 
  private:
--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-// The same while services wait: long enough to collect, and short enough that each of five
-// controllers has had its turn before a replica has waited for 20 s.
+// Milliseconds of a turn while services wait: long enough to collect leases, and short enough that
+// each of five controllers has had a turn before a replica has waited for 20 s.
 constexpr std::int64_t kServiceQuotaTurnMs = 3000;
 
 using Amount = wire::QuotaRecord::Amount;
 
-// The next record in one dimension (cpus or gpus).
+// Computes the next quota record in one dimension (cpus or gpus).
 class DimensionUpdate {
  public:
   DimensionUpdate(const QuotaLeaseInput& in, double limit, double Amount::*field,
@@ -27,7 +27,7 @@
         own_used_(used(in.self)),
         target_(own_used_ + in.need.*field) {}
 
-  // Changes the record. True if anything has changed.
+  // Updates the record; returns true if anything has changed.
   bool apply() {
     if (limit_ <= 0) return false;
     shrink_leases_of_others_not_live();
@@ -42,7 +42,8 @@
     update_service_demand(service_lack);
     const double idle = own() - own_used_;
     if (others_services > free_ + kAmountSlack && idle > kAmountSlack) {
-      // Guards against services that wait for ever while arrays of the team take up whatever ends.
+      // Guards against services that wait forever while arrays of the team take all capacity that
+      // becomes free.
       own() -= std::min(idle, others_services - free_);
       return true;
     }
@@ -66,8 +67,8 @@
     changed_ = true;
   }
 
-  // Leases of controllers that are not live shrink to what their placements still use; the view
-  // condition of the write keeps them from using more.
+  // Shrinks leases of controllers that are not live to what their placements still use; the write's
+  // condition on the cluster view keeps these controllers from using more.
   void shrink_leases_of_others_not_live() {
     for (auto& [who, lease] : record_.leases) {
       if (std::find(in_.live.begin(), in_.live.end(), who) != in_.live.end()) continue;
@@ -80,22 +81,23 @@
     for (const auto& [who, lease] : record_.leases) leased += lease.*field_;
     for (const auto& [who, demand] : record_.demand)
       if (who != in_.self) others_demand_ += demand.*field_;
-    // Guards against taking at once again what was given up for another: we are the first to know
-    // that it is free.
+    // Guards against taking back capacity that this controller has just given up for another: it is
+    // the first controller to see that the capacity is free.
     free_ = in_.leave_to_collector ? 0.0 : std::max(0.0, limit_ - leased);
-    // Our entries stand in every record that we write, if only as zero.
+    // This controller's entries are part of every record that it writes, even if they are zero.
     record_.leases.try_emplace(in_.self);
     record_.demand.try_emplace(in_.self);
   }
 
-  // Guards against gangs in several shards that each keep a remainder too small to start, for ever.
+  // Gives up the unused part of the lease. Guards against gangs in several shards that never start
+  // because each shard keeps a remainder that is too small.
   void yield() {
     const double needed = in_.need.*field_;
     if (own() > own_used_ + kAmountSlack) set(own(), own_used_);
     if (demand() < needed) set(demand(), needed);
   }
 
-  // Records what our services lack, without a write for every small change.
+  // Records what this shard's services lack, without a write for every small change.
   void update_service_demand(double lack) {
     const auto told = record_.service_demand.find(in_.self);
     const double before = told == record_.service_demand.end() ? 0.0 : told->second.*field_;
@@ -105,25 +107,27 @@
     set(record_.service_demand[in_.self].*field_, lack);
   }
 
-  // Takes what is free, and tells the others what is missing.
+  // Adds free capacity to the lease, and records the missing amount as demand for other controllers
+  // to see.
   void grow(double service_lack, double others_services) {
     const double rest = std::max(0.0, free_ - service_lack - others_services);
     const double needed = std::min(free_, service_lack) +
                           std::min(rest, std::max(0.0, target_ - own() - service_lack));
-    // While nobody else asks, some of what is free comes along, so that the next gang or array does
-    // not wait for a write; it is given back as soon as another shard wants it.
+    // While no other controller has demand, part of the remaining free capacity is leased as well,
+    // so that the next gang or array does not wait for a write; it is given back as soon as another
+    // shard wants it.
     const bool alone = others_demand_ <= kAmountSlack;
     const double spare = alone ? (free_ - needed) / static_cast<double>(in_.live.size() + 1) : 0.0;
     const double take = needed + spare;
     if (take > kAmountSlack) set(own(), own() + take);
     const double missing = std::max(0.0, target_ - own());
-    // Without writing for every small change.
+    // Small changes of the demand are not written.
     const bool lacks = missing > kAmountSlack;
     const bool lacked = demand() > kAmountSlack;
     if (lacks != lacked || missing > 2 * demand()) set(demand(), missing);
   }
 
-  // Nothing is missing: others get what is idle, as far as they want it.
+  // Clears the demand, and gives up idle capacity as far as other controllers want it.
   void give_back() {
     if (demand() > kAmountSlack) set(demand(), 0);
     const double idle = own() - target_;
@@ -136,7 +140,7 @@
   double Amount::*field_;
   wire::QuotaRecord& record_;
   double own_used_;
-  double target_;  // what our lease should be
+  double target_;  // target size of this controller's lease
   double free_ = 0;
   double others_demand_ = 0;
   bool changed_ = false;
@@ -173,7 +177,7 @@
           std::find(live.begin(), live.end(), who) != live.end())
         names.push_back(&who);
   };
-  // Services go before all other work, in collecting as well.
+  // Controllers with waiting services collect before all others.
   add_wanting(record.service_demand);
   const Ms turn = names.empty() ? kQuotaTurnMs : kServiceQuotaTurnMs;
   if (names.empty()) add_wanting(record.demand);
--- a/src/quota/quota_leases.h
+++ b/src/quota/quota_leases.h
@@ -1,5 +1,6 @@
-// Shares of a team's limit, granted to controllers in a record of the state service. A controller
-// starts tasks only from its own lease, so the limit holds over all shards without asking anyone.
+// Quota leases: shares of a team's limit that are granted to controllers in a record of the state
+// service. A controller starts tasks only within its own lease, so the limit holds over all shards
+// without a request per start.
 #pragma once
 
 #include <optional>
@@ -13,8 +14,9 @@
 
 // Milliseconds between checks of the quota leases.
 constexpr std::int64_t kQuotaCheckMs = 100;
-// Milliseconds for which a shard must have had a lease too small for all that waits before it gives
-// it to whose turn it is, and milliseconds of a turn: long enough to collect and to start.
+// kQuotaStuckMs: milliseconds for which a shard's lease must have been too small for all of its
+// waiting work before the shard gives up the unused part to the controller whose turn it is to
+// collect. kQuotaTurnMs: milliseconds of a turn, long enough to collect leases and start the work.
 constexpr std::int64_t kQuotaStuckMs = 2000;
 constexpr std::int64_t kQuotaTurnMs = 8000;
 
@@ -22,41 +24,45 @@
   const Team* team = nullptr;
   std::string self;
   std::vector<std::string> live;
-  // Used per lease: recorded placements and, for our own, those being written.
+  // Usage by controller: recorded placements and, for `self`, also pending placements.
   std::map<std::string, wire::QuotaRecord::Amount> used;
-  wire::QuotaRecord::Amount need;  // what our waiting tasks would take beyond what we use
-  // What our replicas that are on no machine need; part of what we use, since it is kept for them.
+  wire::QuotaRecord::Amount need;  // demand of this controller's waiting tasks beyond its usage
+  // Resources needed by this shard's replicas that have no machine. Included in the usage of
+  // `self`, since they are reserved.
   wire::QuotaRecord::Amount service_reserve;
-  // What we have is too little for anything that waits, and it is another's turn to collect.
+  // The lease is too small for any waiting work, and it is another controller's turn to collect.
   bool yield = false;
-  // We have given that up in this turn, and leave it to whose turn it is.
+  // This controller gave up the unused part of its lease in the current turn and leaves it to the
+  // controller whose turn it is.
   bool leave_to_collector = false;
 };
 
-// Remembers for whom a lease was given up.
+// Remembers the controller for which the unused part of a lease was given up.
 class YieldMemory {
  public:
-  // At a look at the quota leases: whether we give ours up now, and whose turn it is. True as long
-  // as what we gave up is to be left to that controller.
+  // Called at each check of the leases. `yields`: the lease is given up now; `turn`: the controller
+  // whose turn it is. Returns true while capacity that was given up before must be left to that
+  // controller.
   bool leave_to_collector(bool yields, const std::string& turn);
 
  private:
   std::string yielded_to_;
 };
 
-// Whose turn it is to collect quota leases, of the live controllers that want more; all know it
-// alike, give or take the difference of their clocks. Empty: nobody wants any.
+// Returns the live controller whose turn it is to collect quota leases, among those with demand;
+// empty if none has demand. All controllers compute the same result except for clock differences.
 std::string quota_collector(const wire::QuotaRecord& record, const std::vector<std::string>& live,
                             Ms wall);
 bool limited(const Team& team);
-// Free capacity of our lease.
+// True if the lease of `self` has capacity for the additional cpus and gpus.
 bool within_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
                   const wire::QuotaRecord::Amount& used, double cpus, double gpus);
-// What the services of other live controllers lack: it goes before all other work of the team.
+// Returns what the services of other live controllers lack; this goes before all other work of the
+// team.
 wire::QuotaRecord::Amount service_demand_of_others(const wire::QuotaRecord& record,
                                                    const std::string& self,
                                                    const std::vector<std::string>& live);
-// The record as we want it next, or none if nothing is to change.
+// Returns the record that this controller should write next, or none if nothing has to change.
 std::optional<wire::QuotaRecord> next_quota_record(const QuotaLeaseInput& in,
                                                    const wire::QuotaRecord& record);
 
--- a/src/quota/quota_manager.cpp
+++ b/src/quota/quota_manager.cpp
@@ -12,7 +12,7 @@
   const Team* team = context_.team(spec.team);
   if (!team) return false;
   if (!limited(*team)) return true;
-  if (write_in_flight(spec.team)) return false;  // our lease may just be shrinking
+  if (write_in_flight(spec.team)) return false;  // the write may shrink the lease
   const auto [team_used, fresh] = used.try_emplace(spec.team);
   if (fresh) {
     const Usage recorded = context_.replica.usage(spec.team, context_.settings.name);
@@ -99,8 +99,9 @@
   in.yield = must_yield(now, team.name, stuck, turn);
   in.leave_to_collector = yields_[team.name].leave_to_collector(in.yield, turn);
   if (!in.yield) {
-    // Guards against giving away what our services need for a restart. While a remainder is being
-    // collected by another shard it is given up all the same: it was too small for any of them.
+    // Guards against giving up capacity that this shard's services need for restarts. While
+    // yielding, the reserve is given up as well: the remainder is too small for any of the
+    // replicas.
     const Usage reserve = service_reserve_.of(team.name);
     used.cpus += reserve.cpus;
     used.gpus += reserve.gpus;
@@ -116,7 +117,8 @@
   if (!needs_update(team, record)) return;
   auto next = next_quota_record(lease_input(now, team, record), record);
   const bool uncertain = uncertain_.contains(team.name);
-  if (!next && uncertain) next = record;  // the same again, with a new stamp
+  if (!next && uncertain) next = record;  // rewrites the unchanged record to get a new version,
+                                          // which invalidates the uncertain write
   if (next) write(team.name, *next, uncertain);
 }
 
@@ -134,8 +136,8 @@
       pass_trigger_.request();
       return;
     }
-    // Guards against a lease that shrinks late while we fill it: after a write without an answer
-    // nothing is placed from the lease until the record has been written again.
+    // Guards against filling a lease that an uncertain write shrinks late: nothing is placed from
+    // the lease until the record has been written again.
     const bool open =
         result == TxnResult::unknown || (result == TxnResult::refused && was_uncertain);
     context_.state_client.wait_until_settled(at, [this, team, open](Ms) {
--- a/src/quota/quota_manager.h
+++ b/src/quota/quota_manager.h
@@ -1,4 +1,5 @@
-// Quota leases of teams: what this controller may start, and moving leases between shards.
+// Manages the quota leases of teams: checks what this controller may start, and moves leases
+// between shards.
 #pragma once
 
 #include <cstddef>
@@ -17,8 +18,8 @@
 
 namespace scheduler {
 
-// Writes `quota/TEAM`, together with the other controllers: each changes its own lease, and shrinks
-// those of controllers that are not live.
+// Writes `quota/TEAM`. Every controller writes this record: each changes its own lease, and shrinks
+// the leases of controllers that are not live.
 class QuotaManager {
  public:
   QuotaManager(const Context& context, const ControllerStatus& status, const RangeTable& ranges,
@@ -29,26 +30,29 @@
         service_reserve_(service_reserve),
         pass_trigger_(pass_trigger) {}
 
-  // Whether our lease has capacity for one more such task. `used`: what is used of our leases, by
-  // team; counted at the first question of a pass and kept up to date by the caller.
+  // Whether this controller's lease has capacity for one more such task. `used`: usage of this
+  // controller's leases by team; computed at the first call for a team in a pass and kept up to
+  // date by the caller.
   bool allows(std::map<std::string, wire::QuotaRecord::Amount>& used, const wire::JobSpec& spec);
-  // So many tasks wait for a larger lease.
+  // Adds the demand of `tasks` tasks that wait for a larger lease.
   void add_demand(const wire::JobSpec& spec, std::uint32_t tasks);
-  // Demand is counted anew in each scheduling pass.
+  // Called by each scheduling pass before it computes the demand again.
   void clear_demand() { demand_.clear(); }
-  // The team's record is being written: its lease may just be shrinking.
+  // True while a write of the team's record is in progress or uncertain; the lease may be
+  // shrinking.
   [[nodiscard]] bool write_in_flight(const std::string& team) const;
   [[nodiscard]] std::size_t writes_in_flight() const;
-  // Looks at all leases, and writes what is to change.
+  // Checks the leases of all teams, and writes those that have to change.
   void tick(Ms now);
 
  private:
   void update_team(Ms now, const Team& team);
-  // Whether there is anything to look at.
+  // Whether the team's record has to be checked: there is demand or an uncertain write.
   [[nodiscard]] bool needs_update(const Team& team, const wire::QuotaRecord& record) const;
-  // What the next record follows from.
+  // Collects the data from which the next record is computed.
   QuotaLeaseInput lease_input(Ms now, const Team& team, const wire::QuotaRecord& record);
-  // Our lease is too small for all that waits, for so long that it is given to whose turn it is.
+  // True if the lease has been too small for all waiting work for so long that it must be given up
+  // to the controller whose turn it is to collect.
   bool must_yield(Ms now, const std::string& team, bool stuck, const std::string& turn);
   void write(const std::string& team, const wire::QuotaRecord& next, bool was_uncertain);
 
@@ -60,9 +64,11 @@
   Ms next_check_ = 0;
   // By team:
   std::map<std::string, bool> write_in_flight_;
-  std::set<std::string> uncertain_;  // in flight until written again
+  std::set<std::string> uncertain_;  // teams whose last write may still be applied; in flight until
+                                     // written again
   std::map<std::string, wire::QuotaRecord::Amount> demand_;
-  std::map<std::string, Ms> stuck_since_;  // with a lease too small for all that waits
+  std::map<std::string, Ms> stuck_since_;  // since when the lease has been too small for all
+                                           // waiting work
   std::map<std::string, YieldMemory> yields_;
 };
 
--- a/src/quota/service_reserve.h
+++ b/src/quota/service_reserve.h
@@ -1,4 +1,4 @@
-// What replicas of services that are on no machine will need of their team's limit.
+// Computes the quota needed by service replicas that have no machine.
 #pragma once
 
 #include <map>
@@ -8,13 +8,13 @@
 
 namespace scheduler {
 
-// It is kept free for them, so that nothing else starves a restart. Covers the services of our
-// shard.
+// Per team, the quota that is kept free for replicas of this shard's services, so that other work
+// cannot starve their restart.
 class ServiceReserve {
  public:
   explicit ServiceReserve(const Context& context) : context_(context) {}
 
-  // Counts it anew; once a scheduling pass.
+  // Recomputes the reserve; called once per scheduling pass.
   void recount();
   [[nodiscard]] Usage of(const std::string& team) const;
 
--- a/src/scheduling/array_placement.cpp
+++ b/src/scheduling/array_placement.cpp
@@ -10,17 +10,19 @@
 
 namespace {
 
-// Seconds of an image's fetch from which on machines that have the image are sampled first: as long
-// as a short task runs. Two samples of hundreds of machines hardly ever meet one that has it.
+// Fetch time in seconds from which machines that already hold the image are sampled first; about
+// the run time of a short task. Two random samples among hundreds of machines rarely find a machine
+// that holds the image.
 constexpr double kLongFetchS = 20.0;
-// Tasks of each range with which a job begins that goes before all others since it has nothing
+// Tasks placed per range when a job is served before the normal order because none of its tasks has
 // started.
 constexpr std::uint32_t kTasksToBegin = 8;
 
 }  // namespace
 
 bool ArrayPlacement::has_failed_already(const SchedulingPass& pass, const wire::JobSpec& spec) {
-  // At least as large as something that found no capacity, and allowed nowhere else.
+  // The task demands at least as much as a task that found no capacity, is allowed on no further
+  // machines, and has no higher priority.
   return std::any_of(pass.failed.begin(), pass.failed.end(), [&spec](const auto* failed) {
     return resources_of(spec).covers(resources_of(*failed)) && spec.types == failed->types &&
            spec.zone == failed->zone && (!spec.spot || failed->spot) &&
@@ -40,7 +42,8 @@
     if (keep_reserved && pass.reserved.contains(index)) return false;
     return !failure_tracker_.has_failed_on(pass.now, pass.candidate(index).id, spec.id);
   });
-  // Failed everywhere: try again anywhere, at the pace of its back-off.
+  // The job failed on every eligible machine: it is retried on any machine of its kind, limited by
+  // its back-off.
   if (some.empty() && failure_tracker_.is_faulty_job(spec.id))
     return pass.machines_for(spec, "", false);
   return some;
@@ -71,7 +74,8 @@
   }
   const int machine = pick_of_two(pass.now, pass.candidates, spec, eligible, random_);
   if (machine >= 0) {
-    // The next task of the job finds the image on its way there, and the machine in use.
+    // For the next task of the job, the machine counts as in use and as holding the image, which is
+    // being fetched.
     preferred.with_image.push_back(machine);
     if (pass.whole_machine_gangs) preferred.useless_to_gangs.push_back(machine);
   }
@@ -95,7 +99,8 @@
   if (!zoned && !choice.preferred) choice.preferred = find_preferred(pass, spec, choice.eligible);
   const int picked = zoned ? pick_in_zones(pass, spec, choice.eligible, zones)
                            : pick_preferred(pass, spec, choice.eligible, *choice.preferred);
-  // What can meet no objective any more waits for capacity instead of making others late.
+  // A job that can no longer meet any objective waits for capacity instead of preempting other
+  // work.
   if (picked >= 0 || priority.misses_every_objective) return picked;
   const double age_s = status_.age_s(pass.now, job.record.submitted_ms);
   const bool urgent = is_urgent(context_.settings, spec, age_s);
--- a/src/scheduling/array_placement.h
+++ b/src/scheduling/array_placement.h
@@ -1,4 +1,5 @@
-// Placing the tasks of job arrays: two random machines, and the lower predicted finish.
+// Places tasks of job arrays: samples two random machines and takes the one with the lower
+// predicted finish time.
 #pragma once
 
 #include <optional>
@@ -38,34 +39,42 @@
         failure_tracker_(failures),
         random_(random) {}
 
-  // Chooses machines for tasks of the range, as far as capacity, quota and the pass allow.
+  // Chooses machines for tasks of the range, within the limits of free capacity, quota and the
+  // placements left in the pass.
   void place(SchedulingPass& pass, const RangeId& id, const Job& job,
              const wire::RangeRecord& range, const SchedulingPriority& priority);
 
  private:
-  // Machines with capacity that are sampled before all others for the tasks of one range.
+  // Machines with free capacity that are sampled before all other machines for the tasks of one
+  // range.
   struct PreferredMachines {
-    std::vector<int> with_image;        // if fetching it takes long
-    std::vector<int> useless_to_gangs;  // spot or in use, while gangs need whole machines
+    std::vector<int> with_image;        // machines that hold the image; filled only if fetching it
+                                        // takes long
+    std::vector<int> useless_to_gangs;  // spot machines and machines in use; filled only while
+                                        // gangs need whole machines
   };
 
-  // Where the tasks of one range may go.
+  // Machines on which the tasks of one range may be placed.
   struct Choice {
     const std::vector<int>& eligible;
-    std::optional<PreferredMachines> preferred;  // found for the first task that is placed
+    std::optional<PreferredMachines> preferred;  // computed when the first task of the range is
+                                                 // placed
   };
 
-  // The machine for one more task, made free by preemption if need be; -1: none.
+  // Returns the machine for the next task, freed by preemption if necessary, or -1 if there is
+  // none.
   int pick_machine(SchedulingPass& pass, const Job& job, const SchedulingPriority& priority,
                    Choice& choice);
-  // Moves the range's cursor past tasks that are done.
+  // Advances the range's cursor past completed tasks.
   static void skip_finished(RangeState& state, const wire::RangeRecord& range);
   static std::uint32_t unstarted_from(std::uint32_t first, const RangeState& state,
                                       const wire::RangeRecord& range);
-  // Something that needs no more found no capacity in this pass.
+  // True if a task with the same constraints that needs no more resources found no capacity in this
+  // pass.
   static bool has_failed_already(const SchedulingPass& pass, const wire::JobSpec& spec);
-  // Candidates that the job may use, less those that failed it or are reserved. `some` holds them
-  // if these are not all of their kind, so that the rest of the time nothing is copied.
+  // Returns the candidates that the job may use, without machines on which it failed and without
+  // reserved machines. The result refers to `some` if machines were left out, and otherwise to the
+  // pass's own list, to avoid a copy.
   const std::vector<int>& eligible_machines(SchedulingPass& pass, const wire::JobSpec& spec,
                                             const SchedulingPriority& priority,
                                             std::vector<int>& some) const;
--- a/src/scheduling/candidate_cache.cpp
+++ b/src/scheduling/candidate_cache.cpp
@@ -19,7 +19,8 @@
         reported != machine.tasks.end() && reported->second.attempt == placement->attempt;
     if (listed && reported->second.state == wire::TaskState::exited) continue;
     if (ranges_.is_released(ref, placement->attempt)) continue;
-    // What is being stopped to make capacity free counts as gone; starts wait until it is.
+    // A task that is being preempted counts as gone here; the tasks placed instead start only after
+    // it has stopped.
     if (machine.stop_requested(task, placement->attempt)) continue;
     const wire::JobSpec& spec = job->second.record.spec;
     const bool running = listed && reported->second.running_since != 0;
--- a/src/scheduling/candidate_cache.h
+++ b/src/scheduling/candidate_cache.h
@@ -1,5 +1,5 @@
-// Machines as placement sees them, kept until something about them changes: a pass must not cost
-// fleet times tasks.
+// Caches the placement candidates of machines until their state changes, so that the cost of a
+// scheduling pass does not grow with the number of machines times the number of tasks.
 #pragma once
 
 #include <string>
@@ -13,35 +13,38 @@
 
 namespace scheduler {
 
-// Owns the candidates of other shards' machines, and what placements that are being written take of
-// all machines.
+// Owns the candidates of other shards' machines, and the resources reserved on them by placements
+// whose record is being written.
 class CandidateCache {
  public:
   CandidateCache(const Context& context, MachineTable& machines, RangeTable& ranges)
       : context_(context), machines_(machines), ranges_(ranges) {}
 
-  // A machine of our shard: its last heartbeat plus starts since.
+  // Returns the candidate of a machine of this controller's shard: the state of its last heartbeat
+  // plus tasks started since.
   Candidate& candidate(Ms now, const Machine& machine) const;
-  // Adds other shards' machines to the pass. Only gangs and jobs that are bound to zones may need
-  // them.
+  // Adds the machines of other shards to the pass. Only gangs and jobs with zone constraints may
+  // need them.
   void add_remote_candidates(SchedulingPass& pass);
-  // Something about a machine of another shard has changed.
+  // Drops the cached candidate of another shard's machine after its state has changed.
   void forget_remote(const std::string& machine) { remote_candidates_.erase(machine); }
   void forget_all_remote() { remote_candidates_.clear(); }
 
-  // Reserves resources on a machine for a placement that is being written, or gives them back.
+  // Reserves resources on a machine for a placement whose record is being written, and releases
+  // them.
   void reserve(const std::string& machine, const Resources& resources);
   void release(const std::string& machine, const Resources& resources);
-  // Counts them anew for machines of other shards: which machines these are has changed.
+  // Recomputes the reservations on other shards' machines after machines have moved between shards.
   void recount_remote_reservations();
-  // Takes the last `count` choices back.
+  // Discards the last `count` pending placements of the range and releases their reservations.
   void drop_pending_placements(RangeState& range, std::size_t count);
   void clear_pending_placements(RangeState& range);
 
  private:
-  // Books the tasks that are recorded on the machine.
+  // Books the tasks that are recorded as placed on the machine.
   void book_recorded(Ms now, const Machine& machine, Candidate& candidate) const;
-  // Books what it lists though no record says so: on its way out, yet still there.
+  // Books tasks that the machine still reports although no record places them there: they are being
+  // stopped but still use resources.
   void book_unrecorded(Ms now, const Machine& machine, Candidate& candidate) const;
   Candidate remote_candidate(Ms now, const std::string& id,
                              const wire::MachineRecord& record) const;
@@ -50,7 +53,7 @@
   MachineTable& machines_;
   RangeTable& ranges_;
   std::unordered_map<std::string, Candidate> remote_candidates_;
-  // Taken by placements that are being written.
+  // Resources reserved by placements whose record is being written, by machine of another shard.
   std::unordered_map<std::string, Resources> remote_reservations_;
 };
 
--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Whether a gang that cannot be whole shows that another one cannot either: it needs at least as
-// much, and may go nowhere else.
+// True if `gang` cannot be placed because `failed` could not be: it demands at least as much and is
+// allowed on no further machines.
 bool needs_as_much(const wire::JobSpec& gang, const wire::JobSpec& failed) {
   return gang.tasks >= failed.tasks && resources_of(gang).covers(resources_of(failed)) &&
          gang.types == failed.types && gang.zone == failed.zone && (!gang.spot || failed.spot) &&
@@ -43,7 +43,7 @@
                           const wire::RangeRecord& range, bool has_started) {
   const wire::JobSpec& spec = job.record.spec;
   RangeState& state = ranges_[id];
-  // The next attempt starts when nothing of the last is left anywhere.
+  // The next attempt of the gang starts only after every task of the last attempt is gone.
   if (!range.placed.empty() || !state.pending_placements.empty() || range.done_count() > 0) return;
   const Team* team = context_.team(spec.team);
   if (!team) return;
@@ -77,7 +77,8 @@
                                                      const wire::JobSpec& spec) {
   for (const auto* failed : pass.failed_gangs)
     if (needs_as_much(spec, *failed)) return {};
-  // Our own shard first; if it cannot hold the gang, other shards' machines too.
+  // The controller's own shard is tried first; if it cannot hold the gang, the machines of other
+  // shards are added.
   for (const bool remote : {false, true}) {
     if (remote) candidate_cache_.add_remote_candidates(pass);
     std::vector<std::string> tries;
@@ -107,7 +108,8 @@
   if (room < spec.tasks) return {};
   std::vector<int> open = machines;
   std::map<std::string, std::uint32_t> in_zone;
-  std::vector<std::pair<int, bool>> booked;  // machine, whether the image was new there
+  std::vector<std::pair<int, bool>> booked;  // machine index, and whether the booking added the
+                                             // image to it
   while (booked.size() < spec.tasks) {
     const int at = pick_of_two(pass.now, pass.candidates, spec, open, random_);
     if (at < 0) break;
--- a/src/scheduling/gang_placement.h
+++ b/src/scheduling/gang_placement.h
@@ -1,4 +1,4 @@
-// Gang scheduling: every task of a gang gets a machine at once, or none does.
+// Gang scheduling: either all tasks of a gang get a machine at the same time or none does.
 #pragma once
 
 #include <pcg_random.hpp>
@@ -16,7 +16,7 @@
 
 namespace scheduler {
 
-// A task of the gang leaves no other of its kind capacity on any machine type that it fits.
+// True if on every machine type that fits a task of the gang only one such task fits.
 bool is_whole_machine_gang(const wire::JobSpec& spec,
                            const std::vector<wire::MachineType>& catalog);
 
@@ -33,18 +33,20 @@
         quota_(quota),
         random_(random) {}
 
-  // Places the whole gang, or nothing. `has_started`: false reserves machines for it.
+  // Places all tasks of the gang or none. If `has_started` is false and there is not enough
+  // capacity, machines are reserved for the gang.
   void place(SchedulingPass& pass, const RangeId& id, const Job& job,
              const wire::RangeRecord& range, bool has_started);
 
  private:
-  // The machines of the first zone, or of all, that can hold the gang; empty: none can. Our own
-  // shard comes first; if it cannot hold the gang, other shards' machines count too.
+  // Returns the machines of the first zone (or of all zones) that can hold the gang, or an empty
+  // list if there is none. The controller's own shard is tried first, then all shards together.
   std::vector<int> find_gang_allocation(SchedulingPass& pass, const wire::JobSpec& spec);
-  // Books a machine for every task of the gang, or nothing. `only`: the zone; "": any.
+  // Books a machine for every task of the gang, or books nothing and returns an empty list. `only`
+  // is the zone to use; empty means any zone.
   std::vector<int> allocate_gang(SchedulingPass& pass, const wire::JobSpec& spec, bool remote,
                                  const std::string& only);
-  // For the log: what a gang waits for, whenever that changes.
+  // Logs what the gang waits for when the reason has changed.
   void log_gang_wait(Ms now, const RangeId& id, const Job& job, RangeState& range,
                      std::string_view reason);
 
--- a/src/scheduling/pending_order.cpp
+++ b/src/scheduling/pending_order.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-// Rounds in which it is settled which of its class's objectives each waiting job is to meet;
-// classes have two to four.
+// Maximum rounds for choosing which of its class's objectives each waiting job is to meet; classes
+// have two to four objectives.
 constexpr int kOrderRounds = 4;
 
-// One run of the ordering over a list of jobs, which are named by their index.
+// Orders one list of jobs; jobs are identified by their index in the list.
 class DeadlineOrder {
  public:
-  // `rate`: CPU seconds of work that are done in a second.
+  // `rate`: CPU seconds of work completed per second.
   DeadlineOrder(const std::vector<PendingJob>& jobs, double rate)
       : jobs_(jobs),
         rate_(rate),
@@ -27,7 +27,8 @@
   }
 
   std::vector<std::size_t> places() {
-    // A job that misses an objective may still meet the next; each round settles who does.
+    // A job that misses one objective may still meet a later one; each round defers such jobs to
+    // their next objective.
     for (int round = 0; round < kOrderRounds; ++round)
       if (!defer_late_jobs()) break;
     fill_slots();
@@ -43,7 +44,7 @@
  private:
   enum class Outlook : std::uint8_t { in_time, late, misses_every_objective };
 
-  // Seconds from now by which the job's tasks must have started for the objective it is to meet.
+  // Seconds from now by which the job's tasks must have started to meet its current objective.
   [[nodiscard]] double due(std::size_t job) const {
     return jobs_[job].latest_starts[objective_[job]];
   }
@@ -55,8 +56,9 @@
     return open;
   }
 
-  // Moore and Hodgson's rule: whenever one would be late, the one that takes most for its weight is
-  // put off to its next objective, or counts as late. False if none was.
+  // Applies Moore and Hodgson's rule: whenever a job would be late, the job with the most work per
+  // weight is deferred to its next objective, or marked as late if it has no further objective.
+  // Returns false if no job was deferred.
   bool defer_late_jobs() {
     std::vector<std::size_t> open = jobs_in_time();
     std::sort(open.begin(), open.end(), [this](std::size_t a, std::size_t b) {
@@ -66,13 +68,13 @@
     const auto costlier = [this](std::size_t a, std::size_t b) {
       return jobs_[a].work / jobs_[a].weight < jobs_[b].work / jobs_[b].weight;
     };
-    std::vector<std::size_t> chosen;  // a heap, the costliest first
+    std::vector<std::size_t> chosen;  // max-heap by work per weight
     double busy_s = 0;
     int priority = 0;
     bool deferred = false;
     for (const std::size_t job : open) {
       if (chosen.empty() || jobs_[job].priority != priority) {
-        // What has a higher priority is not put off for what has a lower one.
+        // Jobs of higher priority are not deferred for jobs of lower priority.
         chosen.clear();
         priority = jobs_[job].priority;
       }
@@ -95,9 +97,9 @@
     outlook_[job] = Outlook::late;
   }
 
-  // Those in time: the least work first as far as all stay in time (Smith's rule, from the end: of
-  // those that may be last, the largest is). Forecasts err, and work comes that nobody knows of
-  // yet; what is done early is safe from both.
+  // Orders the jobs that are in time by ascending work as far as all of them stay in time (Smith's
+  // rule, applied from the end: the largest job that may be last is put last). Finishing jobs early
+  // protects them from forecast errors and from work submitted later.
   void fill_slots() {
     std::vector<std::size_t> open = jobs_in_time();
     std::sort(open.begin(), open.end(), [this](std::size_t a, std::size_t b) {
@@ -109,10 +111,11 @@
     const auto smaller = [this](std::size_t a, std::size_t b) {
       return jobs_[a].work != jobs_[b].work ? jobs_[a].work < jobs_[b].work : a < b;
     };
-    std::vector<std::size_t> may;  // be next from the end; a heap, the largest first
+    std::vector<std::size_t> may;  // jobs that may take the last free slot; max-heap by work
     auto next = open.begin();
     for (std::size_t slot = open.size(); slot > 0; --slot) {
-      // Of one priority only; rounding may leave none that may, then the latest due goes.
+      // The heap holds jobs of one priority only. If rounding leaves no job that may be last, the
+      // job with the latest due time is taken.
       while (next != open.end() &&
              (may.empty() ||
               (jobs_[*next].priority == jobs_[may.front()].priority && due(*next) >= ends_s))) {
@@ -142,8 +145,8 @@
   const std::vector<PendingJob>& jobs_;
   double rate_;
   std::vector<Outlook> outlook_;
-  std::vector<std::size_t> objective_;  // index of the objective that the job is to meet
-  std::vector<std::size_t> slot_;       // of those in time
+  std::vector<std::size_t> objective_;  // index of the objective that each job is to meet
+  std::vector<std::size_t> slot_;       // position among the jobs that are in time
 };
 
 }  // namespace
--- a/src/scheduling/pending_order.h
+++ b/src/scheduling/pending_order.h
@@ -1,5 +1,5 @@
-// In which order waiting jobs are served, so that as many as possible meet their class's
-// objectives.
+// Computes the order in which waiting jobs are served so that as many as possible meet the
+// objectives of their class.
 #pragma once
 
 #include <cstddef>
@@ -7,24 +7,26 @@
 
 namespace scheduler {
 
-// Share of the fleet's CPUs that forecasts of when waiting work starts count with: fetches, losses
-// and wrong estimates take the rest.
+// Share of the fleet's CPUs that is assumed to be available when the start of waiting work is
+// forecast; image fetches, lost tasks and wrong estimates take up the rest.
 constexpr double kForecastShare = 0.65;
 
 // A job with tasks that wait for capacity.
 struct PendingJob {
-  int priority = 0;   // high first; forecasts count what goes before as work done first
-  double work = 0;    // CPU seconds that wait, by the estimate
-  double weight = 1;  // what one late job of its class counts for
+  int priority = 0;   // higher values are served first; forecasts assume that work of higher
+                      // priority is done first
+  double work = 0;    // CPU seconds of tasks not yet placed, by the estimate
+  double weight = 1;  // cost of one late job of this class
   double age = 0;     // seconds
-  std::vector<double> latest_starts;  // seconds from now by which all must have started, for each
-                                      // objective that can still be met; ascending
+  std::vector<double> latest_starts;  // seconds from now by which all tasks must have started, for
+                                      // each objective that can still be met; ascending
 };
 
-// Places of the jobs, 0 first. Among equals in priority: those that can be in time, the earliest
-// first (Moore and Hodgson's rule: whenever one would be late, the one that takes most for its
-// weight is put off); then those that cannot, the least work first; then what meets no objective,
-// by age.
+// Returns the position of each job in the order, starting at 0. Jobs of equal priority are ordered
+// as follows. First come jobs that can meet an objective in time, selected by Moore and Hodgson's
+// rule: in order of due time, whenever a job would be late, the job with the most work per weight
+// is deferred. Then come jobs that will be late, by ascending work. Jobs that cannot meet any
+// objective come after all other jobs, by priority and age.
 std::vector<std::size_t> order_by_deadline(const std::vector<PendingJob>& jobs, double cpus);
 
 }  // namespace scheduler
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -10,15 +10,16 @@
 
 namespace {
 
-// Seconds of work that are little to lose at any time.
+// Run time in seconds that may be lost at any time, even without a checkpoint.
 constexpr double kNegligibleLossS = 5.0;
-// Machines drawn to find the one where preemption loses least.
+// Machines sampled to find the one where preemption loses the least work.
 constexpr int kPreemptionSamples = 20;
-// Seconds that a low-priority task must still have ahead for standard work to stop it; high and
-// production work stops any. Below it waiting is cheaper than saving, fetching and repeating.
+// Minimum remaining run time in seconds of a low-priority task for standard work to preempt it;
+// high and production work preempts any. For shorter times, waiting costs less than checkpointing,
+// fetching and repeating.
 constexpr double kLongVictimS = 300.0;
 
-// Seconds; stands for no objective that limits the time to a start.
+// Seconds; means that no objective limits the start time.
 constexpr double kNoObjectiveS = 1e9;
 
 }  // namespace
@@ -71,13 +72,14 @@
       reported->second.state == wire::TaskState::checkpointing)
     return std::nullopt;
   const double ran_s = machine.run_time_s(now, task, placement->attempt);
-  // Work that can wait a little does not stop what will soon end by itself: measured, each stop
-  // costs more than it brings (docs/design.md).
+  // Standard work does not preempt a task that will end soon by itself: each such preemption costs
+  // more than it gains (docs/design.md).
   if (claim.spec.priority < wire::Priority::high && spec.estimate_s - ran_s < kLongVictimS)
     return std::nullopt;
   const bool checkpoints = spec.checkpoint_interval_s > 0;
-  // Whole machines come free by themselves every second; what would be lost for one outweighs the
-  // waiting until little time is left (docs/results.md, round 7).
+  // Tasks without checkpoints that have run for longer are preempted only for urgent work: machines
+  // become free every second, and the lost work outweighs waiting until little time is left
+  // (docs/results.md, round 7).
   if (!claim.is_urgent && !checkpoints && ran_s > kNegligibleLossS) return std::nullopt;
   const bool in_time = checkpoints && spec.checkpoint_write_s + 1.0 < claim.wait_objective_s / 2;
   double lost_s = ran_s;
@@ -123,7 +125,7 @@
   Machine& m = machines_.at(candidate.id);
   for (const Victim& victim : choice.victims) {
     m.stop_requests[victim.task] = {victim.attempt, victim.grace_s};
-    // The capacity counts as free below, in the candidate as it stands.
+    // The cached candidate is kept, since the freed capacity is added to it below.
     m.resend_commands = true;
     candidate.free += resources_of(*victim.spec);
     context_.log(LogLevel::debug, "stopping " +
--- a/src/scheduling/preemption.h
+++ b/src/scheduling/preemption.h
@@ -1,4 +1,4 @@
-// Preemption: what is stopped for work that goes before it.
+// Preemption: stops running tasks to free capacity for work that takes precedence.
 #pragma once
 
 #include <map>
@@ -21,49 +21,53 @@
              pcg32& random)
       : context_(context), machines_(machines), failure_tracker_(failures), random_(random) {}
 
-  // Stops what may be stopped for a task of the job on the machine where that loses least; returns
-  // the machine, with its capacity counted as free, or -1. `zones`: where the machine may be; none:
-  // anywhere. A few machines are drawn instead of searching all: the cost must not grow with the
-  // fleet, and the least loss among some is nearly the least of all.
+  // Stops preemptible tasks to make room for a task of the job, on the machine where this loses the
+  // least work. Returns the index of the machine, with the freed capacity counted as free, or -1.
+  // `zones` limits the machine's zone; null allows any zone. A few machines are sampled instead of
+  // scanning all, so that the cost does not grow with the fleet; the least loss in the sample is
+  // close to the least loss overall.
   int preempt_for(SchedulingPass& pass, const wire::JobSpec& spec, bool is_urgent,
                   const std::set<std::string>* zones);
 
  private:
-  // A running task that may be stopped, and what that loses.
+  // A running task that may be preempted.
   struct Victim {
     wire::TaskId task;
     std::uint64_t attempt = 0;
     double grace_s = 0;
-    double loss = 0;  // CPU seconds
+    double loss = 0;  // CPU seconds of work lost
     const wire::JobSpec* spec = nullptr;
   };
-  // For whom tasks are stopped.
+  // The task for which other tasks are preempted.
   struct Claim {
     const wire::JobSpec& spec;
     bool is_urgent = false;
-    bool entitled = false;  // its team stays within its guarantee
-    // Teams that run beyond their guarantee, if this one is entitled.
+    bool entitled = false;  // its team stays within its guarantee with this task
+    // By team: whether it uses more than its guarantee. Filled only if `entitled`.
     std::map<std::string, bool> borrows;
-    double wait_objective_s = 0;  // the shortest time for a start that its class has
+    double wait_objective_s = 0;  // the shortest start time objective of its class, seconds
   };
-  // The victims on one machine.
+  // The tasks to stop on one machine.
   struct Choice {
     int machine = -1;
     double loss = 0;
     std::vector<Victim> victims;
   };
 
-  // A team that stays within its guarantee need not wait for what another runs beyond its own.
+  // True if the team stays within its guarantee with the additional task. Such a team may preempt
+  // tasks of teams that use more than their guarantee.
   bool within_guarantee(SchedulingPass& pass, const std::string& team_name,
                         const wire::JobSpec& more) const;
   Claim make_claim(SchedulingPass& pass, const wire::JobSpec& spec, bool is_urgent,
                    bool entitled) const;
   [[nodiscard]] std::vector<Victim> victims_on(Ms now, const Machine& machine,
                                                const Claim& claim) const;
-  // The task as a victim, with what that loses; none if it may not be stopped.
+  // Returns the task as a victim with the work that stopping it loses, or none if it may not be
+  // stopped.
   [[nodiscard]] std::optional<Victim> judge(Ms now, const Machine& machine, const TaskRef& ref,
                                             const Claim& claim) const;
-  // The fewest of the victims that make the task fit; empty: none or too few.
+  // Returns the shortest prefix of the victims that frees enough capacity for the task, or an empty
+  // list if all of them are not enough or none is needed.
   static std::vector<Victim> enough(const Candidate& candidate, std::vector<Victim> victims,
                                     const wire::JobSpec& spec);
   void stop(SchedulingPass& pass, const Choice& choice, const wire::JobSpec& spec);
--- a/src/scheduling/range_planner.cpp
+++ b/src/scheduling/range_planner.cpp
@@ -11,19 +11,20 @@
 
 namespace {
 
-// Ranges of one job, so that one transaction can end it (conditions).
+// Maximum ranges of one job; the transaction that ends a job needs a condition for each.
 constexpr std::size_t kRangesPerJob = 48;
-// A job is divided in steps of this part of what the fleet holds of its tasks, so that records do
-// not outgrow the write rate with the fleet while a small fleet is used to the full; tasks of a
-// step at most, and steps of a large job.
+// Jobs are divided among shards in steps. A step is this fraction of the number of the job's tasks
+// that the fleet can hold, so that the rate of record writes does not grow with the fleet and a
+// small fleet is still fully used. The other two constants limit the tasks per step and the steps
+// of a large job.
 constexpr double kStepOfFleet = 64.0;
 constexpr std::uint32_t kTasksPerStep = 64;
 constexpr std::uint32_t kStepsPerJob = 256;
-// Bytes that a placement usually takes of a range record when each is on a machine of its own.
+// Typical bytes of a placement in a range record if each task is on a different machine.
 constexpr std::size_t kBytesPerPlacement = 30;
-// Bytes of a range record besides placements and bitmap: owner, bounds.
+// Bytes of a range record without placements and bitmap: owner and bounds.
 constexpr std::size_t kRangeOverheadBytes = 200;
-// Milliseconds for which a count of the machines of all shards is used again.
+// Milliseconds for which the machine counts of all shards are reused.
 constexpr std::int64_t kShardCountMs = 1000;
 
 }  // namespace
@@ -35,7 +36,8 @@
 }
 
 std::size_t RangePlanner::max_ranges() const {
-  // Besides the ranges, the end of a job has the view, the job and its final state as conditions.
+  // Besides the ranges, the transaction that ends a job has the view, the job and its final state
+  // as conditions.
   constexpr std::size_t kOtherConditions = 4;
   const std::size_t conditions =
       static_cast<std::size_t>(context_.settings.txn_ops) * wire::kConditionsPerWrite;
@@ -112,7 +114,7 @@
   ShardCapacities shards = shard_capacities(spec);
   const bool whole = spec.is_gang() || spec.one_zone || spec.spread;
   const std::string first = rendezvous(wire::job_key(spec.id), context_.cluster_view.owners());
-  // Step by step. A step is several tasks: each shard that takes some has records to write for as
+  // A step is several tasks, because every shard that gets tasks of the job writes records for as
   // long as they run.
   double held = 0;
   for (const auto& [name, capacity] : shards) held += capacity.total;
@@ -134,7 +136,8 @@
 
 std::vector<wire::JobRecord::Share> RangePlanner::limit_range_sizes(
     const wire::JobSpec& spec, const std::map<std::string, std::uint32_t>& given) const {
-  // Every replica of a service is placed at once, so that all placements of a range must fit.
+  // All replicas of a service are placed at the same time, so the record must hold a placement for
+  // each.
   const auto all_placed = static_cast<std::uint32_t>(max_placements(0));
   const std::uint32_t most_tasks =
       spec.is_service() ? all_placed
--- a/src/scheduling/range_split.cpp
+++ b/src/scheduling/range_split.cpp
@@ -8,17 +8,19 @@
 
 namespace {
 
-// Tasks of one range record; the bitmap then takes 2 KiB of the value as hexadecimal digits.
+// Maximum tasks of one range; the bitmap of completed tasks then takes 2 KiB of the value as
+// hexadecimal digits.
 constexpr std::uint32_t kTasksPerRange = 8192;
-// Share of a range record's value that its bitmap of finished tasks may take: a job of 100,000
-// tasks then has at most 28 ranges at 2 KiB, and half of each value is left to placements.
+// Share of a range record's value that the bitmap of completed tasks may take. At values of 2 KiB,
+// a job of 100,000 tasks then has at most 28 ranges, and about half of each value is left to
+// placements.
 constexpr double kFinishedMarksShare = 0.45;
 
 }  // namespace
 
 namespace {
 
-// The tasks [begin, end) of the range as a range of their own.
+// Returns a range that covers only the tasks [begin, end).
 wire::RangeRecord slice(const wire::RangeRecord& range, std::uint32_t begin, std::uint32_t end) {
   wire::RangeRecord piece;
   piece.job = range.job;
@@ -34,7 +36,8 @@
   return piece;
 }
 
-// Where to split: so that both sides have as many placements, or as many tasks if there are none.
+// Returns the split point that gives both sides the same number of placements, or of tasks if there
+// are fewer than two placements.
 std::uint32_t middle(const wire::RangeRecord& range) {
   if (range.placed.size() < 2) return range.begin + (range.end - range.begin) / 2;
   const auto half = static_cast<std::ptrdiff_t>(range.placed.size() / 2);
@@ -46,7 +49,7 @@
 std::vector<wire::RangeRecord> split_to_fit(const wire::RangeRecord& range,
                                             std::size_t limit_bytes) {
   std::vector<wire::RangeRecord> pieces;
-  std::vector<wire::RangeRecord> open{range};  // the first tasks last
+  std::vector<wire::RangeRecord> open{range};  // a stack; the piece with the lowest tasks is on top
   while (!open.empty()) {
     const wire::RangeRecord next = std::move(open.back());
     open.pop_back();
--- a/src/scheduling/range_split.h
+++ b/src/scheduling/range_split.h
@@ -1,4 +1,4 @@
-// Cutting a range of tasks into several whose records fit the state service's limit on values.
+// Splits a task range into several whose records fit the state service's value size limit.
 #pragma once
 
 #include <cstddef>
@@ -8,14 +8,15 @@
 
 namespace scheduler {
 
-// The range in as few pieces as halving gives, in the order of tasks, each with a record of at most
-// `limit_bytes`. Every task, finished mark and placement is in just one piece. A range that fits is
-// returned as it is; a single task whose record does not fit is left as one piece.
+// Splits the range by repeated halving until each piece's record takes at most `limit_bytes`, and
+// returns the pieces in the order of tasks. Every task, completion mark and placement is in exactly
+// one piece. A range that fits is returned unchanged; a single task whose record does not fit is
+// kept as one piece.
 std::vector<wire::RangeRecord> split_to_fit(const wire::RangeRecord& range,
                                             std::size_t limit_bytes);
 
-// Tasks that the record of one range may cover, so that the finished marks leave most of the value
-// to placements while a job of the most tasks still has few ranges.
+// Maximum number of tasks of one range, chosen so that completion marks leave most of the value to
+// placements while the largest jobs still have few ranges.
 std::uint32_t tasks_per_range(std::size_t limit_bytes);
 
 }  // namespace scheduler
--- a/src/scheduling/range_writer.cpp
+++ b/src/scheduling/range_writer.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-// Milliseconds within which the ends of tasks are recorded, and for which they are at least
-// gathered: records of a hundred tasks each would otherwise be written at every end.
+// Milliseconds after which completions of tasks are written (three times as long if the write queue
+// is full), and the minimum time for which they are collected: otherwise the record of a hundred
+// tasks would be written again for every completion.
 constexpr std::int64_t kCompletionWriteMs = 4000;
 constexpr std::int64_t kCompletionBatchMs = 500;
 
@@ -44,7 +45,7 @@
          (waited >= kCompletionBatchMs && context_.state_client.has_write_headroom(now));
 }
 
-// Puts the proven ends of tasks into the record. False when all of them are recorded already.
+// Adds released tasks to the record. Returns false if all of them are already recorded.
 bool RangeWriter::record_completions(const wire::JobSpec& spec, RangeState& state,
                                      wire::RangeRecord& record) {
   bool changed = false;
@@ -56,7 +57,7 @@
     }
     record.placed.erase(placed);
     if (it->second.done && spec.is_gang()) {
-      // If one task of a gang is done, every one is.
+      // One completed task means that the whole gang has completed.
       record.done.assign(record.done.size(), true);
     } else if (it->second.done) {
       record.done[it->first - record.begin] = true;
@@ -69,7 +70,8 @@
   return changed;
 }
 
-// Takes over whether the gang is to be stopped in good order.
+// Marks the record of a gang as stopping if a stop was requested, and clears the mark when no task
+// is placed any more.
 bool RangeWriter::record_stop(const wire::JobSpec& spec, const RangeState& state,
                               wire::RangeRecord& record) {
   const bool stop = state.stop_requested && spec.is_gang() && !record.placed.empty() &&
@@ -79,8 +81,9 @@
   return stop;
 }
 
-// Takes choices back until the record fits. Guards against a value over the service's limit, which
-// would be refused for ever: names may be longer than the rule of placed_most() counts with.
+// Discards pending placements until the record fits. Guards against a value over the state
+// service's limit, which would be rejected on every retry: machine names may be longer than
+// RangePlanner::max_placements() assumes.
 void RangeWriter::fit_placements(const wire::JobSpec& spec, RangeState& state,
                                  const wire::RangeRecord& record) {
   while (!spec.is_gang() && state.pending_placements.size() > 1) {
@@ -91,14 +94,16 @@
   }
 }
 
-// Puts the chosen placements into the record, with the conditions that they rest on.
+// Adds the pending placements to the record, and the conditions under which they are valid to the
+// transaction.
 void RangeWriter::record_placements(const Job& job, const RangeState& state,
                                     wire::RangeRecord& record, Transaction& transaction) {
   const wire::JobSpec& spec = job.record.spec;
-  // A cancellation or a change of a machine's standing in between voids the placement.
+  // A concurrent cancellation of the job, or a state change of a machine, invalidates the
+  // placement.
   transaction.conditions.push_back(context_.state_client.unchanged(wire::job_key(spec.id)));
   record.owner = context_.settings.name;
-  std::set<std::string> owners;  // of the machines
+  std::set<std::string> owners;  // owners of the placements' machines
   for (const auto& [task, placement] : state.pending_placements) {
     record.placed[task] = placement;
     record.next_attempt = std::max(record.next_attempt, placement.attempt + 1);
@@ -106,10 +111,10 @@
     owners.insert(machine ? context_.cluster_view.machine_owner(placement.machine, machine->zone)
                           : context_.settings.name);
   }
-  // One stamp stands for all machines of a shard: whoever places on another shard's machines
-  // changes its shard write guard, and so makes placements of its controller that do not know of
-  // these fail. A condition for each machine would not fit into a transaction for an array spread
-  // over hundreds.
+  // The shard write guard of a shard is the condition for all its machines. A controller that
+  // places tasks on another shard's machines changes that shard's guard, so that concurrent
+  // placements by the shard's owner fail. One condition per machine would exceed the transaction
+  // limit for an array spread over hundreds of machines.
   for (const auto& owner : owners) {
     const std::string guard_key = wire::shard_guard_key(owner);
     transaction.conditions.push_back(context_.state_client.unchanged(guard_key));
@@ -117,8 +122,8 @@
       transaction.writes.push_back(
           {guard_key, wire::shard_guard_body(context_.settings.name), std::nullopt});
   }
-  // Guards against two controllers that place ranges of one job bound to zones at the same time:
-  // what the zones may still take is counted over all of them.
+  // Guards against two controllers that concurrently place ranges of one job with zone constraints:
+  // the tasks per zone are counted over all ranges of the job.
   if (!spec.one_zone && !spec.spread) return;
   for (const auto& [number, other] : job.ranges)
     if (number != record.number)
@@ -126,15 +131,17 @@
           context_.state_client.unchanged(wire::range_key(spec.id, number)));
 }
 
-// Adds the writes of the record, split into several where it would not fit. False when it cannot be
-// written within the limits: it can once more of its tasks have ended.
+// Adds the writes of the record to the transaction, split into several records if it is too large.
+// Returns false if it cannot be written within the limits now; it can be written after more of its
+// tasks have ended.
 bool RangeWriter::write_pieces(const Job& job, const wire::RangeRecord& record,
                                Transaction& transaction) {
   const auto limit = static_cast<std::size_t>(context_.value_bytes());
   const wire::JobSpec& spec = job.record.spec;
   const std::string key = wire::range_key(spec.id, record.number);
   if (spec.is_gang()) {
-    // A gang is placed and ends as one. The production version may have written larger records.
+    // A gang is placed and ends as a whole, so its record is not split. Earlier versions may have
+    // written larger records.
     const std::string value = encode(record);
     if (static_cast<double>(value.size()) > context_.stored_value_bytes()) return false;
     transaction.writes.push_back({key, value, std::nullopt});
@@ -166,7 +173,8 @@
     fit_placements(spec, state, record);
     record_placements(job, state, record, transaction);
   } else {
-    candidate_cache_.clear_pending_placements(state);  // once the record has been split
+    candidate_cache_.clear_pending_placements(state);  // placements are chosen again after the
+                                                       // record has been split
   }
   return true;
 }
@@ -191,7 +199,8 @@
   const bool stop = record_stop(spec, state, next);
   state.stop_requested = false;
   changed = changed || stop;
-  changed = changed || state.write_uncertain;  // the same again, with a new stamp
+  changed = changed || state.write_uncertain;  // rewrites the unchanged record to get a new
+                                               // version, which invalidates the uncertain write
   changed = add_placements(*job, state, next, transaction) || changed;
   if (!changed) return;
   if (!write_pieces(*job, next, transaction)) {
@@ -206,7 +215,7 @@
                                     " placing " + std::to_string(state.pending_placements.size()) +
                                     " released " + std::to_string(state.released.size()));
   state.released_since = 0;
-  // A user waits for the end of a cancelled job.
+  // Cancellation is urgent because a user waits for its confirmation.
   transaction.urgent = spec.priority >= wire::Priority::high || job->record.cancelled;
   state.busy = true;
   transaction.done = [this, id](Ms at, TxnResult result, const auto&) {
@@ -222,14 +231,14 @@
   pass_trigger_.request();
   const bool not_executed = result == TxnResult::refused || result == TxnResult::rejected;
   if (result == TxnResult::unknown) {
-    // Guards against a late write that fills a lease or a machine a second time.
+    // Guards against a write that is applied late and uses a lease or a machine a second time.
     state.write_uncertain = true;
   } else if (result == TxnResult::committed || (not_executed && !state.write_uncertain)) {
     candidate_cache_.clear_pending_placements(state);
   }
   if (result == TxnResult::committed) {
     state.busy = false;
-    return;  // starts follow from the changed machines
+    return;  // tasks are started when the changed placements are processed
   }
   if (not_executed) {
     state.busy = false;
@@ -239,8 +248,9 @@
   context_.state_client.wait_until_settled(now, [this, id, result](Ms) {
     auto again = ranges_.find(id);
     if (again != ranges_.end()) {
-      // Guards against a conflict with a repeat of this very write, which was executed: until the
-      // replica shows it, its placements count as made. Others would exceed the team's limit.
+      // Guards against a conflict caused by a retry of this write after its first attempt was
+      // applied: until the replica shows the result, the placements count as made. New placements
+      // would exceed the team's limit.
       if (result == TxnResult::conflict) candidate_cache_.clear_pending_placements(again->second);
       again->second.busy = false;
     }
--- a/src/scheduling/range_writer.h
+++ b/src/scheduling/range_writer.h
@@ -1,4 +1,4 @@
-// Records placements and ends of tasks in the records of their ranges.
+// Writes placements and completions of tasks to the records of their ranges.
 #pragma once
 
 #include <pcg_random.hpp>
@@ -15,8 +15,8 @@
 
 namespace scheduler {
 
-// The one writer of the records of the ranges that this controller owns. Starts follow from what is
-// recorded; what is released is free to be placed again once it is recorded.
+// The only writer of the records of ranges that this controller owns. Tasks are started once their
+// placement is recorded; a released task can be placed again once its release is recorded.
 class RangeWriter {
  public:
   RangeWriter(const Context& context, const ControllerStatus& status, RangeTable& ranges,
@@ -28,13 +28,14 @@
         pass_trigger_(pass_trigger),
         random_(random) {}
 
-  // With what is proven, every task of the range is done.
+  // True if every task of the range is done, including completions that are not recorded yet.
   [[nodiscard]] bool completes(const RangeId& id, const RangeState& state) const;
-  // Whether the range's changes are to be written now; `may_queue_writes`: writes can still be
-  // asked for. That tasks ended can wait a little, to be written together: their capacity is free
-  // already, and their machines list them until it is recorded.
+  // Whether the range's changes are to be written now. `may_queue_writes`: the write queue still
+  // accepts writes in this pass. Completions can wait for a short time to be written together:
+  // their capacity is already free, and machines keep reporting the tasks until the completion is
+  // recorded.
   bool must_write_now(Ms now, const RangeId& id, RangeState& state, bool may_queue_writes) const;
-  // Writes what has changed of the range, if anything has.
+  // Writes the range's pending changes, if there are any.
   void write(const RangeId& id);
 
  private:
@@ -42,8 +43,8 @@
                                  wire::RangeRecord& record);
   static bool record_stop(const wire::JobSpec& spec, const RangeState& state,
                           wire::RangeRecord& record);
-  // Puts the chosen placements into the record, or takes them back if it is full. True if anything
-  // has changed.
+  // Adds the pending placements to the record, or discards them if the record is full. Returns true
+  // if there were any.
   bool add_placements(const Job& job, RangeState& state, wire::RangeRecord& record,
                       Transaction& transaction);
   void fit_placements(const wire::JobSpec& spec, RangeState& state,
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -9,27 +9,27 @@
 
 namespace {
 
-// Tasks placed in one scheduling pass; bounds the time of a pass on a small processor share.
+// Maximum tasks placed in one pass; limits the duration of a pass on a small CPU share.
 constexpr int kPlacementsPerPass = 256;
-// Milliseconds between passes at least; a pass takes about a millisecond.
+// Minimum milliseconds between passes; a pass takes about a millisecond.
 constexpr std::int64_t kPassEveryMs = 50;
-// Machines and jobs that passes walk in a second at most: each takes about half a microsecond, so
-// that they stay below a twentieth of a core.
+// Maximum machines and jobs that passes iterate over per second. Each takes about half a
+// microsecond, so that passes use less than a twentieth of a core.
 constexpr std::int64_t kPassWalkPerS = 40'000;
-// Writes that may wait for the state service before scheduling asks for more (high work excepted):
-// about a second's share of the rate.
+// Writes that may be queued for the state service before a pass adds no more, except for work of
+// high priority; about one second of the permitted write rate.
 constexpr int kWritesQueued = 16;
-// Seconds from which on a job is old, whatever its objectives, and the share of a shard's CPUs that
-// old jobs have before all others.
+// Age in seconds from which a job counts as old, and the share of a shard's CPUs that old jobs get
+// before all others.
 constexpr double kOldJobS = 180.0;
 constexpr double kOldShare = 0.2;
-// Seconds after which a job that has nothing started goes before all others with its first tasks.
-// The largest must begin within 240 s (four minutes); starts take seconds, but more than one such
-// job may be due at once.
+// Age in seconds after which a job without a started task gets its first tasks before all others.
+// The largest jobs must begin within 240 s; starting takes a few seconds, but several such jobs may
+// be due at the same time.
 constexpr double kBeginWithinS = 120.0;
-// Milliseconds for which a sum over the machines of the fleet is used again.
+// Milliseconds for which the CPU total of the fleet is reused.
 constexpr std::int64_t kFleetCountMs = 1000;
-// Milliseconds between scheduling passes at most, for what becomes possible by time alone.
+// Maximum milliseconds between passes, for changes that depend on time alone.
 constexpr std::int64_t kIdlePassMs = 200;
 
 }  // namespace
@@ -69,7 +69,8 @@
   return pass_trigger_.requested() ? std::min(otherwise, std::max(next_pass_, now)) : otherwise;
 }
 
-// A pass walks the machines of the shard and all jobs; with thousands of them passes are rarer.
+// A pass iterates over the machines of the shard and all jobs, so the interval grows with their
+// number.
 Ms Scheduler::pass_interval() const {
   const auto walked = static_cast<Ms>(machines_.size() + context_.replica.jobs().size());
   return std::max(kPassEveryMs, walked * 1000 / kPassWalkPerS);
@@ -107,8 +108,8 @@
   SchedulingPass pass;
   pass.now = now;
   pass.remaining_placements = kPlacementsPerPass;
-  // Few writes wait at once: which work goes next is decided when it can be written, not before a
-  // queue of seconds, and what gathers meanwhile goes in one write.
+  // Few writes are queued at a time: the order of work is decided shortly before it is written, and
+  // changes that accumulate in the meantime share one write.
   pass.remaining_writes = kWritesQueued - static_cast<int>(context_.state_client.queued());
   for (const auto& [id, machine] : machines_) {
     if (!machines_.usable(now, machine)) continue;
@@ -167,20 +168,20 @@
 }
 
 void Scheduler::order_entries(const SchedulingPass& pass, PendingWork& work) {
-  // The objectives are shares of a class: one job of a small class counts for more.
+  // Objectives are percentages of a class, so one job weighs more in a class with few jobs.
   for (std::size_t i = 0; i < work.jobs.size(); ++i)
     work.jobs[i].weight = 1.0 / work.live_per_class[*work.classes[i]];
   const auto places = order_by_deadline(work.jobs, total_fleet_cpus(pass.now));
   double shard_cpus = 0;
   for (const Candidate* machine : pass.candidates)
     if (const auto* type = context_.replica.type(machine->type)) shard_cpus += type->cpus;
-  // Old jobs have a share of the machines before all others, so that an overload that lasts does
-  // not put them off for ever; the rest goes by the objectives.
+  // Old jobs get a share of the machines before all others, so that a long overload does not starve
+  // them; the rest is assigned by the objectives.
   const bool old_first = work.old_cpus < kOldShare * shard_cpus;
   for (Entry& entry : work.entries) {
     const PendingJob& pending = work.jobs[entry.pending_job];
-    // Nobody is starved: whoever has waited this long without any task started begins now, and goes
-    // on in its own place afterwards.
+    // Prevents starvation: a job that has waited this long without a started task gets its first
+    // tasks now, and is then served in its normal position.
     const bool started = entry.job->done_tasks() + entry.job->placed_tasks() > 0;
     entry.priority.has_started = pending.age < kBeginWithinS || started;
     if (old_first && entry.old) entry.priority.has_started = false;
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -1,4 +1,4 @@
-// Scheduling passes: which pending work gets machines, in which order.
+// Scheduling passes: decide which pending work gets machines, and in which order.
 #pragma once
 
 #include <map>
@@ -28,9 +28,9 @@
 
 namespace scheduler {
 
-// Chooses machines for the tasks of the ranges that this controller owns. What is chosen is then
-// recorded (range_writer.h), and starts follow from the records. Every controller orders all
-// pending jobs alike.
+// Chooses machines for the tasks of the ranges that this controller owns. The placements are then
+// recorded (range_writer.h), and tasks are started from the records. Every controller computes the
+// same order of all pending jobs.
 class Scheduler {
  public:
   Scheduler(const Context& context, const ControllerStatus& status, MachineTable& machines,
@@ -38,11 +38,13 @@
             QuotaManager& quota, ServiceReserve& service_reserve, FailureTracker& failures,
             PassTrigger& pass_trigger, pcg32& random);
 
-  // Runs a pass if one is due: asked for, or for what becomes possible by time alone.
+  // Runs a pass if one is due: on request, or after a maximum interval for changes that depend on
+  // time alone.
   void tick(Ms now);
-  // Runs a pass if one was asked for and enough time has gone by since the last.
+  // Runs a pass if one was requested and the minimum interval since the last pass has elapsed.
   void run_if_requested(Ms now);
-  // When tick() should be called next, given when it would be called anyway.
+  // Returns when tick() should be called next; `otherwise` is the time used if no pass is
+  // requested.
   [[nodiscard]] Ms next_tick(Ms now, Ms otherwise) const;
 
  private:
@@ -52,30 +54,31 @@
     const Job* job = nullptr;
     const wire::RangeRecord* range = nullptr;
     std::size_t pending_job = 0;  // index among the pending jobs
-    bool old = false;             // its job has waited for long, whatever its objectives
+    bool old = false;             // its job was submitted long ago, regardless of its objectives
     SchedulingPriority priority;
   };
-  // What waits, and what is needed to order it.
+  // All pending work and the data needed to order it.
   struct PendingWork {
-    std::vector<Entry> entries;    // of our shard
-    std::vector<PendingJob> jobs;  // of all shards: every controller comes to the same order
-    std::vector<const std::string*> classes;            // of `jobs`
-    std::map<std::string_view, double> live_per_class;  // live jobs
-    double old_cpus = 0;                                // that old jobs use of our shard
+    std::vector<Entry> entries;    // ranges of this controller's shard
+    std::vector<PendingJob> jobs;  // jobs of all shards, so that every controller computes the same
+                                   // order
+    std::vector<const std::string*> classes;            // job class of each entry of `jobs`
+    std::map<std::string_view, double> live_per_class;  // number of live jobs
+    double old_cpus = 0;                                // CPUs of this shard that old jobs use
   };
 
   void run_pass(Ms now);
   [[nodiscard]] Ms pass_interval() const;
   SchedulingPass begin_pass(Ms now);
   void write(SchedulingPass& pass, const RangeId& id);
-  // Ends of ranges first: users wait for them.
+  // Writes ranges whose last task has completed before all others, because users wait for them.
   void write_completed_ranges(SchedulingPass& pass);
   PendingWork collect_pending_work(SchedulingPass& pass);
   void add_job(SchedulingPass& pass, const std::string& id, const Job& job, PendingWork& work);
   void order_entries(const SchedulingPass& pass, PendingWork& work);
   void place_entries(SchedulingPass& pass, const std::vector<Entry>& entries);
   void write_remaining_changes(SchedulingPass& pass);
-  // CPUs of all machines that may be used.
+  // Total CPUs of all usable machines of the fleet.
   double total_fleet_cpus(Ms now);
 
   const Context& context_;
--- a/src/scheduling/scheduling_pass.h
+++ b/src/scheduling/scheduling_pass.h
@@ -1,4 +1,4 @@
-// One scheduling pass: machines as they are booked while tasks are placed.
+// State of one scheduling pass: the candidate machines with the bookings made during the pass.
 #pragma once
 
 #include <cstddef>
@@ -15,39 +15,46 @@
 namespace scheduler {
 
 struct SchedulingPass {
-  // What machines may be used for: spot allowed, types, zone ("": any), and whether other shards'
-  // machines count.
+  // Constraints that select eligible machines: spot allowed, types, zone (empty: any), and whether
+  // other shards' machines are included.
   using Kind = std::tuple<bool, std::vector<std::string>, std::string, bool>;
-  // Tasks of a shape: cpus, gpus, memory, spot, types, zone.
+  // Resources and constraints of a task: cpus, gpus, memory, spot, types, zone.
   using Shape = std::tuple<double, double, double, bool, std::vector<std::string>, std::string>;
 
-  // Indices of the candidates that the job may use, in that zone if one is named; `remote`: other
-  // shards' machines too. Built once a pass for all jobs of a kind.
+  // Returns the indices of the candidates that the job may use, limited to `zone` unless it is
+  // empty. `remote` includes other shards' machines. Computed once per pass for each Kind.
   const std::vector<int>& machines_for(const wire::JobSpec& spec, const std::string& zone,
                                        bool remote);
-  // Keeps the machines with most free capacity for what must begin and finds none yet. Guards
-  // against large tasks and gangs that wait for ever, since small ones take every bit of capacity
-  // as it comes.
+  // Keeps the machines with the most free capacity unused for work that must start and found no
+  // capacity. Guards against large tasks and gangs that wait forever because small tasks take all
+  // capacity as soon as it is freed.
   void reserve(const wire::JobSpec& spec, std::size_t tasks);
   [[nodiscard]] Candidate& candidate(int index) const {
     return *candidates[static_cast<std::size_t>(index)];
   }
 
   Ms now = 0;
-  std::vector<Candidate*> candidates;  // usable machines of our shard, then others' if added
-  std::size_t local_machines = 0;      // of `candidates`, which has them first
+  std::vector<Candidate*> candidates;  // usable machines of this shard, followed by other shards'
+                                       // machines if added
+  std::size_t local_machines = 0;      // number of this shard's machines, at the front of
+                                       // `candidates`
   bool remote_added = false;
   std::map<Kind, std::vector<int>> eligible_by_kind;
-  std::set<std::string> zones;  // of `candidates`
+  std::set<std::string> zones;  // zones of all candidates
   int remaining_placements = 0;
-  int remaining_writes = 0;                               // that may still be asked for
-  std::map<std::string, wire::QuotaRecord::Amount> used;  // of our quota leases, by team
-  std::map<std::string, Usage> team_usage;                // of all shards, as of the pass's start
-  bool whole_machine_gangs = false;                       // some live job is such a gang
-  std::set<int> reserved;                          // machines kept free for what waits to begin
-  std::vector<const wire::JobSpec*> failed;        // shapes that found no capacity
-  std::vector<const wire::JobSpec*> failed_gangs;  // gangs that found none in any shard
-  std::map<Shape, double> free_capacity;           // tasks of a shape that our shard can take
+  int remaining_writes = 0;                               // writes that this pass may still queue
+  std::map<std::string, wire::QuotaRecord::Amount> used;  // usage of this controller's quota
+                                                          // leases, by team
+  std::map<std::string, Usage> team_usage;                // usage over all shards at the start of
+                                                          // the pass
+  bool whole_machine_gangs = false;                       // some live job is a gang that needs
+                                                          // whole machines
+  std::set<int> reserved;                          // machines kept free for work that must start
+  std::vector<const wire::JobSpec*> failed;        // jobs whose tasks found no capacity
+  std::vector<const wire::JobSpec*> failed_gangs;  // gangs for which all shards together have too
+                                                   // little capacity
+  std::map<Shape, double> free_capacity;           // number of tasks of a shape that this shard can
+                                                   // take
 };
 
 }  // namespace scheduler
--- a/src/scheduling/scheduling_priority.h
+++ b/src/scheduling/scheduling_priority.h
@@ -1,4 +1,4 @@
-// When a range is served among all that wait.
+// Position of a range in the order of pending work.
 #pragma once
 
 #include <cstddef>
@@ -6,9 +6,11 @@
 namespace scheduler {
 
 struct SchedulingPriority {
-  bool has_started = true;              // false: goes before all others with a few tasks
-  bool misses_every_objective = false;  // of its class, whatever is done
-  std::size_t place = 0;                // of its job among all that wait (pending_order.h)
+  bool has_started = true;              // false: served before the normal order, with a limited
+                                        // number of tasks
+  bool misses_every_objective = false;  // the job can no longer meet any objective of its class
+  std::size_t place = 0;                // position of its job among all pending jobs
+                                        // (pending_order.h)
 };
 
 }  // namespace scheduler
--- a/src/scheduling/service_placement.cpp
+++ b/src/scheduling/service_placement.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// Replicas of one range that find no machine in a pass before the rest of it waits for the next:
-// one may be kept from the only machine with capacity by its own result there, while another is
-// not.
+// Replicas of one range that may find no machine in a pass before the rest of the range waits for
+// the next pass. The only machine with capacity may be excluded for one replica, because it keeps a
+// result of that replica, but not for the others.
 constexpr std::uint32_t kReplicasWithoutMachine = 4;
-// Milliseconds after which a replica is tried again on a machine that failed it, if only such
-// machines have capacity: enough for a failing machine to have failed another job and to be
+// Milliseconds after which a replica is retried on a machine where it failed, if only such machines
+// have capacity. The time suffices for a faulty machine to fail another job as well and be
 // returned.
 constexpr std::int64_t kRetryFailedMachineMs = 10'000;
 
@@ -38,7 +38,7 @@
     if (machine >= 0) {
       assigner_.assign(pass, {spec, state, task, range.next_attempt}, machine, false);
     } else if (++without_machine >= kReplicasWithoutMachine) {
-      break;  // others may go where a result of these is kept
+      break;  // the rest of the range waits for the next pass
     }
   }
   quota_.add_demand(spec, without_quota);
@@ -57,10 +57,8 @@
   return -1;
 }
 
-// The machine for one more replica, or -1. Each choice is by two samples (placement.cpp); what is
-// sampled is narrowed step by step. Our own machines come first: a replica on another shard's
-// machine makes placements of its owner fail and starts later. Machines where the job failed come
-// last, and only if it has failed on several or no other is left.
+// Machines of this controller's shard are tried first, then preemption, then other shards'
+// machines, and last machines where the job failed.
 int ServicePlacement::pick_for_replica(SchedulingPass& pass, const Job& job, std::uint32_t task) {
   const wire::JobSpec& spec = job.record.spec;
   const bool bound_to_zones = spec.one_zone || spec.spread;
@@ -74,19 +72,19 @@
   const int preempted =
       preemption_.preempt_for(pass, spec, true, bound_to_zones ? &*choice.zones : nullptr);
   if (preempted >= 0) return preempted;
-  // Guards against a service whose zone has no machine of our shard.
+  // Guards against a service whose zone has no machine of this controller's shard.
   candidate_cache_.add_remote_candidates(pass);
   if (bound_to_zones) choice.zones = assigner_.zones_open(pass, job);
-  // Guards against a service bound to a zone of another shard that waits because each machine with
-  // capacity there has a replica already.
+  // Guards against a service limited to a zone of another shard that waits because each machine
+  // with capacity there already has a replica.
   for (const bool without_replica : {true, false}) {
     choice.without_replica = without_replica;
     const int remote = pick_of_two(pass.now, pass.candidates, spec,
                                    replica_candidates(pass, choice, false), random_);
     if (remote >= 0) return remote;
   }
-  // Guards against a replica that waits for as long as errors are remembered because the only free
-  // capacity is on a machine that has failed it once.
+  // Guards against a replica that waits for as long as failures are remembered because the only
+  // free capacity is on a machine where it failed once.
   const bool others = !failure_tracker_.is_faulty_job(spec.id) && other_machine_left(pass, choice);
   choice.avoid_failures.reset();
   if (others) choice.avoid_failures = kRetryFailedMachineMs;
--- a/src/scheduling/service_placement.h
+++ b/src/scheduling/service_placement.h
@@ -1,4 +1,4 @@
-// Placing the replicas of services: jobs that run until their user cancels them.
+// Places the replicas of services: jobs that run until their user cancels them.
 #pragma once
 
 #include <optional>
@@ -37,32 +37,38 @@
         failure_tracker_(failures),
         random_(random) {}
 
-  // Chooses machines for replicas that are on none.
+  // Chooses machines for replicas that have none.
   void place(SchedulingPass& pass, const RangeId& id, const Job& job,
              const wire::RangeRecord& range);
 
  private:
-  // What a replica's machine may be.
+  // Constraints on the machine of a replica.
   struct ReplicaChoice {
     const wire::JobSpec* spec = nullptr;
     wire::TaskId replica;
-    std::set<std::string> taken;                          // machines that have a replica
-    std::optional<std::set<std::string>> zones;           // none: any
-    std::optional<Ms> avoid_failures = kFailureMemoryMs;  // of the job, for so long
-    bool without_replica = false;                         // not where the job has a replica
-    bool contacted_recently = false;                      // only where there was contact lately
+    std::set<std::string> taken;                          // machines that have a replica of the job
+    std::optional<std::set<std::string>> zones;           // unset: any zone
+    std::optional<Ms> avoid_failures = kFailureMemoryMs;  // excludes machines on which the job
+                                                          // failed within this time
+    bool without_replica = false;                         // excludes machines that have a replica
+                                                          // of the job
+    bool contacted_recently = false;                      // only machines that were in contact
+                                                          // recently
   };
 
-  // The machine for one more replica, or -1. Each choice is by two samples (placement.h); what is
-  // sampled is narrowed step by step. Our own machines come first: a replica on another shard's
-  // machine makes placements of its owner fail and starts later. Machines where the job failed come
-  // last, and only if it has failed on several or no other is left.
+  // Returns the machine for one more replica, or -1. Each choice samples two machines (placement.h)
+  // from a set that is relaxed step by step. Machines of this controller's shard come first: a
+  // replica on another shard's machine makes concurrent placements by that shard's owner fail and
+  // starts later. Machines where the job failed come last, and only if the job has failed on
+  // several machines or no other machine is allowed.
   int pick_for_replica(SchedulingPass& pass, const Job& job, std::uint32_t task);
-  // Narrows our own machines step by step: the loss of one is to take few replicas, so machines
-  // without a replica of the job come first. Among these, machines with recent contact do: guards
-  // against replicas that are begun on machines which have died together with the one they were on.
+  // Picks among the machines of this controller's shard. Machines without a replica of the job come
+  // first, so that the loss of one machine affects few replicas. Among these, machines with recent
+  // contact come first, which guards against replicas being started on machines that failed
+  // together with the replica's last machine.
   int pick_local_for_replica(SchedulingPass& pass, ReplicaChoice choice);
-  // Whether some machine on which the job has not failed is allowed, whatever its free capacity.
+  // Whether the job is allowed on some machine where it has not failed, regardless of free
+  // capacity.
   [[nodiscard]] bool other_machine_left(const SchedulingPass& pass,
                                         const ReplicaChoice& choice) const;
   [[nodiscard]] std::vector<int> replica_candidates(const SchedulingPass& pass,
--- a/src/scheduling/start_deadlines.cpp
+++ b/src/scheduling/start_deadlines.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-// Seconds left to start a task in time below which others lose their work for it.
+// Remaining seconds to start a task in time below which running work may be lost to preemption for
+// it.
 constexpr double kUrgentStartS = 6.0;
-// CPUs that a task counts for at least in the work that waits.
+// Minimum CPUs per task when the amount of waiting work is computed.
 constexpr double kLeastCpusCounted = 0.1;
-// Seconds; no objective is that far away.
+// Seconds; further away than any objective.
 constexpr double kNever = 1e9;
 
 // Whether the objective counts completed jobs, not started tasks.
@@ -19,8 +20,8 @@
   return objective.kind == ObjectiveKind::deadline || objective.kind == ObjectiveKind::finished;
 }
 
-// Seconds after the job's submission by which its tasks must have started to meet the objective, if
-// it says anything about starts.
+// Returns the seconds after the job's submission by which its tasks must have started to meet the
+// objective, if the objective limits the start.
 std::optional<double> latest_start_s(const Objective& objective, const wire::JobSpec& spec) {
   switch (objective.kind) {
     case ObjectiveKind::wait:
@@ -36,7 +37,7 @@
   return std::nullopt;
 }
 
-// CPU seconds of the job that have not been placed yet, by the estimate.
+// CPU seconds of the job's tasks that are not placed yet, by the estimate.
 double waiting_work(const Job& job) {
   const wire::JobSpec& spec = job.record.spec;
   const std::uint64_t held = job.done_tasks() + job.placed_tasks();
@@ -52,7 +53,7 @@
   pending.age = age_s;
   pending.work = waiting_work(job);
   if (spec.is_service()) {
-    // Every second that a replica is missing counts, however long it has been so.
+    // Every second without a replica counts, regardless of the job's age.
     pending.latest_starts.push_back(0);
     pending.priority = static_cast<int>(spec.priority);
     return pending;
@@ -71,8 +72,9 @@
   if (!has_completion_objective)
     pending.latest_starts.push_back(std::max(0.0, kDefaultHorizonS - spec.estimate_s - age_s));
   std::sort(pending.latest_starts.begin(), pending.latest_starts.end());
-  // While its class has an objective to meet, low work waits in one queue with standard work
-  // (measured, docs/design.md); it still stops nothing and may be stopped.
+  // While its class has a completion objective that can be met, a low-priority job is ordered like
+  // standard work, because this was better in measurements (docs/design.md). It still preempts
+  // nothing and may be preempted.
   const wire::Priority priority =
       completion_open ? std::max(spec.priority, wire::Priority::normal) : spec.priority;
   pending.priority = static_cast<int>(priority);
--- a/src/scheduling/task_assigner.cpp
+++ b/src/scheduling/task_assigner.cpp
@@ -22,13 +22,14 @@
 
 std::set<std::string> TaskAssigner::zones_open(const SchedulingPass& pass, const Job& job) const {
   const auto& spec = job.record.spec;
-  std::map<std::string, std::size_t> here;  // tasks by zone
+  std::map<std::string, std::size_t> here;
   auto count = [&](const wire::Placement& placement) {
     const auto* m = context_.replica.machine(placement.machine);
     ++here[m ? m->zone : ""];
   };
   for (const auto& [number, range] : job.ranges) {
-    // What is proven gone though not yet recorded holds its zone no longer.
+    // A task that is proven gone does not count for its zone, even if its release is not recorded
+    // yet.
     for (const auto& [task, placement] : range.placed)
       if (!ranges_.is_released({{spec.id, number}, task}, placement.attempt)) count(placement);
     if (auto w = ranges_.find({spec.id, number}); w != ranges_.end())
--- a/src/scheduling/task_assigner.h
+++ b/src/scheduling/task_assigner.h
@@ -1,4 +1,4 @@
-// Books a chosen machine for a task, and tells where the next task of a job may go.
+// Assigns tasks to chosen machines, and determines where the next task of a job may be placed.
 #pragma once
 
 #include <set>
@@ -11,7 +11,7 @@
 
 namespace scheduler {
 
-// One task of a range that is to be placed.
+// A task of a range that is to be placed.
 struct TaskToPlace {
   const wire::JobSpec& spec;
   RangeState& range;
@@ -24,12 +24,12 @@
   TaskAssigner(const Context& context, const RangeTable& ranges, CandidateCache& candidates)
       : context_(context), ranges_(ranges), candidate_cache_(candidates) {}
 
-  // Puts the task on the machine (an index of the pass's candidates). `booked`: the machine counts
-  // with it already.
+  // Assigns the task to the machine (an index into the pass's candidates). `booked`: the task's
+  // resources are already booked on the machine.
   void assign(SchedulingPass& pass, const TaskToPlace& task, int machine, bool booked);
-  // Zones that the next task of the job may go to, of those of the pass.
+  // Zones of the pass's candidates in which the next task of the job may be placed.
   [[nodiscard]] std::set<std::string> zones_open(const SchedulingPass& pass, const Job& job) const;
-  // Machines that have a task of the job, or are to get one.
+  // Machines on which a task of the job is placed or about to be placed.
   [[nodiscard]] std::set<std::string> machines_of(const Job& job) const;
 
  private:
--- a/src/scheduling/work_stealing.cpp
+++ b/src/scheduling/work_stealing.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Unstarted tasks from which on another shard takes a range soon, and milliseconds after which it
-// takes fewer.
+// Number of unstarted tasks from which another shard may take over tasks after the short delay
+// below, and the delay in milliseconds for fewer tasks.
 constexpr std::size_t kStealAtLeastTasks = 8;
 constexpr std::int64_t kStealFewAfterMs = 3000;
-// Milliseconds that a range must have waited unstarted before another shard may take from it: its
-// owner, which sees it first, gets the first try.
+// Milliseconds for which a range must have waited unstarted before another shard may take tasks
+// from it: the owner, which learns of the range first, gets the first attempt.
 constexpr std::int64_t kStealAfterMs = 400;
 
 }  // namespace
@@ -29,9 +29,9 @@
   RangeState& state = ranges_[id];
   if (state.first_seen == 0) state.first_seen = now;
   if (state.busy || !state.released.empty() || now < state.retry_at) return false;
-  // Over the limit on values: its owner splits it first.
+  // The record exceeds the value size limit; the owner must split it first.
   if (range.placed.size() > planner_.max_placements(range.end - range.begin)) return false;
-  // A few tasks are left to their owner for longer: each steal makes one more record.
+  // A few tasks are left to their owner for longer, because each steal adds a record.
   const std::size_t waits = (range.end - range.begin) - range.placed.size() - range.done_count();
   const Ms patience = waits < kStealAtLeastTasks ? kStealFewAfterMs : kStealAfterMs;
   if (now - state.first_seen >= patience) return true;
@@ -42,8 +42,8 @@
 std::optional<WorkStealing::Offer> WorkStealing::find_offer(SchedulingPass& pass,
                                                             const std::string& id, const Job& job) {
   const wire::JobSpec& spec = job.record.spec;
-  // Guards against work that stays for ever with a shard that has no machine for it: a job that
-  // cannot be divided further is still taken over by whole ranges, which makes no new record.
+  // Guards against work that stays forever with a shard that has no machine for it: if a job cannot
+  // be divided further, whole ranges can still be taken over, which adds no record.
   const bool whole_only = job.ranges.size() >= planner_.max_ranges();
   double capacity = -1;
   for (const auto& [number, range] : job.ranges) {
@@ -63,8 +63,8 @@
     if (whole_only && range.placed.empty()) first = range.begin;
     if (open == 0 || (whole_only && first != range.begin)) continue;
     if (!quota_.allows(pass.used, spec)) {
-      // Guards against work that only our machines may run staying with a shard that holds the
-      // quota leases but has no such machines.
+      // Guards against work that only machines of this controller's shard may run but that stays
+      // with a shard that holds the quota leases and has no such machines.
       quota_.add_demand(spec, open);
       return std::nullopt;
     }
--- a/src/scheduling/work_stealing.h
+++ b/src/scheduling/work_stealing.h
@@ -1,4 +1,5 @@
-// Work stealing: free capacity takes unstarted tasks from the end of other shards' ranges.
+// Work stealing: a shard with free capacity takes unstarted tasks from the end of other shards'
+// ranges.
 #pragma once
 
 #include <optional>
@@ -28,24 +29,26 @@
         pass_trigger_(pass_trigger),
         random_(random) {}
 
-  // Takes over one range, or the end of one, of the highest priority that our shard can run.
+  // Takes over one range, or the end of a range, from the pending work of the highest priority that
+  // this controller's shard can run.
   void steal_ranges(SchedulingPass& pass);
 
  private:
-  // Tasks of a remote range that our shard could take over.
+  // Tasks of another shard's range that this controller's shard could take over.
   struct Offer {
     const Job* job = nullptr;
     RangeId range;
-    std::uint32_t first = 0;  // of the tasks to be taken; the rest stays
+    std::uint32_t first = 0;  // first task to take over; earlier tasks stay with the owner
   };
 
-  // Whether tasks of the job may be taken over at all.
+  // Whether tasks of the job may be taken over.
   [[nodiscard]] bool may_steal(Ms now, const std::string& id, const Job& job) const;
-  // The first range of the job that some of can be taken over.
+  // Returns the first range of the job from which tasks can be taken over.
   std::optional<Offer> find_offer(SchedulingPass& pass, const std::string& id, const Job& job);
-  // Whether the range has waited for its owner for long enough.
+  // Whether the range's owner has had enough time to place its tasks.
   bool has_waited(Ms now, const RangeId& id, const wire::RangeRecord& range);
-  // Tasks of the job that our shard has capacity for; counted once a pass for each shape.
+  // Number of the job's tasks that this controller's shard has capacity for; computed once per pass
+  // for each Shape.
   static double free_capacity_for(SchedulingPass& pass, const wire::JobSpec& spec);
   void write_stolen_range(const RangeId& from, std::uint32_t first, const RangeId& to);
 
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -1,4 +1,4 @@
-// The components of scheduling and quotas, each without a whole controller.
+// Tests the components of scheduling and quotas without a whole controller.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -70,10 +70,11 @@
   job.record.spec.estimate_s = 40;
   const auto& spec = job.record.spec;
   EXPECT_FALSE(is_urgent(settings, spec, 1));
-  EXPECT_TRUE(is_urgent(settings, spec, 5));    // five seconds are left to start in time
-  EXPECT_FALSE(is_urgent(settings, spec, 20));  // missed; the next is at 60 s
+  EXPECT_TRUE(is_urgent(settings, spec, 5));    // five seconds are left until the latest start
+  EXPECT_FALSE(is_urgent(settings, spec, 20));  // the first objective is missed; the next requires
+                                                // a start by 60 s
   EXPECT_TRUE(is_urgent(settings, spec, 55));
-  EXPECT_FALSE(is_urgent(settings, spec, 70));  // nothing is left to be met
+  EXPECT_FALSE(is_urgent(settings, spec, 70));  // no objective can be met any more
   EXPECT_EQ(pending_job(settings, job, 1).latest_starts, (std::vector<double>{9, 59}));
   EXPECT_EQ(pending_job(settings, job, 20).latest_starts, (std::vector<double>{40}));
   EXPECT_TRUE(pending_job(settings, job, 70).latest_starts.empty());
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,4 +1,5 @@
-// Services on a single controller: what is accepted and when, restarts and back-off of replicas.
+// Tests services on a single controller: validation and acceptance of submissions, restarts and
+// back-off of replicas.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -57,7 +58,8 @@
   EXPECT_EQ(status(spread), 422);
 }
 
-// Until every configured controller announces the format, they are refused with a time to retry.
+// Until every configured controller announces the record format, submissions of services are
+// refused with a Retry-After time.
 TEST_F(SingleControllerJobs, ServicesAreUnavailableUntilAllControllersReadThem) {
   Settings with_peer = settings_;
   with_peer.peers = {{"puffin-1", "a", "puffin-1:1"}};
@@ -69,7 +71,7 @@
   run(500);
   EXPECT_EQ(status(array), 201);
 
-  // The other one joins: first as the production version, which announces nothing.
+  // puffin-1 joins, first as an earlier version that announces no format.
   auto join = [this](const std::string& live) {
     const auto& view = state_.items.at("view").value;
     const std::string members = R"("live":{)";
@@ -84,7 +86,8 @@
   };
   join(R"({"incarnation":"i1","epoch":1})");
   EXPECT_EQ(status(post(service_body("req-000003"))), 503);
-  // A live record of another process of that name says nothing about the one in the view.
+  // A live record of another incarnation of puffin-1 does not count for the incarnation in the
+  // view.
   join(R"({"incarnation":"i0","epoch":1,"formats":2})");
   EXPECT_EQ(status(post(service_body("req-000003"))), 503);
   EXPECT_FALSE(state_.items.contains("formats"));
@@ -93,7 +96,7 @@
   const std::uint64_t late = post(service_body("req-000003"));
   run(500);
   EXPECT_EQ(status(late), 201);
-  // The format stays in use, whichever version restarts.
+  // The format stays in use even if a controller restarts with an earlier version.
   join(R"({"incarnation":"i1","epoch":1})");
   const std::uint64_t later = post(service_body("req-000004"));
   run(500);
@@ -130,7 +133,8 @@
   EXPECT_NE(answer.find(R"("done":0)"), std::string::npos) << answer;
 }
 
-// The worker of the only machine keeps the result and ends every further attempt at once.
+// The worker of the only machine keeps the result of the replica and ends every further attempt
+// immediately.
 TEST_F(SingleControllerJobs, InstantExitsAreBackedOff) {
   start_anew(settings_);
   post(service_body("req-000001", 1));
@@ -166,7 +170,9 @@
   const wire::TaskId replica{"req-000001", 3};
   tracker.on_result_kept(1000, "m", replica);
   EXPECT_TRUE(tracker.has_kept_result(1000 + 2 * kFailureMemoryMs, "m", replica));
-  EXPECT_FALSE(tracker.has_kept_result(1000, "m", {"req-000001", 4}));  // it would run there
+  EXPECT_FALSE(tracker.has_kept_result(1000, "m", {"req-000001", 4}));  // another replica of the
+                                                                        // same service is not
+                                                                        // affected
   EXPECT_FALSE(tracker.has_kept_result(1000, "m", {"req-000002", 3}));
   EXPECT_FALSE(tracker.has_kept_result(1000, "n", replica));
   tracker.on_early_exit(1000, "m", "req-000001");
