--- a/src/allocation/placement.cpp
+++ b/src/allocation/placement.cpp
@@ -12,7 +12,7 @@
 
 // Milliseconds for which a booked replica is predicted to run. A service ends only when its user
 // cancels it, so the prediction is longer than any array task runs.
-constexpr std::int64_t kServiceRunsMs = 24LL * 3600 * 1000;
+constexpr std::int64_t kServiceRunTimeMs = 24LL * 3600 * 1000;
 
 }  // namespace
 
@@ -22,9 +22,9 @@
   const Resources taken = resources_of(job);
   free -= taken;
   booked.push_back({taken, ends_at});
-  const bool fresh = std::find(images.begin(), images.end(), job.image) == images.end();
-  if (fresh) images.push_back(job.image);
-  return fresh;
+  const bool image_is_new = std::find(images.begin(), images.end(), job.image) == images.end();
+  if (image_is_new) images.push_back(job.image);
+  return image_is_new;
 }
 
 void Candidate::unbook(const wire::JobSpec& job, bool image_was_new) {
@@ -46,7 +46,7 @@
 }
 
 Ms predicted_end(Ms from, const wire::JobSpec& spec) {
-  if (spec.is_service()) return from + kServiceRunsMs;
+  if (spec.is_service()) return from + kServiceRunTimeMs;
   return from + static_cast<Ms>(spec.estimate_s * 1000.0);
 }
 
@@ -56,20 +56,20 @@
 
 namespace {
 
-// Seconds until enough booked tasks have ended for the demand to fit; kNever if they never free
+// Seconds until enough booked tasks have ended for the demand to fit; kNeverS if they never free
 // enough.
 double wait_until_fits(Ms now, const Candidate& machine, const Resources& demand) {
-  constexpr double kNever = 1e9;
-  std::vector<Booked> ends = machine.booked;
-  std::sort(ends.begin(), ends.end(), [now](const Booked& a, const Booked& b) {
+  constexpr double kNeverS = 1e9;
+  std::vector<BookedTask> by_end = machine.booked;
+  std::sort(by_end.begin(), by_end.end(), [now](const BookedTask& a, const BookedTask& b) {
     return remaining_s(now, a.ends_at) < remaining_s(now, b.ends_at);
   });
   Resources free = machine.free;
-  for (const Booked& booked : ends) {
+  for (const BookedTask& booked : by_end) {
     free += booked.resources;
     if (free.fits(demand)) return remaining_s(now, booked.ends_at);
   }
-  return kNever;
+  return kNeverS;
 }
 
 }  // namespace
@@ -89,8 +89,8 @@
   double best_finish = 0;
   // Among equal predictions, the machine with fewer free CPUs is chosen, so that whole machines
   // stay free for large tasks.
-  auto consider = [&](int i) {
-    const Candidate& candidate = *machines[static_cast<std::size_t>(i)];
+  auto consider = [&](int index) {
+    const Candidate& candidate = *machines[static_cast<std::size_t>(index)];
     if (!candidate.fits(job)) return;
     const double finish = predict_finish(now, candidate, job);
     if (best >= 0) {
@@ -100,13 +100,13 @@
                 : finish < best_finish;
       if (!better) return;
     }
-    best = i;
+    best = index;
     best_finish = finish;
   };
   std::uniform_int_distribution<std::size_t> draw(0, eligible.size() - 1);
-  for (int s = 0; s < kSampledMachines; ++s) consider(eligible[draw(random)]);
+  for (int sample = 0; sample < kSampledMachines; ++sample) consider(eligible[draw(random)]);
   if (best >= 0) return best;
-  for (const int i : eligible) consider(i);
+  for (const int index : eligible) consider(index);
   return best;
 }
 
--- a/src/allocation/placement.h
+++ b/src/allocation/placement.h
@@ -18,7 +18,7 @@
 constexpr double kOverrunAllowanceS = 10.0;
 
 // Resources of a booked task and its expected end by the estimate.
-struct Booked {
+struct BookedTask {
   Resources resources;
   Ms ends_at = 0;
 };
@@ -34,7 +34,7 @@
   Resources free;
   double fetch_gb_per_s = 1;
   std::vector<std::string> images;  // images on the machine or being fetched by it
-  std::vector<Booked> booked;
+  std::vector<BookedTask> booked;
 
   [[nodiscard]] bool fits(const wire::JobSpec& job) const;
   // Books the task's resources. Returns true if the task's image was not yet in `images`.
--- a/src/allocation/range_table.cpp
+++ b/src/allocation/range_table.cpp
@@ -14,16 +14,16 @@
 }
 
 std::size_t RangeState::open_tasks(const wire::RangeRecord& range) const {
-  const std::size_t held = range.placed.size() + range.done_count();
-  const auto lost = static_cast<std::size_t>(std::count_if(
+  const std::size_t placed_or_done = range.placed.size() + range.done_count();
+  const auto released_tasks = static_cast<std::size_t>(std::count_if(
       released.begin(), released.end(), [](const auto& entry) { return !entry.second.done; }));
-  const std::size_t all = range.end - range.begin;
-  return std::min(all, all - std::min(all, held) + lost);
+  const std::size_t total = range.end - range.begin;
+  return std::min(total, total - std::min(total, placed_or_done) + released_tasks);
 }
 
 void RangeTable::erase_unrecorded() {
   std::erase_if(ranges_, [this](const auto& entry) {
-    return !entry.second.busy && !context_.replica.range(entry.first);
+    return !entry.second.write_in_progress && !context_.replica.range(entry.first);
   });
 }
 
@@ -66,7 +66,7 @@
 
 std::size_t RangeTable::writes_in_flight() const {
   return static_cast<std::size_t>(std::count_if(ranges_.begin(), ranges_.end(), [](const auto& r) {
-    return r.second.busy || r.second.write_uncertain;
+    return r.second.write_in_progress || r.second.write_uncertain;
   }));
 }
 
--- a/src/allocation/range_table.h
+++ b/src/allocation/range_table.h
@@ -22,29 +22,23 @@
 };
 
 struct RangeState {
-  bool busy = false;  // a write of its record is in progress
+  bool write_in_progress = false;  // of the range's record
   Ms retry_at = 0;
-  Ms first_seen = 0;                                            // when the range was first seen
-                                                                // with tasks to place; 0: not yet
-  std::map<std::uint32_t, ReleasedTask> released;               // ended tasks to be recorded
-  Ms released_since = 0;                                        // time of the oldest entry of
-                                                                // `released`; 0: none
-  std::map<std::uint32_t, wire::Placement> pending_placements;  // placements whose write is in
-                                                                // progress
-  std::uint32_t cursor = 0;                                     // lower bound on the first
-                                                                // unstarted task
-  bool stop_requested = false;                                  // the gang is to be stopped; to be
-                                                                // recorded
-  std::string_view waits_for;                                   // last logged reason why the gang
-                                                                // is waiting
+  Ms first_seen_at = 0;                                         // first time with tasks to place
+  std::map<std::uint32_t, ReleasedTask> released;               // ended tasks, to be recorded
+  Ms oldest_release_at = 0;                                     // of `released`; 0: none
+  std::map<std::uint32_t, wire::Placement> pending_placements;  // write in progress
+  std::uint32_t cursor = 0;                                     // no unstarted task before it
+  bool stop_requested = false;                                  // gang; to be recorded
+  std::string_view logged_wait_reason;                          // of a gang
   // A write of `pending_placements` got no answer and may still be applied. The placements count as
   // made until the record is written again, which invalidates the uncertain write.
   bool write_uncertain = false;
   Resources task_resources;  // resources of each task in `pending_placements`
 
   // True if the task can be placed: it is not done, not placed, and not in `pending_placements`. A
-  // placed task whose release is not recorded yet also counts; its release is then recorded
-  // together with the next placement.
+  // placed task that was released without completion also counts even if its release is not
+  // recorded yet; the release is then recorded together with the next placement.
   [[nodiscard]] bool is_unstarted(const wire::RangeRecord& range, std::uint32_t task) const;
   // Number of tasks of the range that could be placed now.
   [[nodiscard]] std::size_t open_tasks(const wire::RangeRecord& range) const;
--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -31,26 +31,26 @@
   bool apply() {
     if (limit_ <= 0) return false;
     shrink_leases_of_others_not_live();
-    sum_up();
+    compute_free_and_demand();
     if (in_.yield) {
       yield();
       return changed_;
     }
     const double service_lack =
-        std::min(std::max(0.0, own_used_ - own()), in_.service_reserve.*field_);
+        std::min(std::max(0.0, own_used_ - own_lease()), in_.service_reserve.*field_);
     const double others_services = service_demand_of_others(record_, in_.self, in_.live).*field_;
     update_service_demand(service_lack);
-    const double idle = own() - own_used_;
+    const double idle = own_lease() - own_used_;
     if (others_services > free_ + kAmountSlack && idle > kAmountSlack) {
       // Guards against services that wait forever while arrays of the team take all capacity that
       // becomes free.
-      own() -= std::min(idle, others_services - free_);
+      own_lease() -= std::min(idle, others_services - free_);
       return true;
     }
-    if (target_ > own() + kAmountSlack) {
-      grow(service_lack, others_services);
+    if (target_ > own_lease() + kAmountSlack) {
+      grow_lease(service_lack, others_services);
     } else {
-      give_back();
+      return_idle();
     }
     return changed_;
   }
@@ -60,7 +60,7 @@
     const auto entry = in_.used.find(who);
     return entry == in_.used.end() ? 0.0 : entry->second.*field_;
   }
-  double& own() { return record_.leases[in_.self].*field_; }
+  double& own_lease() { return record_.leases[in_.self].*field_; }
   double& demand() { return record_.demand[in_.self].*field_; }
   void set(double& amount, double value) {
     amount = value;
@@ -76,7 +76,7 @@
     }
   }
 
-  void sum_up() {
+  void compute_free_and_demand() {
     double leased = 0;
     for (const auto& [who, lease] : record_.leases) leased += lease.*field_;
     for (const auto& [who, demand] : record_.demand)
@@ -93,14 +93,14 @@
   // because each shard keeps a remainder that is too small.
   void yield() {
     const double needed = in_.need.*field_;
-    if (own() > own_used_ + kAmountSlack) set(own(), own_used_);
+    if (own_lease() > own_used_ + kAmountSlack) set(own_lease(), own_used_);
     if (demand() < needed) set(demand(), needed);
   }
 
   // Records what this shard's services lack, without a write for every small change.
   void update_service_demand(double lack) {
-    const auto told = record_.service_demand.find(in_.self);
-    const double before = told == record_.service_demand.end() ? 0.0 : told->second.*field_;
+    const auto recorded = record_.service_demand.find(in_.self);
+    const double before = recorded == record_.service_demand.end() ? 0.0 : recorded->second.*field_;
     const bool lacks = lack > kAmountSlack;
     const bool lacked = before > kAmountSlack;
     if (lacks == lacked && lack <= before + kAmountSlack) return;
@@ -109,18 +109,18 @@
 
   // Adds free capacity to the lease, and records the missing amount as demand for other controllers
   // to see.
-  void grow(double service_lack, double others_services) {
+  void grow_lease(double service_lack, double others_services) {
     const double rest = std::max(0.0, free_ - service_lack - others_services);
     const double needed = std::min(free_, service_lack) +
-                          std::min(rest, std::max(0.0, target_ - own() - service_lack));
+                          std::min(rest, std::max(0.0, target_ - own_lease() - service_lack));
     // While no other controller has demand, part of the remaining free capacity is leased as well,
     // so that the next gang or array does not wait for a write; it is given back as soon as another
     // shard wants it.
     const bool alone = others_demand_ <= kAmountSlack;
     const double spare = alone ? (free_ - needed) / static_cast<double>(in_.live.size() + 1) : 0.0;
     const double take = needed + spare;
-    if (take > kAmountSlack) set(own(), own() + take);
-    const double missing = std::max(0.0, target_ - own());
+    if (take > kAmountSlack) set(own_lease(), own_lease() + take);
+    const double missing = std::max(0.0, target_ - own_lease());
     // Small changes of the demand are not written.
     const bool lacks = missing > kAmountSlack;
     const bool lacked = demand() > kAmountSlack;
@@ -128,11 +128,11 @@
   }
 
   // Clears the demand, and gives up idle capacity as far as other controllers want it.
-  void give_back() {
+  void return_idle() {
     if (demand() > kAmountSlack) set(demand(), 0);
-    const double idle = own() - target_;
+    const double idle = own_lease() - target_;
     if (others_demand_ > free_ + kAmountSlack && idle > kAmountSlack)
-      set(own(), own() - std::min(idle, others_demand_ - free_));
+      set(own_lease(), own_lease() - std::min(idle, others_demand_ - free_));
   }
 
   const QuotaLeaseInput& in_;
@@ -151,20 +151,20 @@
 Amount service_demand_of_others(const wire::QuotaRecord& record, const std::string& self,
                                 const std::vector<std::string>& live) {
   Amount sum;
-  for (const auto& [who, want] : record.service_demand) {
+  for (const auto& [who, wanted] : record.service_demand) {
     if (who == self || std::find(live.begin(), live.end(), who) == live.end()) continue;
-    sum.cpus += want.cpus;
-    sum.gpus += want.gpus;
+    sum.cpus += wanted.cpus;
+    sum.gpus += wanted.gpus;
   }
   return sum;
 }
 
-bool YieldMemory::leave_to_collector(bool yields, const std::string& turn) {
+bool YieldMemory::leave_to_collector(bool yields, const std::string& collector) {
   if (yields) {
-    yielded_to_ = turn;
+    yielded_to_ = collector;
     return false;
   }
-  if (yielded_to_ != turn) yielded_to_.clear();
+  if (yielded_to_ != collector) yielded_to_.clear();
   return !yielded_to_.empty();
 }
 
@@ -172,27 +172,27 @@
                             Ms wall) {
   std::vector<const std::string*> names;
   const auto add_wanting = [&](const std::map<std::string, Amount>& demand) {
-    for (const auto& [who, want] : demand)
-      if ((want.cpus > kAmountSlack || want.gpus > kAmountSlack) &&
+    for (const auto& [who, wanted] : demand)
+      if ((wanted.cpus > kAmountSlack || wanted.gpus > kAmountSlack) &&
           std::find(live.begin(), live.end(), who) != live.end())
         names.push_back(&who);
   };
   // Controllers with waiting services collect before all others.
   add_wanting(record.service_demand);
-  const Ms turn = names.empty() ? kQuotaTurnMs : kServiceQuotaTurnMs;
+  const Ms turn_ms = names.empty() ? kQuotaTurnMs : kServiceQuotaTurnMs;
   if (names.empty()) add_wanting(record.demand);
   if (names.empty()) return "";
-  return *names[static_cast<std::size_t>(wall / turn) % names.size()];
+  return *names[static_cast<std::size_t>(wall / turn_ms) % names.size()];
 }
 
-bool limited(const Team& team) { return team.cpus_max > 0 || team.gpus_max > 0; }
+bool has_quota_limit(const Team& team) { return team.cpus_max > 0 || team.gpus_max > 0; }
 
 bool within_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
                   const wire::QuotaRecord::Amount& used, double cpus, double gpus) {
   auto it = record.leases.find(self);
-  const Amount grant = it == record.leases.end() ? Amount{} : it->second;
-  if (team.cpus_max > 0 && used.cpus + cpus > grant.cpus + kAmountSlack) return false;
-  if (team.gpus_max > 0 && used.gpus + gpus > grant.gpus + kAmountSlack) return false;
+  const Amount lease_size = it == record.leases.end() ? Amount{} : it->second;
+  if (team.cpus_max > 0 && used.cpus + cpus > lease_size.cpus + kAmountSlack) return false;
+  if (team.gpus_max > 0 && used.gpus + gpus > lease_size.gpus + kAmountSlack) return false;
   return true;
 }
 
--- a/src/quota/quota_leases.h
+++ b/src/quota/quota_leases.h
@@ -14,9 +14,10 @@
 
 // Milliseconds between checks of the quota leases.
 constexpr std::int64_t kQuotaCheckMs = 100;
-// kQuotaStuckMs: milliseconds for which a shard's lease must have been too small for all of its
-// waiting work before the shard gives up the unused part to the controller whose turn it is to
-// collect. kQuotaTurnMs: milliseconds of a turn, long enough to collect leases and start the work.
+// kQuotaStuckMs: milliseconds for which the unused part of a shard's lease must have been too small
+// for any of its waiting work before the shard gives that part up to the controller whose turn it
+// is to collect. kQuotaTurnMs: milliseconds of a turn, long enough to collect leases and start the
+// work.
 constexpr std::int64_t kQuotaStuckMs = 2000;
 constexpr std::int64_t kQuotaTurnMs = 8000;
 
@@ -30,7 +31,8 @@
   // Resources needed by this shard's replicas that have no machine. Included in the usage of
   // `self`, since they are reserved.
   wire::QuotaRecord::Amount service_reserve;
-  // The lease is too small for any waiting work, and it is another controller's turn to collect.
+  // The unused part of the lease is too small for any waiting work, and it is another controller's
+  // turn to collect.
   bool yield = false;
   // This controller gave up the unused part of its lease in the current turn and leaves it to the
   // controller whose turn it is.
@@ -40,10 +42,10 @@
 // Remembers the controller for which the unused part of a lease was given up.
 class YieldMemory {
  public:
-  // Called at each check of the leases. `yields`: the lease is given up now; `turn`: the controller
-  // whose turn it is. Returns true while capacity that was given up before must be left to that
-  // controller.
-  bool leave_to_collector(bool yields, const std::string& turn);
+  // Called at each check of the leases. `yields`: the lease is given up now; `collector`: the
+  // controller whose turn it is. Returns true while capacity that was given up before must be left
+  // to that controller.
+  bool leave_to_collector(bool yields, const std::string& collector);
 
  private:
   std::string yielded_to_;
@@ -53,7 +55,7 @@
 // empty if none has demand. All controllers compute the same result except for clock differences.
 std::string quota_collector(const wire::QuotaRecord& record, const std::vector<std::string>& live,
                             Ms wall);
-bool limited(const Team& team);
+bool has_quota_limit(const Team& team);
 // True if the lease of `self` has capacity for the additional cpus and gpus.
 bool within_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
                   const wire::QuotaRecord::Amount& used, double cpus, double gpus);
--- a/src/quota/quota_manager.h
+++ b/src/quota/quota_manager.h
@@ -51,9 +51,9 @@
   [[nodiscard]] bool needs_update(const Team& team, const wire::QuotaRecord& record) const;
   // Collects the data from which the next record is computed.
   QuotaLeaseInput lease_input(Ms now, const Team& team, const wire::QuotaRecord& record);
-  // True if the lease has been too small for all waiting work for so long that it must be given up
-  // to the controller whose turn it is to collect.
-  bool must_yield(Ms now, const std::string& team, bool stuck, const std::string& turn);
+  // True if the unused part of the lease has been too small for any waiting work for so long that
+  // it must be given up to the controller whose turn it is to collect.
+  bool must_yield(Ms now, const std::string& team, bool stuck, const std::string& collector);
   void write(const std::string& team, const wire::QuotaRecord& next, bool was_uncertain);
 
   const Context& context_;
@@ -64,12 +64,10 @@
   Ms next_check_ = 0;
   // By team:
   std::map<std::string, bool> write_in_flight_;
-  std::set<std::string> uncertain_;  // teams whose last write may still be applied; in flight until
-                                     // written again
+  std::set<std::string> uncertain_writes_;  // in flight until written again
   std::map<std::string, wire::QuotaRecord::Amount> demand_;
-  std::map<std::string, Ms> stuck_since_;  // since when the lease has been too small for all
-                                           // waiting work
-  std::map<std::string, YieldMemory> yields_;
+  std::map<std::string, Ms> stuck_since_;  // lease too small for any waiting work
+  std::map<std::string, YieldMemory> yield_memory_;
 };
 
 }  // namespace scheduler
--- a/src/quota/service_reserve.cpp
+++ b/src/quota/service_reserve.cpp
@@ -19,7 +19,7 @@
   }
 }
 
-Usage ServiceReserve::of(const std::string& team) const {
+Usage ServiceReserve::for_team(const std::string& team) const {
   const auto reserve = reserves_.find(team);
   return reserve == reserves_.end() ? Usage{} : reserve->second;
 }
--- a/src/quota/service_reserve.h
+++ b/src/quota/service_reserve.h
@@ -16,7 +16,7 @@
 
   // Recomputes the reserve; called once per scheduling pass.
   void recount();
-  [[nodiscard]] Usage of(const std::string& team) const;
+  [[nodiscard]] Usage for_team(const std::string& team) const;
 
  private:
   const Context& context_;
--- a/src/scheduling/array_placement.h
+++ b/src/scheduling/array_placement.h
@@ -48,36 +48,33 @@
   // Machines with free capacity that are sampled before all other machines for the tasks of one
   // range.
   struct PreferredMachines {
-    std::vector<int> with_image;        // machines that hold the image; filled only if fetching it
-                                        // takes long
-    std::vector<int> useless_to_gangs;  // spot machines and machines in use; filled only while
-                                        // gangs need whole machines
+    std::vector<int> with_image;            // hold the image; filled if its fetch is long
+    std::vector<int> unsuitable_for_gangs;  // spot or in use; filled while such gangs wait
   };
 
   // Machines on which the tasks of one range may be placed.
-  struct Choice {
+  struct MachineOptions {
     const std::vector<int>& eligible;
-    std::optional<PreferredMachines> preferred;  // computed when the first task of the range is
-                                                 // placed
+    std::optional<PreferredMachines> preferred;  // computed for the first placed task
   };
 
   // Returns the machine for the next task, freed by preemption if necessary, or -1 if there is
   // none.
   int pick_machine(SchedulingPass& pass, const Job& job, const SchedulingPriority& priority,
-                   Choice& choice);
+                   MachineOptions& options);
   // Advances the range's cursor past completed tasks.
   static void skip_finished(RangeState& state, const wire::RangeRecord& range);
-  static std::uint32_t unstarted_from(std::uint32_t first, const RangeState& state,
-                                      const wire::RangeRecord& range);
+  static std::uint32_t count_unstarted(std::uint32_t first, const RangeState& state,
+                                       const wire::RangeRecord& range);
   // True if a task with the same constraints that needs no more resources found no capacity in this
   // pass.
-  static bool has_failed_already(const SchedulingPass& pass, const wire::JobSpec& spec);
+  static bool smaller_demand_failed(const SchedulingPass& pass, const wire::JobSpec& spec);
   // Returns the candidates that the job may use, without machines on which it failed and without
-  // reserved machines. The result refers to `some` if machines were left out, and otherwise to the
-  // pass's own list, to avoid a copy.
+  // reserved machines. The result refers to `filtered` if machines were left out, and otherwise to
+  // the pass's own list, to avoid a copy.
   const std::vector<int>& eligible_machines(SchedulingPass& pass, const wire::JobSpec& spec,
                                             const SchedulingPriority& priority,
-                                            std::vector<int>& some) const;
+                                            std::vector<int>& filtered) const;
   static PreferredMachines find_preferred(const SchedulingPass& pass, const wire::JobSpec& spec,
                                           const std::vector<int>& eligible);
   int pick_preferred(SchedulingPass& pass, const wire::JobSpec& spec,
--- a/src/scheduling/candidate_cache.cpp
+++ b/src/scheduling/candidate_cache.cpp
@@ -28,8 +28,8 @@
   }
 }
 
-void CandidateCache::book_unrecorded(Ms now, const Machine& m, Candidate& candidate) const {
-  for (const auto& [task, reported] : m.tasks) {
+void CandidateCache::book_unrecorded(Ms now, const Machine& machine, Candidate& candidate) const {
+  for (const auto& [task, reported] : machine.tasks) {
     if (reported.state == wire::TaskState::exited) continue;
     const auto job = context_.replica.jobs().find(task.job);
     if (job == context_.replica.jobs().end()) continue;
@@ -37,7 +37,7 @@
     const bool recorded =
         std::any_of(ranges.begin(), ranges.end(), [&, index = task.index](const auto& range) {
           const auto placed = range.second.placed.find(index);
-          return placed != range.second.placed.end() && placed->second.machine == m.id;
+          return placed != range.second.placed.end() && placed->second.machine == machine.id;
         });
     if (!recorded) candidate.book(job->second.record.spec, now);
   }
@@ -106,7 +106,8 @@
     const auto last = std::prev(range.pending_placements.end());
     const std::string& id = last->second.machine;
     release(id, range.task_resources);
-    if (auto m = machines_.find(id); m != machines_.end()) m->second.candidate_known = false;
+    if (auto machine = machines_.find(id); machine != machines_.end())
+      machine->second.candidate_known = false;
     remote_candidates_.erase(id);
     range.pending_placements.erase(last);
   }
--- a/src/scheduling/candidate_cache.h
+++ b/src/scheduling/candidate_cache.h
@@ -13,8 +13,8 @@
 
 namespace scheduler {
 
-// Owns the candidates of other shards' machines, and the resources reserved on them by placements
-// whose record is being written.
+// Owns the candidates of other shards' machines, and manages the resources that placements reserve
+// on all machines while their records are being written.
 class CandidateCache {
  public:
   CandidateCache(const Context& context, MachineTable& machines, RangeTable& ranges)
@@ -30,8 +30,7 @@
   void forget_remote(const std::string& machine) { remote_candidates_.erase(machine); }
   void forget_all_remote() { remote_candidates_.clear(); }
 
-  // Reserves resources on a machine for a placement whose record is being written, and releases
-  // them.
+  // Reserves or releases resources on a machine for a placement whose record is being written.
   void reserve(const std::string& machine, const Resources& resources);
   void release(const std::string& machine, const Resources& resources);
   // Recomputes the reservations on other shards' machines after machines have moved between shards.
@@ -53,7 +52,8 @@
   MachineTable& machines_;
   RangeTable& ranges_;
   std::unordered_map<std::string, Candidate> remote_candidates_;
-  // Resources reserved by placements whose record is being written, by machine of another shard.
+  // Resources on other shards' machines that are reserved by placements whose record is being
+  // written, by machine.
   std::unordered_map<std::string, Resources> remote_reservations_;
 };
 
--- a/src/scheduling/gang_placement.cpp
+++ b/src/scheduling/gang_placement.cpp
@@ -12,7 +12,7 @@
 
 // True if `gang` cannot be placed because `failed` could not be: it demands at least as much and is
 // allowed on no further machines.
-bool needs_as_much(const wire::JobSpec& gang, const wire::JobSpec& failed) {
+bool demands_at_least(const wire::JobSpec& gang, const wire::JobSpec& failed) {
   return gang.tasks >= failed.tasks && resources_of(gang).covers(resources_of(failed)) &&
          gang.types == failed.types && gang.zone == failed.zone && (!gang.spot || failed.spot) &&
          (gang.one_zone || !failed.one_zone) && gang.spread == failed.spread;
@@ -30,8 +30,8 @@
 
 void GangPlacement::log_gang_wait(Ms now, const RangeId& id, const Job& job, RangeState& range,
                                   std::string_view reason) {
-  if (range.waits_for == reason) return;
-  range.waits_for = reason;
+  if (range.logged_wait_reason == reason) return;
+  range.logged_wait_reason = reason;
   if (!context_.logs_debug()) return;
   LogEvent event("gang");
   event.field("job", id.job).field("tasks", job.record.spec.tasks).field("waits_for", reason);
@@ -40,28 +40,28 @@
 }
 
 void GangPlacement::place(SchedulingPass& pass, const RangeId& id, const Job& job,
-                          const wire::RangeRecord& range, bool has_started) {
+                          const wire::RangeRecord& range, bool in_normal_order) {
   const wire::JobSpec& spec = job.record.spec;
   RangeState& state = ranges_[id];
   // The next attempt of the gang starts only after every task of the last attempt is gone.
   if (!range.placed.empty() || !state.pending_placements.empty() || range.done_count() > 0) return;
   const Team* team = context_.team(spec.team);
   if (!team) return;
-  if (limited(*team)) {
-    wire::JobSpec all = spec;
-    all.cpus *= spec.tasks;
-    all.gpus *= spec.tasks;
-    if (!quota_.allows(pass.used, all)) {
+  if (has_quota_limit(*team)) {
+    wire::JobSpec whole_gang = spec;
+    whole_gang.cpus *= spec.tasks;
+    whole_gang.gpus *= spec.tasks;
+    if (!quota_.allows(pass.used, whole_gang)) {
       const bool being_written = quota_.write_in_flight(spec.team);
       log_gang_wait(pass.now, id, job, state, being_written ? "quota_write" : "quota");
-      quota_.add_demand(all, 1);
+      quota_.add_demand(whole_gang, 1);
       return;
     }
   }
   const std::vector<int> chosen = find_gang_allocation(pass, spec);
   if (chosen.empty()) {
     log_gang_wait(pass.now, id, job, state, "capacity");
-    if (!has_started) pass.reserve(spec, spec.tasks);
+    if (!in_normal_order) pass.reserve(spec, spec.tasks);
     return;
   }
   const bool remote = std::any_of(chosen.begin(), chosen.end(),
@@ -76,19 +76,19 @@
 std::vector<int> GangPlacement::find_gang_allocation(SchedulingPass& pass,
                                                      const wire::JobSpec& spec) {
   for (const auto* failed : pass.failed_gangs)
-    if (needs_as_much(spec, *failed)) return {};
+    if (demands_at_least(spec, *failed)) return {};
   // The controller's own shard is tried first; if it cannot hold the gang, the machines of other
   // shards are added.
   for (const bool remote : {false, true}) {
     if (remote) candidate_cache_.add_remote_candidates(pass);
-    std::vector<std::string> tries;
+    std::vector<std::string> zones_to_try;
     if (spec.one_zone) {
-      tries.assign(pass.zones.begin(), pass.zones.end());
+      zones_to_try.assign(pass.zones.begin(), pass.zones.end());
     } else {
-      tries.emplace_back();
+      zones_to_try.emplace_back();
     }
-    for (const auto& only : tries) {
-      std::vector<int> chosen = allocate_gang(pass, spec, remote, only);
+    for (const auto& required_zone : zones_to_try) {
+      std::vector<int> chosen = allocate_gang(pass, spec, remote, required_zone);
       if (!chosen.empty()) return chosen;
     }
   }
@@ -97,31 +97,30 @@
 }
 
 std::vector<int> GangPlacement::allocate_gang(SchedulingPass& pass, const wire::JobSpec& spec,
-                                              bool remote, const std::string& only) {
-  const std::vector<int>& machines = pass.machines_for(spec, only, remote);
-  double room = 0;
+                                              bool remote, const std::string& required_zone) {
+  const std::vector<int>& machines = pass.machines_for(spec, required_zone, remote);
+  double capacity = 0;
   for (const int i : machines) {
-    const Candidate& c = pass.candidate(i);
-    room += fit_count(resources_of(spec), c.free);
-    if (room >= spec.tasks) break;
+    const Candidate& candidate = pass.candidate(i);
+    capacity += fit_count(resources_of(spec), candidate.free);
+    if (capacity >= spec.tasks) break;
   }
-  if (room < spec.tasks) return {};
-  std::vector<int> open = machines;
-  std::map<std::string, std::uint32_t> in_zone;
-  std::vector<std::pair<int, bool>> booked;  // machine index, and whether the booking added the
-                                             // image to it
+  if (capacity < spec.tasks) return {};
+  std::vector<int> open_machines = machines;
+  std::map<std::string, std::uint32_t> tasks_per_zone;
+  std::vector<std::pair<int, bool>> booked;  // machine index, whether its image is new there
   while (booked.size() < spec.tasks) {
-    const int at = pick_of_two(pass.now, pass.candidates, spec, open, random_);
-    if (at < 0) break;
-    Candidate& c = pass.candidate(at);
-    booked.emplace_back(at, c.book(spec, predicted_end(pass.now, spec)));
-    const std::string zone = c.zone;
-    if (spec.spread && ++in_zone[zone] + 1 > (spec.tasks + 1) / 2)
-      std::erase_if(open, [&](int i) { return pass.candidate(i).zone == zone; });
+    const int machine_index = pick_of_two(pass.now, pass.candidates, spec, open_machines, random_);
+    if (machine_index < 0) break;
+    Candidate& candidate = pass.candidate(machine_index);
+    booked.emplace_back(machine_index, candidate.book(spec, predicted_end(pass.now, spec)));
+    const std::string zone = candidate.zone;
+    if (spec.spread && ++tasks_per_zone[zone] + 1 > (spec.tasks + 1) / 2)
+      std::erase_if(open_machines, [&](int i) { return pass.candidate(i).zone == zone; });
   }
   std::vector<int> chosen;
   if (booked.size() == spec.tasks) {
-    for (const auto& [at, fresh] : booked) chosen.push_back(at);
+    for (const auto& [machine_index, image_is_new] : booked) chosen.push_back(machine_index);
     return chosen;
   }
   while (!booked.empty()) {
--- a/src/scheduling/gang_placement.h
+++ b/src/scheduling/gang_placement.h
@@ -33,19 +33,19 @@
         quota_(quota),
         random_(random) {}
 
-  // Places all tasks of the gang or none. If `has_started` is false and there is not enough
+  // Places all tasks of the gang or none. If `in_normal_order` is false and there is not enough
   // capacity, machines are reserved for the gang.
   void place(SchedulingPass& pass, const RangeId& id, const Job& job,
-             const wire::RangeRecord& range, bool has_started);
+             const wire::RangeRecord& range, bool in_normal_order);
 
  private:
   // Returns the machines of the first zone (or of all zones) that can hold the gang, or an empty
   // list if there is none. The controller's own shard is tried first, then all shards together.
   std::vector<int> find_gang_allocation(SchedulingPass& pass, const wire::JobSpec& spec);
-  // Books a machine for every task of the gang, or books nothing and returns an empty list. `only`
-  // is the zone to use; empty means any zone.
+  // Books a machine for every task of the gang, or books nothing and returns an empty list.
+  // `required_zone` is the zone to use; empty means any zone.
   std::vector<int> allocate_gang(SchedulingPass& pass, const wire::JobSpec& spec, bool remote,
-                                 const std::string& only);
+                                 const std::string& required_zone);
   // Logs what the gang waits for when the reason has changed.
   void log_gang_wait(Ms now, const RangeId& id, const Job& job, RangeState& range,
                      std::string_view reason);
--- a/src/scheduling/pending_order.cpp
+++ b/src/scheduling/pending_order.cpp
@@ -10,7 +10,7 @@
 
 // Maximum rounds for choosing which of its class's objectives each waiting job is to meet; classes
 // have two to four objectives.
-constexpr int kOrderRounds = 4;
+constexpr int kMaxObjectiveRounds = 4;
 
 // Orders one list of jobs; jobs are identified by their index in the list.
 class DeadlineOrder {
@@ -19,40 +19,41 @@
   DeadlineOrder(const std::vector<PendingJob>& jobs, double rate)
       : jobs_(jobs),
         rate_(rate),
-        outlook_(jobs.size(), Outlook::in_time),
+        timeliness_(jobs.size(), Timeliness::in_time),
         objective_(jobs.size(), 0),
         slot_(jobs.size(), 0) {
     for (std::size_t job = 0; job < jobs.size(); ++job)
-      if (jobs[job].latest_starts.empty()) outlook_[job] = Outlook::misses_every_objective;
+      if (jobs[job].latest_starts.empty()) timeliness_[job] = Timeliness::misses_every_objective;
   }
 
-  std::vector<std::size_t> places() {
+  std::vector<std::size_t> positions() {
     // A job that misses one objective may still meet a later one; each round defers such jobs to
     // their next objective.
-    for (int round = 0; round < kOrderRounds; ++round)
+    for (int round = 0; round < kMaxObjectiveRounds; ++round)
       if (!defer_late_jobs()) break;
-    fill_slots();
+    assign_slots();
     std::vector<std::size_t> order(jobs_.size());
     std::iota(order.begin(), order.end(), 0);
     std::sort(order.begin(), order.end(),
               [this](std::size_t a, std::size_t b) { return goes_before(a, b); });
     std::vector<std::size_t> out(jobs_.size());
-    for (std::size_t place = 0; place < order.size(); ++place) out[order[place]] = place;
+    for (std::size_t position = 0; position < order.size(); ++position)
+      out[order[position]] = position;
     return out;
   }
 
  private:
-  enum class Outlook : std::uint8_t { in_time, late, misses_every_objective };
+  enum class Timeliness : std::uint8_t { in_time, late, misses_every_objective };
 
   // Seconds from now by which the job's tasks must have started to meet its current objective.
-  [[nodiscard]] double due(std::size_t job) const {
+  [[nodiscard]] double due_s(std::size_t job) const {
     return jobs_[job].latest_starts[objective_[job]];
   }
 
   [[nodiscard]] std::vector<std::size_t> jobs_in_time() const {
     std::vector<std::size_t> open;
     for (std::size_t job = 0; job < jobs_.size(); ++job)
-      if (outlook_[job] == Outlook::in_time) open.push_back(job);
+      if (timeliness_[job] == Timeliness::in_time) open.push_back(job);
     return open;
   }
 
@@ -63,29 +64,29 @@
     std::vector<std::size_t> open = jobs_in_time();
     std::sort(open.begin(), open.end(), [this](std::size_t a, std::size_t b) {
       if (jobs_[a].priority != jobs_[b].priority) return jobs_[a].priority > jobs_[b].priority;
-      return due(a) != due(b) ? due(a) < due(b) : a < b;
+      return due_s(a) != due_s(b) ? due_s(a) < due_s(b) : a < b;
     });
-    const auto costlier = [this](std::size_t a, std::size_t b) {
+    const auto less_work_per_weight = [this](std::size_t a, std::size_t b) {
       return jobs_[a].work / jobs_[a].weight < jobs_[b].work / jobs_[b].weight;
     };
-    std::vector<std::size_t> chosen;  // max-heap by work per weight
+    std::vector<std::size_t> accepted;  // max-heap by work per weight
     double busy_s = 0;
     int priority = 0;
     bool deferred = false;
     for (const std::size_t job : open) {
-      if (chosen.empty() || jobs_[job].priority != priority) {
+      if (accepted.empty() || jobs_[job].priority != priority) {
         // Jobs of higher priority are not deferred for jobs of lower priority.
-        chosen.clear();
+        accepted.clear();
         priority = jobs_[job].priority;
       }
-      chosen.push_back(job);
-      std::push_heap(chosen.begin(), chosen.end(), costlier);
+      accepted.push_back(job);
+      std::push_heap(accepted.begin(), accepted.end(), less_work_per_weight);
       busy_s += jobs_[job].work / rate_;
-      if (busy_s <= due(job)) continue;
-      std::pop_heap(chosen.begin(), chosen.end(), costlier);
-      busy_s -= jobs_[chosen.back()].work / rate_;
-      defer(chosen.back());
-      chosen.pop_back();
+      if (busy_s <= due_s(job)) continue;
+      std::pop_heap(accepted.begin(), accepted.end(), less_work_per_weight);
+      busy_s -= jobs_[accepted.back()].work / rate_;
+      defer(accepted.back());
+      accepted.pop_back();
       deferred = true;
     }
     return deferred;
@@ -94,57 +95,58 @@
   void defer(std::size_t job) {
     if (++objective_[job] < jobs_[job].latest_starts.size()) return;
     objective_[job] = 0;
-    outlook_[job] = Outlook::late;
+    timeliness_[job] = Timeliness::late;
   }
 
   // Orders the jobs that are in time by ascending work as far as all of them stay in time (Smith's
   // rule, applied from the end: the largest job that may be last is put last). Finishing jobs early
   // protects them from forecast errors and from work submitted later.
-  void fill_slots() {
+  void assign_slots() {
     std::vector<std::size_t> open = jobs_in_time();
     std::sort(open.begin(), open.end(), [this](std::size_t a, std::size_t b) {
       if (jobs_[a].priority != jobs_[b].priority) return jobs_[a].priority < jobs_[b].priority;
-      return due(a) != due(b) ? due(a) > due(b) : a < b;
+      return due_s(a) != due_s(b) ? due_s(a) > due_s(b) : a < b;
     });
     double ends_s = 0;
     for (const std::size_t job : open) ends_s += jobs_[job].work / rate_;
-    const auto smaller = [this](std::size_t a, std::size_t b) {
+    const auto less_work = [this](std::size_t a, std::size_t b) {
       return jobs_[a].work != jobs_[b].work ? jobs_[a].work < jobs_[b].work : a < b;
     };
-    std::vector<std::size_t> may;  // jobs that may take the last free slot; max-heap by work
+    std::vector<std::size_t> last_slot_candidates;  // max-heap by work
     auto next = open.begin();
     for (std::size_t slot = open.size(); slot > 0; --slot) {
       // The heap holds jobs of one priority only. If rounding leaves no job that may be last, the
       // job with the latest due time is taken.
       while (next != open.end() &&
-             (may.empty() ||
-              (jobs_[*next].priority == jobs_[may.front()].priority && due(*next) >= ends_s))) {
-        may.push_back(*next++);
-        std::push_heap(may.begin(), may.end(), smaller);
+             (last_slot_candidates.empty() ||
+              (jobs_[*next].priority == jobs_[last_slot_candidates.front()].priority &&
+               due_s(*next) >= ends_s))) {
+        last_slot_candidates.push_back(*next++);
+        std::push_heap(last_slot_candidates.begin(), last_slot_candidates.end(), less_work);
       }
-      std::pop_heap(may.begin(), may.end(), smaller);
-      slot_[may.back()] = slot;
-      ends_s -= jobs_[may.back()].work / rate_;
-      may.pop_back();
+      std::pop_heap(last_slot_candidates.begin(), last_slot_candidates.end(), less_work);
+      slot_[last_slot_candidates.back()] = slot;
+      ends_s -= jobs_[last_slot_candidates.back()].work / rate_;
+      last_slot_candidates.pop_back();
     }
   }
 
   [[nodiscard]] bool goes_before(std::size_t a, std::size_t b) const {
     const PendingJob& x = jobs_[a];
     const PendingJob& y = jobs_[b];
-    const bool x_misses = outlook_[a] == Outlook::misses_every_objective;
-    const bool y_misses = outlook_[b] == Outlook::misses_every_objective;
+    const bool x_misses = timeliness_[a] == Timeliness::misses_every_objective;
+    const bool y_misses = timeliness_[b] == Timeliness::misses_every_objective;
     if (x_misses != y_misses) return y_misses;
     if (x.priority != y.priority) return x.priority > y.priority;
     if (x_misses) return x.age != y.age ? x.age > y.age : a < b;
-    if (outlook_[a] != outlook_[b]) return outlook_[a] < outlook_[b];
-    if (outlook_[a] == Outlook::in_time) return slot_[a] < slot_[b];
+    if (timeliness_[a] != timeliness_[b]) return timeliness_[a] < timeliness_[b];
+    if (timeliness_[a] == Timeliness::in_time) return slot_[a] < slot_[b];
     return x.work != y.work ? x.work < y.work : a < b;
   }
 
   const std::vector<PendingJob>& jobs_;
   double rate_;
-  std::vector<Outlook> outlook_;
+  std::vector<Timeliness> timeliness_;
   std::vector<std::size_t> objective_;  // index of the objective that each job is to meet
   std::vector<std::size_t> slot_;       // position among the jobs that are in time
 };
@@ -152,7 +154,7 @@
 }  // namespace
 
 std::vector<std::size_t> order_by_deadline(const std::vector<PendingJob>& jobs, double cpus) {
-  return DeadlineOrder(jobs, std::max(cpus * kForecastShare, 1.0)).places();
+  return DeadlineOrder(jobs, std::max(cpus * kForecastShare, 1.0)).positions();
 }
 
 }  // namespace scheduler
--- a/src/scheduling/pending_order.h
+++ b/src/scheduling/pending_order.h
@@ -13,13 +13,12 @@
 
 // A job with tasks that wait for capacity.
 struct PendingJob {
-  int priority = 0;   // higher values are served first; forecasts assume that work of higher
-                      // priority is done first
-  double work = 0;    // CPU seconds of tasks not yet placed, by the estimate
-  double weight = 1;  // cost of one late job of this class
-  double age = 0;     // seconds
-  std::vector<double> latest_starts;  // seconds from now by which all tasks must have started, for
-                                      // each objective that can still be met; ascending
+  int priority = 0;                   // higher values first; forecasts count their work first
+  double work = 0;                    // CPU seconds of tasks not yet placed, by the estimate
+  double weight = 1;                  // cost of one late job of this class
+  double age = 0;                     // seconds
+  std::vector<double> latest_starts;  // seconds from now, ascending: the latest start of all tasks
+                                      // for each objective that can still be met
 };
 
 // Returns the position of each job in the order, starting at 0. Jobs of equal priority are ordered
--- a/src/scheduling/preemption.h
+++ b/src/scheduling/preemption.h
@@ -35,42 +35,42 @@
     wire::TaskId task;
     std::uint64_t attempt = 0;
     double grace_s = 0;
-    double loss = 0;  // CPU seconds of work lost
+    double lost_cpu_s = 0;  // CPU seconds of work lost
     const wire::JobSpec* spec = nullptr;
   };
   // The task for which other tasks are preempted.
-  struct Claim {
+  struct Request {
     const wire::JobSpec& spec;
     bool is_urgent = false;
     bool entitled = false;  // its team stays within its guarantee with this task
     // By team: whether it uses more than its guarantee. Filled only if `entitled`.
-    std::map<std::string, bool> borrows;
+    std::map<std::string, bool> exceeds_guarantee;
     double wait_objective_s = 0;  // the shortest start time objective of its class, seconds
   };
   // The tasks to stop on one machine.
-  struct Choice {
+  struct Plan {
     int machine = -1;
-    double loss = 0;
+    double lost_cpu_s = 0;
     std::vector<Victim> victims;
   };
 
   // True if the team stays within its guarantee with the additional task. Such a team may preempt
   // tasks of teams that use more than their guarantee.
   bool within_guarantee(SchedulingPass& pass, const std::string& team_name,
-                        const wire::JobSpec& more) const;
-  Claim make_claim(SchedulingPass& pass, const wire::JobSpec& spec, bool is_urgent,
-                   bool entitled) const;
+                        const wire::JobSpec& additional) const;
+  Request make_request(SchedulingPass& pass, const wire::JobSpec& spec, bool is_urgent,
+                       bool entitled) const;
   [[nodiscard]] std::vector<Victim> victims_on(Ms now, const Machine& machine,
-                                               const Claim& claim) const;
+                                               const Request& request) const;
   // Returns the task as a victim with the work that stopping it loses, or none if it may not be
   // stopped.
-  [[nodiscard]] std::optional<Victim> judge(Ms now, const Machine& machine, const TaskRef& ref,
-                                            const Claim& claim) const;
+  [[nodiscard]] std::optional<Victim> as_victim(Ms now, const Machine& machine, const TaskRef& ref,
+                                                const Request& request) const;
   // Returns the shortest prefix of the victims that frees enough capacity for the task, or an empty
   // list if all of them are not enough or none is needed.
-  static std::vector<Victim> enough(const Candidate& candidate, std::vector<Victim> victims,
-                                    const wire::JobSpec& spec);
-  void stop(SchedulingPass& pass, const Choice& choice, const wire::JobSpec& spec);
+  static std::vector<Victim> fewest_victims(const Candidate& candidate, std::vector<Victim> victims,
+                                            const wire::JobSpec& spec);
+  void stop(SchedulingPass& pass, const Plan& plan, const wire::JobSpec& spec);
 
   const Context& context_;
   MachineTable& machines_;
--- a/src/scheduling/range_writer.cpp
+++ b/src/scheduling/range_writer.cpp
@@ -15,8 +15,8 @@
 // Milliseconds after which completions of tasks are written (three times as long if the write queue
 // is full), and the minimum time for which they are collected: otherwise the record of a hundred
 // tasks would be written again for every completion.
-constexpr std::int64_t kCompletionWriteMs = 4000;
-constexpr std::int64_t kCompletionBatchMs = 500;
+constexpr std::int64_t kCompletionWriteDelayMs = 4000;
+constexpr std::int64_t kCompletionBatchDelayMs = 500;
 
 }  // namespace
 
@@ -34,15 +34,16 @@
   if (!state.pending_placements.empty() || state.stop_requested || state.write_uncertain)
     return true;
   if (state.released.empty()) {
-    state.released_since = 0;
+    state.oldest_release_at = 0;
     return false;
   }
-  if (state.released_since == 0) state.released_since = now;
+  if (state.oldest_release_at == 0) state.oldest_release_at = now;
   const Job* job = context_.replica.job(id.job);
   if (!job || job->record.cancelled || job->record.spec.is_gang()) return true;
-  const Ms waited = now - state.released_since;
-  return (waited >= kCompletionWriteMs && may_queue_writes) || waited >= 3 * kCompletionWriteMs ||
-         (waited >= kCompletionBatchMs && context_.state_client.has_write_headroom(now));
+  const Ms waited = now - state.oldest_release_at;
+  return (waited >= kCompletionWriteDelayMs && may_queue_writes) ||
+         waited >= 3 * kCompletionWriteDelayMs ||
+         (waited >= kCompletionBatchDelayMs && context_.state_client.has_write_headroom(now));
 }
 
 // Adds released tasks to the record. Returns false if all of them are already recorded.
@@ -87,9 +88,10 @@
 void RangeWriter::fit_placements(const wire::JobSpec& spec, RangeState& state,
                                  const wire::RangeRecord& record) {
   while (!spec.is_gang() && state.pending_placements.size() > 1) {
-    wire::RangeRecord full = record;
-    for (const auto& [task, placement] : state.pending_placements) full.placed[task] = placement;
-    if (static_cast<double>(encode(full).size()) <= context_.value_bytes()) break;
+    wire::RangeRecord full_record = record;
+    for (const auto& [task, placement] : state.pending_placements)
+      full_record.placed[task] = placement;
+    if (static_cast<double>(encode(full_record).size()) <= context_.value_bytes()) break;
     candidate_cache_.drop_pending_placements(state, state.pending_placements.size() / 2);
   }
 }
@@ -125,7 +127,7 @@
   // Guards against two controllers that concurrently place ranges of one job with zone constraints:
   // the tasks per zone are counted over all ranges of the job.
   if (!spec.one_zone && !spec.spread) return;
-  for (const auto& [number, other] : job.ranges)
+  for (const auto& [number, other_range] : job.ranges)
     if (number != record.number)
       transaction.conditions.push_back(
           context_.state_client.unchanged(wire::range_key(spec.id, number)));
@@ -173,8 +175,7 @@
     fit_placements(spec, state, record);
     record_placements(job, state, record, transaction);
   } else {
-    candidate_cache_.clear_pending_placements(state);  // placements are chosen again after the
-                                                       // record has been split
+    candidate_cache_.clear_pending_placements(state);  // chosen again after the split
   }
   return true;
 }
@@ -183,7 +184,7 @@
   RangeState& state = ranges_[id];
   const auto* range = context_.replica.range(id);
   const Job* job = context_.replica.job(id.job);
-  if (state.busy) return;
+  if (state.write_in_progress) return;
   if (!range || !job) {
     candidate_cache_.clear_pending_placements(state);
     state.released.clear();
@@ -199,8 +200,7 @@
   const bool stop = record_stop(spec, state, next);
   state.stop_requested = false;
   changed = changed || stop;
-  changed = changed || state.write_uncertain;  // rewrites the unchanged record to get a new
-                                               // version, which invalidates the uncertain write
+  changed = changed || state.write_uncertain;  // a rewrite voids the uncertain write
   changed = add_placements(*job, state, next, transaction) || changed;
   if (!changed) return;
   if (!write_pieces(*job, next, transaction)) {
@@ -214,10 +214,10 @@
                                     std::to_string(context_.state_client.version(key)) +
                                     " placing " + std::to_string(state.pending_placements.size()) +
                                     " released " + std::to_string(state.released.size()));
-  state.released_since = 0;
+  state.oldest_release_at = 0;
   // Cancellation is urgent because a user waits for its confirmation.
   transaction.urgent = spec.priority >= wire::Priority::high || job->record.cancelled;
-  state.busy = true;
+  state.write_in_progress = true;
   transaction.done = [this, id](Ms at, TxnResult result, const auto&) {
     on_written(at, id, result);
   };
@@ -237,22 +237,22 @@
     candidate_cache_.clear_pending_placements(state);
   }
   if (result == TxnResult::committed) {
-    state.busy = false;
+    state.write_in_progress = false;
     return;  // tasks are started when the changed placements are processed
   }
   if (not_executed) {
-    state.busy = false;
+    state.write_in_progress = false;
     state.retry_at = now + kRefusedRetryMs;
     return;
   }
   context_.state_client.wait_until_settled(now, [this, id, result](Ms) {
-    auto again = ranges_.find(id);
-    if (again != ranges_.end()) {
+    auto current = ranges_.find(id);
+    if (current != ranges_.end()) {
       // Guards against a conflict caused by a retry of this write after its first attempt was
       // applied: until the replica shows the result, the placements count as made. New placements
       // would exceed the team's limit.
-      if (result == TxnResult::conflict) candidate_cache_.clear_pending_placements(again->second);
-      again->second.busy = false;
+      if (result == TxnResult::conflict) candidate_cache_.clear_pending_placements(current->second);
+      current->second.write_in_progress = false;
     }
     pass_trigger_.request();
   });
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -43,28 +43,27 @@
   void tick(Ms now);
   // Runs a pass if one was requested and the minimum interval since the last pass has elapsed.
   void run_if_requested(Ms now);
-  // Returns when tick() should be called next; `otherwise` is the time used if no pass is
+  // Returns when tick() should be called next; `default_at` is the time used if no pass is
   // requested.
-  [[nodiscard]] Ms next_tick(Ms now, Ms otherwise) const;
+  [[nodiscard]] Ms next_tick(Ms now, Ms default_at) const;
 
  private:
   // A range with tasks to place.
-  struct Entry {
+  struct PendingRange {
     RangeId id;
     const Job* job = nullptr;
     const wire::RangeRecord* range = nullptr;
     std::size_t pending_job = 0;  // index among the pending jobs
-    bool old = false;             // its job was submitted long ago, regardless of its objectives
+    bool is_old = false;          // its job was submitted long ago, regardless of its objectives
     SchedulingPriority priority;
   };
   // All pending work and the data needed to order it.
   struct PendingWork {
-    std::vector<Entry> entries;    // ranges of this controller's shard
-    std::vector<PendingJob> jobs;  // jobs of all shards, so that every controller computes the same
-                                   // order
-    std::vector<const std::string*> classes;            // job class of each entry of `jobs`
-    std::map<std::string_view, double> live_per_class;  // number of live jobs
-    double old_cpus = 0;                                // CPUs of this shard that old jobs use
+    std::vector<PendingRange> entries;  // ranges of this controller's shard
+    std::vector<PendingJob> jobs;       // of all shards; each controller orders them alike
+    std::vector<const std::string*> job_classes;             // job class of each entry of `jobs`
+    std::map<std::string_view, double> live_jobs_per_class;  // number of live jobs
+    double old_cpus = 0;                                     // CPUs of this shard that old jobs use
   };
 
   void run_pass(Ms now);
@@ -76,7 +75,7 @@
   PendingWork collect_pending_work(SchedulingPass& pass);
   void add_job(SchedulingPass& pass, const std::string& id, const Job& job, PendingWork& work);
   void order_entries(const SchedulingPass& pass, PendingWork& work);
-  void place_entries(SchedulingPass& pass, const std::vector<Entry>& entries);
+  void place_entries(SchedulingPass& pass, const std::vector<PendingRange>& entries);
   void write_remaining_changes(SchedulingPass& pass);
   // Total CPUs of all usable machines of the fleet.
   double total_fleet_cpus(Ms now);
@@ -98,9 +97,9 @@
   ServicePlacement services_;
   WorkStealing work_stealing_;
 
-  Ms next_pass_ = 0;
+  Ms next_pass_at_ = 0;
   double fleet_cpus_ = 0;
-  Ms next_fleet_count_ = 0;
+  Ms next_fleet_count_at_ = 0;
 };
 
 }  // namespace scheduler
--- a/src/scheduling/scheduling_pass.h
+++ b/src/scheduling/scheduling_pass.h
@@ -17,12 +17,12 @@
 struct SchedulingPass {
   // Constraints that select eligible machines: spot allowed, types, zone (empty: any), and whether
   // other shards' machines are included.
-  using Kind = std::tuple<bool, std::vector<std::string>, std::string, bool>;
+  using MachineFilter = std::tuple<bool, std::vector<std::string>, std::string, bool>;
   // Resources and constraints of a task: cpus, gpus, memory, spot, types, zone.
-  using Shape = std::tuple<double, double, double, bool, std::vector<std::string>, std::string>;
+  using TaskShape = std::tuple<double, double, double, bool, std::vector<std::string>, std::string>;
 
   // Returns the indices of the candidates that the job may use, limited to `zone` unless it is
-  // empty. `remote` includes other shards' machines. Computed once per pass for each Kind.
+  // empty. `remote` includes other shards' machines. Computed once per pass for each MachineFilter.
   const std::vector<int>& machines_for(const wire::JobSpec& spec, const std::string& zone,
                                        bool remote);
   // Keeps the machines with the most free capacity unused for work that must start and found no
@@ -34,27 +34,20 @@
   }
 
   Ms now = 0;
-  std::vector<Candidate*> candidates;  // usable machines of this shard, followed by other shards'
-                                       // machines if added
-  std::size_t local_machines = 0;      // number of this shard's machines, at the front of
-                                       // `candidates`
+  std::vector<Candidate*> candidates;  // this shard's usable machines first
+  std::size_t local_machines = 0;      // number of this shard's candidates
   bool remote_added = false;
-  std::map<Kind, std::vector<int>> eligible_by_kind;
+  std::map<MachineFilter, std::vector<int>> eligible_by_filter;
   std::set<std::string> zones;  // zones of all candidates
   int remaining_placements = 0;
-  int remaining_writes = 0;                               // writes that this pass may still queue
-  std::map<std::string, wire::QuotaRecord::Amount> used;  // usage of this controller's quota
-                                                          // leases, by team
-  std::map<std::string, Usage> team_usage;                // usage over all shards at the start of
-                                                          // the pass
-  bool whole_machine_gangs = false;                       // some live job is a gang that needs
-                                                          // whole machines
-  std::set<int> reserved;                          // machines kept free for work that must start
-  std::vector<const wire::JobSpec*> failed;        // jobs whose tasks found no capacity
-  std::vector<const wire::JobSpec*> failed_gangs;  // gangs for which all shards together have too
-                                                   // little capacity
-  std::map<Shape, double> free_capacity;           // number of tasks of a shape that this shard can
-                                                   // take
+  int remaining_writes = 0;                               // writes that may still be queued
+  std::map<std::string, wire::QuotaRecord::Amount> used;  // of own quota leases, by team
+  std::map<std::string, Usage> team_usage;                // over all shards, at pass start
+  bool whole_machine_gangs = false;                       // a live gang needs whole machines
+  std::set<int> reserved;                                 // machines kept for work that must start
+  std::vector<const wire::JobSpec*> failed;               // jobs whose tasks found no capacity
+  std::vector<const wire::JobSpec*> failed_gangs;         // gangs too large for all shards together
+  std::map<TaskShape, double> free_capacity;  // tasks that fit into this shard, by shape
 };
 
 }  // namespace scheduler
--- a/src/scheduling/scheduling_priority.h
+++ b/src/scheduling/scheduling_priority.h
@@ -6,11 +6,9 @@
 namespace scheduler {
 
 struct SchedulingPriority {
-  bool has_started = true;              // false: served before the normal order, with a limited
-                                        // number of tasks
+  bool in_normal_order = true;          // false: goes first, with a limited number of tasks
   bool misses_every_objective = false;  // the job can no longer meet any objective of its class
-  std::size_t place = 0;                // position of its job among all pending jobs
-                                        // (pending_order.h)
+  std::size_t queue_position = 0;       // of its job among all pending jobs
 };
 
 }  // namespace scheduler
--- a/src/scheduling/service_placement.h
+++ b/src/scheduling/service_placement.h
@@ -43,17 +43,14 @@
 
  private:
   // Constraints on the machine of a replica.
-  struct ReplicaChoice {
+  struct ReplicaConstraints {
     const wire::JobSpec* spec = nullptr;
     wire::TaskId replica;
-    std::set<std::string> taken;                          // machines that have a replica of the job
-    std::optional<std::set<std::string>> zones;           // unset: any zone
-    std::optional<Ms> avoid_failures = kFailureMemoryMs;  // excludes machines on which the job
-                                                          // failed within this time
-    bool without_replica = false;                         // excludes machines that have a replica
-                                                          // of the job
-    bool contacted_recently = false;                      // only machines that were in contact
-                                                          // recently
+    std::set<std::string> occupied;              // machines that have a replica of the job
+    std::optional<std::set<std::string>> zones;  // unset: any zone
+    std::optional<Ms> avoid_failures_ms = kFailureMemoryMs;  // of the job within this time
+    bool without_replica = false;                            // not where the job has a replica
+    bool contacted_recently = false;                         // only machines in recent contact
   };
 
   // Returns the machine for one more replica, or -1. Each choice samples two machines (placement.h)
@@ -66,13 +63,14 @@
   // first, so that the loss of one machine affects few replicas. Among these, machines with recent
   // contact come first, which guards against replicas being started on machines that failed
   // together with the replica's last machine.
-  int pick_local_for_replica(SchedulingPass& pass, ReplicaChoice choice);
+  int pick_local_for_replica(SchedulingPass& pass, ReplicaConstraints constraints);
   // Whether the job is allowed on some machine where it has not failed, regardless of free
   // capacity.
-  [[nodiscard]] bool other_machine_left(const SchedulingPass& pass,
-                                        const ReplicaChoice& choice) const;
+  [[nodiscard]] bool has_other_machine(const SchedulingPass& pass,
+                                       const ReplicaConstraints& constraints) const;
   [[nodiscard]] std::vector<int> replica_candidates(const SchedulingPass& pass,
-                                                    const ReplicaChoice& choice, bool local) const;
+                                                    const ReplicaConstraints& constraints,
+                                                    bool local) const;
 
   const Context& context_;
   const MachineTable& machines_;
--- a/src/scheduling/start_deadlines.cpp
+++ b/src/scheduling/start_deadlines.cpp
@@ -9,11 +9,11 @@
 
 // Remaining seconds to start a task in time below which running work may be lost to preemption for
 // it.
-constexpr double kUrgentStartS = 6.0;
+constexpr double kUrgentStartWindowS = 6.0;
 // Minimum CPUs per task when the amount of waiting work is computed.
-constexpr double kLeastCpusCounted = 0.1;
+constexpr double kMinCpusCounted = 0.1;
 // Seconds; further away than any objective.
-constexpr double kNever = 1e9;
+constexpr double kNoDeadlineS = 1e9;
 
 // Whether the objective counts completed jobs, not started tasks.
 bool counts_completions(const Objective& objective) {
@@ -40,9 +40,9 @@
 // CPU seconds of the job's tasks that are not placed yet, by the estimate.
 double waiting_work(const Job& job) {
   const wire::JobSpec& spec = job.record.spec;
-  const std::uint64_t held = job.done_tasks() + job.placed_tasks();
-  const std::uint64_t open = spec.tasks - std::min<std::uint64_t>(spec.tasks, held);
-  return static_cast<double>(open) * spec.estimate_s * std::max(spec.cpus, kLeastCpusCounted);
+  const std::uint64_t done_or_placed = job.done_tasks() + job.placed_tasks();
+  const std::uint64_t unplaced = spec.tasks - std::min<std::uint64_t>(spec.tasks, done_or_placed);
+  return static_cast<double>(unplaced) * spec.estimate_s * std::max(spec.cpus, kMinCpusCounted);
 }
 
 }  // namespace
@@ -58,38 +58,37 @@
     pending.priority = static_cast<int>(spec.priority);
     return pending;
   }
-  bool completion_open = false;
+  bool completion_objective_open = false;
   bool has_completion_objective = false;
   for (const Objective& objective : settings.objectives) {
     if (objective.job_class != spec.job_class) continue;
     const bool completion = counts_completions(objective);
     has_completion_objective = has_completion_objective || completion;
-    const std::optional<double> latest = latest_start_s(objective, spec);
-    if (!latest || *latest - age_s < 0) continue;
-    pending.latest_starts.push_back(*latest - age_s);
-    completion_open = completion_open || completion;
+    const std::optional<double> latest_s = latest_start_s(objective, spec);
+    if (!latest_s || *latest_s - age_s < 0) continue;
+    pending.latest_starts.push_back(*latest_s - age_s);
+    completion_objective_open = completion_objective_open || completion;
   }
   if (!has_completion_objective)
     pending.latest_starts.push_back(std::max(0.0, kDefaultHorizonS - spec.estimate_s - age_s));
   std::sort(pending.latest_starts.begin(), pending.latest_starts.end());
-  // While its class has a completion objective that can be met, a low-priority job is ordered like
-  // standard work, because this was better in measurements (docs/design.md). It still preempts
-  // nothing and may be preempted.
+  // While its class has a completion objective that can be met, a low-priority job shares one queue
+  // with standard work (docs/design.md). It still preempts nothing and may be preempted.
   const wire::Priority priority =
-      completion_open ? std::max(spec.priority, wire::Priority::normal) : spec.priority;
+      completion_objective_open ? std::max(spec.priority, wire::Priority::normal) : spec.priority;
   pending.priority = static_cast<int>(priority);
   return pending;
 }
 
 bool is_urgent(const Settings& settings, const wire::JobSpec& spec, double age_s) {
   if (spec.is_service()) return true;
-  double left = kNever;
+  double left_s = kNoDeadlineS;
   for (const Objective& objective : settings.objectives) {
     if (objective.job_class != spec.job_class) continue;
-    const std::optional<double> latest = latest_start_s(objective, spec);
-    if (latest && *latest > age_s) left = std::min(left, *latest - age_s);
+    const std::optional<double> latest_s = latest_start_s(objective, spec);
+    if (latest_s && *latest_s > age_s) left_s = std::min(left_s, *latest_s - age_s);
   }
-  return left < kUrgentStartS;
+  return left_s < kUrgentStartWindowS;
 }
 
 }  // namespace scheduler
--- a/src/scheduling/task_assigner.h
+++ b/src/scheduling/task_assigner.h
@@ -28,9 +28,9 @@
   // resources are already booked on the machine.
   void assign(SchedulingPass& pass, const TaskToPlace& task, int machine, bool booked);
   // Zones of the pass's candidates in which the next task of the job may be placed.
-  [[nodiscard]] std::set<std::string> zones_open(const SchedulingPass& pass, const Job& job) const;
+  [[nodiscard]] std::set<std::string> open_zones(const SchedulingPass& pass, const Job& job) const;
   // Machines on which a task of the job is placed or about to be placed.
-  [[nodiscard]] std::set<std::string> machines_of(const Job& job) const;
+  [[nodiscard]] std::set<std::string> machines_with_tasks(const Job& job) const;
 
  private:
   const Context& context_;
--- a/src/scheduling/work_stealing.h
+++ b/src/scheduling/work_stealing.h
@@ -35,22 +35,23 @@
 
  private:
   // Tasks of another shard's range that this controller's shard could take over.
-  struct Offer {
+  struct StealableTasks {
     const Job* job = nullptr;
     RangeId range;
-    std::uint32_t first = 0;  // first task to take over; earlier tasks stay with the owner
+    std::uint32_t first_task = 0;  // first task to take over; earlier tasks stay with the owner
   };
 
   // Whether tasks of the job may be taken over.
   [[nodiscard]] bool may_steal(Ms now, const std::string& id, const Job& job) const;
   // Returns the first range of the job from which tasks can be taken over.
-  std::optional<Offer> find_offer(SchedulingPass& pass, const std::string& id, const Job& job);
+  std::optional<StealableTasks> find_stealable_tasks(SchedulingPass& pass, const std::string& id,
+                                                     const Job& job);
   // Whether the range's owner has had enough time to place its tasks.
-  bool has_waited(Ms now, const RangeId& id, const wire::RangeRecord& range);
+  bool has_waited_long_enough(Ms now, const RangeId& id, const wire::RangeRecord& range);
   // Number of the job's tasks that this controller's shard has capacity for; computed once per pass
   // for each Shape.
   static double free_capacity_for(SchedulingPass& pass, const wire::JobSpec& spec);
-  void write_stolen_range(const RangeId& from, std::uint32_t first, const RangeId& to);
+  void write_stolen_range(const RangeId& from, std::uint32_t first_task, const RangeId& to);
 
   const Context& context_;
   RangeTable& ranges_;
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -71,8 +71,7 @@
   const auto& spec = job.record.spec;
   EXPECT_FALSE(is_urgent(settings, spec, 1));
   EXPECT_TRUE(is_urgent(settings, spec, 5));    // five seconds are left until the latest start
-  EXPECT_FALSE(is_urgent(settings, spec, 20));  // the first objective is missed; the next requires
-                                                // a start by 60 s
+  EXPECT_FALSE(is_urgent(settings, spec, 20));  // first objective missed; the next is at 60 s
   EXPECT_TRUE(is_urgent(settings, spec, 55));
   EXPECT_FALSE(is_urgent(settings, spec, 70));  // no objective can be met any more
   EXPECT_EQ(pending_job(settings, job, 1).latest_starts, (std::vector<double>{9, 59}));
@@ -154,7 +153,7 @@
   EXPECT_DOUBLE_EQ(candidates_.candidate(now_, m).free.cpus, 8);
 }
 
-TEST_F(SchedulingTest, NothingIsPlacedWithoutAQuotaLeaseAndDemandBringsOne) {
+TEST_F(SchedulingTest, NothingIsPlacedWithoutAQuotaLeaseAndDemandCreatesOne) {
   std::map<std::string, wire::QuotaRecord::Amount> used;
   EXPECT_FALSE(quota_.allows(used, spec()));
   quota_.add_demand(spec(), 2);
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -48,25 +48,25 @@
   Settings limited = settings_;
   limited.teams = {{"t", 0, 3, 0, 0}};
   start_anew(limited);
-  const std::uint64_t more = post(service_body("req-000001", 4));
-  const std::uint64_t just = post(service_body("req-000002", 3));
+  const std::uint64_t over_quota = post(service_body("req-000001", 4));
+  const std::uint64_t within_quota = post(service_body("req-000002", 3));
   const std::uint64_t spread = post(replaced(service_body("req-000003", 2), R"("scatter":false)",
                                              R"("scatter":true)"));  // there is one zone
   run(500);
-  EXPECT_EQ(status(more), 422);
-  EXPECT_EQ(status(just), 201);
+  EXPECT_EQ(status(over_quota), 422);
+  EXPECT_EQ(status(within_quota), 201);
   EXPECT_EQ(status(spread), 422);
 }
 
 // Until every configured controller announces the record format, submissions of services are
 // refused with a Retry-After time.
-TEST_F(SingleControllerJobs, ServicesAreUnavailableUntilAllControllersReadThem) {
+TEST_F(SingleControllerJobs, ServicesAreUnavailableUntilAllControllersAnnounceTheFormat) {
   Settings with_peer = settings_;
   with_peer.peers = {{"puffin-1", "a", "puffin-1:1"}};
   start_anew(with_peer);
-  const std::uint64_t early = post(service_body("req-000001"));
-  EXPECT_EQ(status(early), 503);
-  EXPECT_GT(answers_[early].retry_after_s, 0);
+  const std::uint64_t before_announcement = post(service_body("req-000001"));
+  EXPECT_EQ(status(before_announcement), 503);
+  EXPECT_GT(answers_[before_announcement].retry_after_s, 0);
   const std::uint64_t array = post(job_body("req-000002"));
   run(500);
   EXPECT_EQ(status(array), 201);
@@ -93,20 +93,20 @@
   EXPECT_FALSE(state_.items.contains("formats"));
   join(R"({"incarnation":"i1","epoch":1,"formats":2})");
   EXPECT_TRUE(state_.items.contains("formats"));
-  const std::uint64_t late = post(service_body("req-000003"));
+  const std::uint64_t after_announcement = post(service_body("req-000003"));
   run(500);
-  EXPECT_EQ(status(late), 201);
+  EXPECT_EQ(status(after_announcement), 201);
   // The format stays in use even if a controller restarts with an earlier version.
   join(R"({"incarnation":"i1","epoch":1})");
-  const std::uint64_t later = post(service_body("req-000004"));
+  const std::uint64_t after_restart = post(service_body("req-000004"));
   run(500);
-  EXPECT_EQ(status(later), 201);
+  EXPECT_EQ(status(after_restart), 201);
 }
 
-TEST_F(SingleControllerJobs, AControllerOfTheFirstFormatKnowsNoServices) {
-  Settings former = settings_;
-  former.record_format = wire::kFirstFormat;
-  start_anew(former);
+TEST_F(SingleControllerJobs, ControllerWithTheFirstRecordFormatRejectsServices) {
+  Settings first_format = settings_;
+  first_format.record_format = wire::kFirstFormat;
+  start_anew(first_format);
   EXPECT_EQ(status(post(service_body("req-000001"))), 400);
   EXPECT_FALSE(state_.items.contains("formats"));
   EXPECT_EQ(state_.items.at("live/puffin-0").value.find("formats"), std::string::npos);
@@ -170,9 +170,7 @@
   const wire::TaskId replica{"req-000001", 3};
   tracker.on_result_kept(1000, "m", replica);
   EXPECT_TRUE(tracker.has_kept_result(1000 + 2 * kFailureMemoryMs, "m", replica));
-  EXPECT_FALSE(tracker.has_kept_result(1000, "m", {"req-000001", 4}));  // another replica of the
-                                                                        // same service is not
-                                                                        // affected
+  EXPECT_FALSE(tracker.has_kept_result(1000, "m", {"req-000001", 4}));  // another replica
   EXPECT_FALSE(tracker.has_kept_result(1000, "m", {"req-000002", 3}));
   EXPECT_FALSE(tracker.has_kept_result(1000, "n", replica));
   tracker.on_early_exit(1000, "m", "req-000001");
