--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -217,9 +217,10 @@
   if (const auto gap = status_.observe_input(now)) on_pause(now, *gap);
 }
 
-// Guards against taking our own absence for the silence of others, and what we knew before for what
-// is: a lease we did not renew may have been renewed by who took our place, a view may be long
-// over, replies that waited for us are as old as our absence.
+// Discards everything that may have become outdated during the pause. Without this, the controller
+// would take its own pause for missing heartbeats of workers and peers. Also, another controller
+// may have taken over and renewed leases of workers, the view may have been replaced, and replies
+// that arrived during the pause are as old as the pause is long.
 void Controller::on_pause(Ms now, Ms gap) {
   log(LogLevel::info, "process was paused for " + std::to_string(gap) + " ms");
   const std::uint64_t pause = status_.begin_resynchronising(now);
@@ -293,34 +294,35 @@
          std::to_string(state_client_.queued()) + ", over size " +
          std::to_string(state_client_.rejections()) + ", over rate " +
          std::to_string(state_client_.throttles()) + ", replies delayed " +
-         std::to_string(job_reader_.replies_delayed());
+         std::to_string(job_reader_.delayed_reply_count());
 }
 
 // ---- changes of the records ----
 
 void Controller::on_record(Ms now, const wire::StoredItem& item) {
   if (!replica_.apply(item)) log(LogLevel::error, "unreadable record " + item.key);
-  // Each view is acted on by itself: two in one batch may take a machine away and give it back.
+  // Each view is processed individually: of two views in one batch, the first may assign a machine
+  // to another controller and the second may assign it back.
   if (item.key == wire::kViewKey) on_view(now);
   if (item.key == wire::kCatalogKey) candidate_cache_.forget_all_remote();
 }
 
-bool Controller::is_ours(const std::string& machine, const std::string& zone) const {
+bool Controller::owns_machine(const std::string& machine, const std::string& zone) const {
   return cluster_view_.machine_owner(machine, zone) == settings_.name;
 }
 
 void Controller::on_changes_applied(Ms now) {
-  if (!state_client_.loaded()) return;  // they are looked at when all is known
+  if (!state_client_.loaded()) return;  // changes are processed once all records have been read
   replica_.take_view_changed();
   for (const auto& id : replica_.take_changed_machines()) on_machine_changed(now, id);
-  bool cancelling = false;
+  bool check_cancellations = false;
   for (const auto& id : replica_.take_changed_jobs()) {
     pass_trigger_.request();
     completion_.check(id);
     gossip_.remember_cancellation(now, id);
-    cancelling = cancelling || cancellation_.is_waited_for(id);
+    check_cancellations = check_cancellations || cancellation_.has_pending_request(id);
   }
-  if (cancelling) cancellation_.tick(now);
+  if (check_cancellations) cancellation_.tick(now);
 }
 
 void Controller::on_machine_changed(Ms now, const std::string& id) {
@@ -328,7 +330,7 @@
   candidate_cache_.forget_remote(id);
   auto machine = machines_.find(id);
   const auto* record = replica_.machine(id);
-  if (machine == machines_.end() && record && ready() && is_ours(id, record->zone))
+  if (machine == machines_.end() && record && ready() && owns_machine(id, record->zone))
     machine = machines_.add(now, id);
   if (machine == machines_.end()) return;
   Machine& m = machine->second;
@@ -341,20 +343,21 @@
 void Controller::on_view(Ms now) {
   const auto& view = replica_.view();
   if (cluster_view_.known() && view.epoch == cluster_view_.epoch()) return;
-  const bool skipped = view.epoch != cluster_view_.epoch() + 1;
+  const bool views_skipped = view.epoch != cluster_view_.epoch() + 1;
   candidate_cache_.forget_all_remote();
   planner_.on_view_changed();
   cluster_view_.update(view);
   state_client_.set_rate_sharers(static_cast<int>(std::max<std::size_t>(1, view.live.size())));
-  log_view(skipped);
-  update_shard(now, skipped);
-  worker_links_.take_census(now);  // of the shard that is ours now
+  log_view(views_skipped);
+  update_shard(now, views_skipped);
+  worker_links_.take_census(now);  // the shard of this controller has changed
   candidate_cache_.recount_remote_reservations();
-  for (const auto& [id, job] : replica_.jobs()) completion_.check(id);  // its leader may be new
+  for (const auto& [id, job] : replica_.jobs())
+    completion_.check(id);  // the job's leader may have changed
   pass_trigger_.request();
 }
 
-void Controller::log_view(bool skipped) {
+void Controller::log_view(bool views_skipped) {
   const std::uint64_t epoch = cluster_view_.epoch();
   std::string names;
   for (const auto& name : cluster_view_.live()) names += " " + name;
@@ -364,21 +367,21 @@
   event.field("epoch", epoch).field("token", ClusterView::token(epoch, 0));
   event.field("revision", state_client_.version(std::string(wire::kViewKey)));
   event.field("applied", state_client_.applied_revision());
-  event.field("skipped", static_cast<int>(skipped));
+  event.field("skipped", static_cast<int>(views_skipped));
   log(LogLevel::debug, event.text());
 }
 
-void Controller::update_shard(Ms now, bool skipped) {
+void Controller::update_shard(Ms now, bool views_skipped) {
   const bool member = context_.is_member();
   for (auto machine = machines_.begin(); machine != machines_.end();) {
     Machine& m = machine->second;
-    const bool ours = member && is_ours(m.id, m.zone);
-    if (!ours || skipped) ranges_.discard_unrecorded_releases(m.id);
-    if (!ours) {
+    const bool owned = member && owns_machine(m.id, m.zone);
+    if (!owned || views_skipped) ranges_.discard_unrecorded_releases(m.id);
+    if (!owned) {
       machine = machines_.erase(machine);
       continue;
     }
-    if (skipped) {  // may have been another's in between
+    if (views_skipped) {  // another controller may have owned the machine meanwhile
       m.candidate_known = false;
       m.owned_since_epoch = cluster_view_.epoch();
       m.token_confirmed = false;
@@ -388,7 +391,7 @@
   }
   if (!member) return;
   for (const auto& [id, record] : replica_.machines())
-    if (!machines_.contains(id) && is_ours(id, record.zone)) machines_.add(now, id);
+    if (!machines_.contains(id) && owns_machine(id, record.zone)) machines_.add(now, id);
 }
 
 void Controller::update_membership(Ms now) {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,6 +1,6 @@
-// One controller as a state machine: inputs are requests, results of calls and the passing of time;
-// outputs are calls to make, replies to give and lines to log. It does no input or output of its
-// own and reads no clock.
+// A controller as a deterministic state machine. Inputs are requests, results of calls, messages of
+// peers and the passage of time; outputs are calls to make, replies, messages to peers and log
+// lines. The class performs no I/O and reads no clock; the caller does both.
 #pragma once
 
 #include <cstdint>
@@ -52,6 +52,7 @@
 
 namespace scheduler {
 
+// A message to send to another controller.
 struct PeerSend {
   std::string to;
   std::string bytes;
@@ -64,11 +65,11 @@
   std::vector<LogLine> logs;
 };
 
-// Composition alone: it routes inputs to the components, gathers their outputs, and keeps the order
-// of a tick. What is decided is decided by the components.
+// Wires the components together: routes inputs to them, collects their outputs and defines the
+// order in which they run in a tick. All decisions are made by the components.
 class Controller {
  public:
-  // `seed` must differ between any two runs of the program: the incarnation comes from it.
+  // `seed` must differ between any two runs of the program: the incarnation is derived from it.
   Controller(Settings settings, std::uint64_t seed);
   ~Controller() = default;
   Controller(const Controller&) = delete;
@@ -76,24 +77,25 @@
   Controller(Controller&&) = delete;
   Controller& operator=(Controller&&) = delete;
 
-  // `now`: steady clock, `wall`: time of day, both in milliseconds.
+  // `now` is the steady clock and `wall` the time of day, both in milliseconds.
   void start(Ms now, Ms wall);
   void tick(Ms now, Ms wall);
-  // A request of a user or a worker. Its reply, now or later, carries the same number.
+  // Handles a request of a user or a worker. The reply, immediate or later, carries the number
+  // `request`.
   void on_request(Ms now, std::uint64_t request, const Request& r);
-  // What came of a call.
+  // Handles the result of the call with this id.
   void on_result(Ms now, std::uint64_t id, const HttpResult& http_result);
-  // A message of another controller.
+  // Handles a message of another controller.
   void on_peer(Ms now, std::string_view bytes);
-  // When tick() should be called next, if nothing else happens.
+  // Time at which tick() should be called next if no other input arrives before.
   Ms next_tick(Ms now) const;
   Output take_output() { return std::exchange(out_, {}); }
 
   const Replica& replica() const { return replica_; }
   const Settings& settings() const { return settings_; }
-  // In the view and with everything read.
+  // Whether this controller is in the view and has read every record.
   bool ready() const { return status_.ready(); }
-  // One line about the state of things.
+  // One line that summarizes the state of this controller, for the log.
   std::string status_line(Ms now) const;
 
  private:
@@ -107,22 +109,24 @@
 
   // ---- changes of the records ----
   void on_record(Ms now, const wire::StoredItem& item);
-  // Acts on all that has changed since the last call.
+  // Processes the machines and jobs whose records have changed since the previous call.
   void on_changes_applied(Ms now);
   void on_machine_changed(Ms now, const std::string& id);
   void on_view(Ms now);
-  void log_view(bool skipped);
-  // Gives up machines that the view gives to others, and adds those that it gives to us.
-  // `skipped`: views in between were not seen.
-  void update_shard(Ms now, bool skipped);
-  bool is_ours(const std::string& machine, const std::string& zone) const;
+  void log_view(bool views_skipped);
+  // Drops the machines that the view assigns to other controllers, and adds those that it assigns
+  // to this controller. `views_skipped`: there were views since the previous one that this
+  // controller has not read.
+  void update_shard(Ms now, bool views_skipped);
+  bool owns_machine(const std::string& machine, const std::string& zone) const;
 
   // ---- inputs ----
-  // To be called with every input: finds out whether the process was paused.
+  // Must be called for every input. Detects from the time since the previous input whether the
+  // process was paused.
   void observe_input(Ms now);
   void on_pause(Ms now, Ms gap);
-  // Everything written while we were paused is known once a read asked for after it has been
-  // passed.
+  // Waits for a barrier read that starts after the pause. Once it completes, the replica holds
+  // everything that was written during the pause.
   void wait_until_resynchronised(Ms now, std::uint64_t pause);
   void update_membership(Ms now);
   bool is_peer(const std::string& name) const;
@@ -130,7 +134,7 @@
   Settings settings_;
   Capacity capacity_;
   pcg32 random_;
-  pcg32 probe_random_;  // of probes alone, so that they change no other draw
+  pcg32 probe_random_;  // for probes only, so that probes don't shift the sequence of `random_`
   std::string incarnation_;
   Output out_;
   std::uint64_t next_call_ = 1;
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Milliseconds for which jobs whose cancellation is recorded are named to controllers that can't
-// read the records: about as long as such a partition lasts before their workers have gone
-// elsewhere.
-constexpr std::int64_t kGossipCancellationMs = 60'000;
-// Such jobs named in one gossip message.
-constexpr std::size_t kGossipedCancellations = 32;
+// Milliseconds for which a recorded cancellation is included in gossip messages, for controllers
+// that can't read the records. After about this long, the workers of a partitioned controller have
+// switched to another one.
+constexpr std::int64_t kGossipCancellationMaxAgeMs = 60'000;
+// Most cancelled jobs in one gossip message.
+constexpr std::size_t kMaxGossipedCancellations = 32;
 
-std::string_view text_of(links::Status status) {
+std::string_view status_name(links::Status status) {
   switch (status) {
     case links::Status::up:
       return "up";
@@ -28,8 +28,8 @@
   return "unknown";
 }
 
-// A row of a controller whose version sends none.
-wire::LinkRow row_from(const wire::GossipMessage& gossip_message) {
+// Builds the link row of a sender whose version includes no rows in its gossip messages.
+wire::LinkRow row_without_links(const wire::GossipMessage& gossip_message) {
   wire::LinkRow row;
   row.controller = gossip_message.from;
   row.as_of_ms = gossip_message.sent_ms;
@@ -52,7 +52,8 @@
   }
   message.sent_ms = static_cast<std::uint64_t>(status_.wall(now));
   message.links = links_.rows_to_spread(status_.moment(now));
-  // It answers, but what it has said so far is not known yet.
+  // The state service answers, but this controller has not read all its records yet or has not
+  // resynchronised after a pause.
   if (!message.state_answers && message.links.front().state == links::Status::up)
     message.links.front().state = links::Status::unknown;
   return message;
@@ -66,7 +67,7 @@
   message.cancelled = recent_cancellations(now);
   std::string bytes = encode(message);
   if (bytes.size() > wire::kGossipBytesMost) {
-    // Many controllers or zones: our own row matters most.
+    // With many controllers or zones the message is too large: only this controller's row is sent.
     message.links.resize(1);
     bytes = encode(message);
   }
@@ -75,15 +76,15 @@
 
 std::vector<std::string> Gossip::recent_cancellations(Ms now) {
   std::erase_if(cancelled_at_,
-                [now](const auto& c) { return now - c.second > kGossipCancellationMs; });
+                [now](const auto& c) { return now - c.second > kGossipCancellationMaxAgeMs; });
   const auto rows = links_.matrix().fresh(status_.wall(now), links::kStateWordFreshMs);
-  const bool needed = std::any_of(rows.begin(), rows.end(), [](const auto* entry) {
+  const bool some_peer_without_state = std::any_of(rows.begin(), rows.end(), [](const auto* entry) {
     return entry->row.state == links::Status::down;
   });
   std::vector<std::string> jobs;
-  if (!needed || !context_.state_client.answering(now)) return jobs;
+  if (!some_peer_without_state || !context_.state_client.answering(now)) return jobs;
   for (const auto& [job, at] : cancelled_at_) {
-    if (jobs.size() < kGossipedCancellations) jobs.push_back(job);
+    if (jobs.size() < kMaxGossipedCancellations) jobs.push_back(job);
   }
   return jobs;
 }
@@ -92,37 +93,42 @@
   const Job* job = context_.replica.job(id);
   const auto* final_state = context_.replica.final_state(id);
   if (!(job && job->record.cancelled) && !(final_state && !final_state->done)) return;
-  if (cancelled_at_.size() < kGossipedCancellations) cancelled_at_.try_emplace(id, now);
+  if (cancelled_at_.size() < kMaxGossipedCancellations) cancelled_at_.try_emplace(id, now);
 }
 
 void Gossip::log_link_changes(const wire::LinkRow& row) {
-  const auto changed = [this](std::string_view link, links::Status before, links::Status status) {
+  const auto log_if_changed = [this](std::string_view link, links::Status before,
+                                     links::Status status) {
     if (before == status) return;
     LogEvent event("link");
-    event.field("link", link).field("status", text_of(status)).field("before", text_of(before));
+    event.field("link", link)
+        .field("status", status_name(status))
+        .field("before", status_name(before));
     context_.log(LogLevel::info, event.text());
   };
-  changed("state", last_sent_row_.state, row.state);
-  changed("cloud", last_sent_row_.cloud, row.cloud);
-  for (const auto& [peer, status] : row.heard) changed(peer, last_sent_row_.heard[peer], status);
+  log_if_changed("state", last_sent_row_.state, row.state);
+  log_if_changed("cloud", last_sent_row_.cloud, row.cloud);
+  for (const auto& [peer, status] : row.heard)
+    log_if_changed(peer, last_sent_row_.heard[peer], status);
   for (const auto& [zone, links] : row.workers) {
     const wire::ZoneLinkStatus before = last_sent_row_.workers[zone];
-    changed("heartbeats/" + zone, before.reports, links.reports);
-    changed("commands/" + zone, before.commands, links.commands);
+    log_if_changed("heartbeats/" + zone, before.reports, links.reports);
+    log_if_changed("commands/" + zone, before.commands, links.commands);
   }
   last_sent_row_ = row;
 }
 
 void Gossip::on_message(Ms now, const wire::GossipMessage& message) {
-  // Whatever its age, that a view exists stays true, and so does a cancellation; the rest is of its
-  // moment. Guards against a copy that comes late and passes for a peer's word.
+  // The epoch of a view and a cancellation stay valid however old the message is. The link rows
+  // describe the time of sending only, so a message that is delivered late must not be taken
+  // for the peer's present state.
   status_.see_epoch(message.epoch);
   cancellations_.apply(now, message.cancelled);
-  const links::Moment when = status_.moment(now);
-  if (when.wall - static_cast<Ms>(message.sent_ms) > links::kStateWordFreshMs) return;
+  const links::Moment moment_of_receipt = status_.moment(now);
+  if (moment_of_receipt.wall - static_cast<Ms>(message.sent_ms) > links::kStateWordFreshMs) return;
   links_.peer_heard(now, message.from);
-  if (message.links.empty()) links_.merge(when, row_from(message));
-  for (const auto& row : message.links) links_.merge(when, row);
+  if (message.links.empty()) links_.merge(moment_of_receipt, row_without_links(message));
+  for (const auto& row : message.links) links_.merge(moment_of_receipt, row);
 }
 
 }  // namespace scheduler
--- a/src/controller/gossip.h
+++ b/src/controller/gossip.h
@@ -1,5 +1,5 @@
-// Messages that controllers tell one another at intervals. Nothing here may decide anything that
-// the rules depend on.
+// Messages that controllers send to each other at a fixed interval. Gossip may be lost or outdated,
+// so the correctness of placements, leases and cancellations must not depend on it.
 #pragma once
 
 #include <cstdint>
@@ -36,15 +36,16 @@
         cancellations_(cancellations),
         send_(std::move(send)) {}
 
-  // Tells the peers, if it is time.
+  // Sends a gossip message to every peer if the interval has passed.
   void tick(Ms now);
   void on_message(Ms now, const wire::GossipMessage& message);
-  // The job's records have changed: remembers it if it is cancelled now.
+  // Called when the records of the job have changed. Remembers the job if it is cancelled.
   void remember_cancellation(Ms now, const std::string& id);
 
  private:
   wire::GossipMessage make_message(Ms now);
-  // Cancelled jobs are named only while some controller can't read of them.
+  // The cancelled jobs to name in the next message. Empty unless some controller can't reach the
+  // state service and thus can't read the cancellations from the records.
   std::vector<std::string> recent_cancellations(Ms now);
   void log_link_changes(const wire::LinkRow& row);
 
@@ -56,8 +57,8 @@
   GossipedCancellations& cancellations_;
   Send send_;
   Ms next_gossip_ = 0;
-  wire::LinkRow last_sent_row_;             // our own links, as last told
-  std::map<std::string, Ms> cancelled_at_;  // jobs, by when we read of it
+  wire::LinkRow last_sent_row_;             // this controller's row of the previous message
+  std::map<std::string, Ms> cancelled_at_;  // by job: when this controller read the cancellation
 };
 
 }  // namespace scheduler
--- a/src/controller/health_endpoint.h
+++ b/src/controller/health_endpoint.h
@@ -1,4 +1,5 @@
-// The health check: whether users should be sent to this controller.
+// The health check: answers 200 if users' requests should be sent to this controller, otherwise
+// 503.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +22,7 @@
   const Context& context_;
   const ControllerStatus& status_;
   const links::Monitor& links_;
-  bool serving_users_ = true;  // by the last decision
+  bool serving_users_ = true;  // outcome of the previous decision; only changes are logged
 };
 
 }  // namespace scheduler
--- a/src/controller/request_log.h
+++ b/src/controller/request_log.h
@@ -1,4 +1,4 @@
-// Log lines of how long users' requests took. Kept only while lines of level debug are wanted.
+// Logs how long each request of a user took. Active only if the log level is debug.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,8 @@
  public:
   explicit RequestLog(const Context& context) : context_(context) {}
 
-  // A user's request has come; `kind` outlives it.
+  // Called when a user's request arrives. The text behind `kind` must live until the reply is
+  // logged.
   void on_request(Ms now, std::uint64_t request, std::string_view kind) {
     if (context_.logs_debug()) requests_[request] = {kind, now};
   }
--- a/src/controller/request_route.h
+++ b/src/controller/request_route.h
@@ -1,4 +1,4 @@
-// Which operation an HTTP request of a user or a worker asks for.
+// Maps the method and path of an HTTP request of a user or a worker to an operation.
 #pragma once
 
 #include <cstdint>
@@ -16,12 +16,12 @@
   cancel,
   method_not_allowed,
   no_such_path,
-  no_such_job  // the name can't be that of a job
+  no_such_job  // the path names a job, but the name is not a valid job id
 };
 
 struct RequestRoute {
   Operation operation = Operation::no_such_path;
-  std::string job;  // of poll and cancel
+  std::string job;  // job id; set for poll and cancel only
 };
 
 RequestRoute route_of(const Request& request);
--- a/src/jobs/job_cancellation.cpp
+++ b/src/jobs/job_cancellation.cpp
@@ -9,40 +9,40 @@
 
 namespace {
 
-// Times that a cancellation is tried again when its job's record or the view changes under it.
-constexpr int kCancelTries = 3;
+// Retries of a cancellation whose write fails because the job's record or the view has changed.
+constexpr int kMaxCancelRetries = 3;
 
 }  // namespace
 
-void JobCancellation::cancel(Ms now, std::uint64_t request, const std::string& id, int tries) {
-  if (tries == 0) context_.log(LogLevel::debug, "cancellation of " + id + " asked");
-  // A job that we know of is cancelled by one guarded write: its conditions are the question
-  // whether that is still so. Everything else is looked up first.
-  if (tries == 0 && !context_.replica.final_state(id) && context_.replica.job(id) &&
+void JobCancellation::cancel(Ms now, std::uint64_t request, const std::string& id, int retries) {
+  if (retries == 0) context_.log(LogLevel::debug, "cancellation of " + id + " asked");
+  // If the replica holds the job, one conditional write cancels it: the conditions fail if the
+  // job's record or the view has changed. In all other cases the job's state is read first.
+  if (retries == 0 && !context_.replica.final_state(id) && context_.replica.job(id) &&
       context_.can_write(now)) {
-    write_cancelled(now, request, id, tries);
+    write_cancelled(now, request, id, retries);
     return;
   }
   reader_.read_job(now, request, id, now + kSubmitTimeoutMs,
-                   [this, request, id, tries](Ms at, const JobStatus& status) {
+                   [this, request, id, retries](Ms at, const JobStatus& status) {
                      const bool ended = status.state == wire::JobState::done ||
                                         status.state == wire::JobState::cancelled;
                      if (!status.known) {
                        context_.reply(request, 404, wire::error_body("no such job"));
                      } else if (ended) {
                        context_.reply(request, 200, wire::job_state_body(id, status.state));
-                     } else if (!context_.replica.job(id) || tries > kCancelTries) {
+                     } else if (!context_.replica.job(id) || retries > kMaxCancelRetries) {
                        context_.reply_unavailable(request, kRetryAfterS);
                      } else {
-                       write_cancelled(at, request, id, tries);
+                       write_cancelled(at, request, id, retries);
                      }
                    });
 }
 
 void JobCancellation::write_cancelled(Ms now, std::uint64_t request, const std::string& id,
-                                      int tries) {
+                                      int retries) {
   const Job* job = context_.replica.job(id);
-  if (job->record.cancelled) {  // on its way: its tasks are being stopped
+  if (job->record.cancelled) {  // recorded before: the tasks are being stopped
     wait_until_cancelled(now, request, id);
     return;
   }
@@ -56,13 +56,13 @@
   transaction.urgent = true;
   transaction.deadline = now + kSubmitTimeoutMs;
   waiting_requests_.add();
-  transaction.done = [this, request, id, tries](Ms at, TxnResult result, const auto&) {
+  transaction.done = [this, request, id, retries](Ms at, TxnResult result, const auto&) {
     waiting_requests_.remove();
     if (result == TxnResult::committed) {
       context_.log(LogLevel::info, "cancellation of " + id + " recorded");
       wait_until_cancelled(at, request, id);
     } else if (result == TxnResult::conflict) {
-      cancel(at, request, id, tries + 1);
+      cancel(at, request, id, retries + 1);
     } else {
       context_.reply_unavailable(request, kRetryAfterS);
     }
@@ -77,13 +77,14 @@
     return;
   }
   waiting_requests_.add();
-  // Guards against telling users while a start is on its way: our own write is known at once, what
-  // another controller had placed before it only when the watch has passed it.
+  // The replica holds this controller's own write as soon as that is answered, but placements that
+  // another controller wrote before it only once the watch has delivered them. Without this wait, a
+  // user could receive a confirmation while a task of the job is being started.
   context_.state_client.wait_until_current(
       now, now + kCancelTimeoutMs, [this, request, id](Ms at, bool ok) {
         waiting_requests_.remove();
         if (ok && reply_if_cancelled(request, id)) return;
-        if (!ok || !can_be_proven_soon(at, id)) {
+        if (!ok || !can_be_confirmed_soon(at, id)) {
           context_.reply_unavailable(request, kRetryAfterS);
           return;
         }
@@ -106,15 +107,15 @@
   return true;
 }
 
-bool JobCancellation::can_be_proven_soon(Ms now, const std::string& id) const {
+bool JobCancellation::can_be_confirmed_soon(Ms now, const std::string& id) const {
   const Job* job = context_.replica.job(id);
   if (!job || !context_.can_write(now)) return false;
   for (const auto& [number, range] : job->ranges) {
     for (const auto& [task, placement] : range.placed) {
-      auto m = machines_.find(placement.machine);
-      if (m != machines_.end() &&
-          (m->second.unanswered_commands > 0 || m->second.unreachable_since != 0 ||
-           now - m->second.last_contact > machines_.unresponsive_after()))
+      auto machine = machines_.find(placement.machine);
+      if (machine != machines_.end() &&
+          (machine->second.unanswered_commands > 0 || machine->second.unreachable_since != 0 ||
+           now - machine->second.last_contact > machines_.unresponsive_after()))
         return false;
     }
   }
@@ -123,16 +124,16 @@
 
 void JobCancellation::tick(Ms now) {
   for (auto it = pending_.begin(); it != pending_.end();) {
-    auto& waits = it->second;
-    const bool unprovable = !can_be_proven_soon(now, it->first);
-    std::erase_if(waits, [&](const PendingCancellation& w) {
-      const bool told = reply_if_cancelled(w.request, it->first);
-      if (!told && !unprovable && now < w.deadline) return false;
-      if (!told) context_.reply_unavailable(w.request, kRetryAfterS);
+    auto& requests = it->second;
+    const bool cannot_confirm = !can_be_confirmed_soon(now, it->first);
+    std::erase_if(requests, [&](const PendingCancellation& pending) {
+      const bool replied = reply_if_cancelled(pending.request, it->first);
+      if (!replied && !cannot_confirm && now < pending.deadline) return false;
+      if (!replied) context_.reply_unavailable(pending.request, kRetryAfterS);
       waiting_requests_.remove();
       return true;
     });
-    it = waits.empty() ? pending_.erase(it) : std::next(it);
+    it = requests.empty() ? pending_.erase(it) : std::next(it);
   }
 }
 
--- a/src/jobs/job_cancellation.h
+++ b/src/jobs/job_cancellation.h
@@ -1,5 +1,5 @@
-// Cancellations of jobs: recorded by one conditional write, and confirmed once nothing of the job
-// is left on any machine.
+// Cancellations of jobs. A cancellation is recorded by one conditional write and confirmed to the
+// user once no task of the job is left on any machine.
 #pragma once
 
 #include <cstdint>
@@ -23,10 +23,13 @@
   void on_cancel(Ms now, std::uint64_t request, const std::string& job) {
     cancel(now, request, job, 0);
   }
-  // Replies to cancellations that are proven, or that can't be proven soon.
+  // Replies to pending cancellations: 200 if the end of the job is recorded, 503 if it can't be
+  // confirmed soon or the deadline has passed.
   void tick(Ms now);
-  // Some request waits for the end of the job.
-  [[nodiscard]] bool is_waited_for(const std::string& job) const { return pending_.contains(job); }
+  // Whether a request waits for the end of the job.
+  [[nodiscard]] bool has_pending_request(const std::string& job) const {
+    return pending_.contains(job);
+  }
 
  private:
   struct PendingCancellation {
@@ -34,16 +37,18 @@
     Ms deadline = 0;
   };
 
-  void cancel(Ms now, std::uint64_t request, const std::string& id, int tries);
-  void write_cancelled(Ms now, std::uint64_t request, const std::string& id, int tries);
-  // The cancellation is recorded. It is told as soon as the records say that nothing of the job is
-  // left on any machine, which takes a stop and a write. What takes longer is told to come back: at
-  // once when a machine of ours is known not to answer, or the state service does not.
+  void cancel(Ms now, std::uint64_t request, const std::string& id, int retries);
+  void write_cancelled(Ms now, std::uint64_t request, const std::string& id, int retries);
+  // Called once the cancellation is recorded. Replies 200 as soon as the records show that no task
+  // of the job is left on any machine, which takes a stop command and a write. Replies 503 with
+  // Retry-After at the deadline, or at once if a machine of this controller's shard that still has
+  // tasks of the job, or the state service, is known not to answer.
   void wait_until_cancelled(Ms now, std::uint64_t request, const std::string& id);
-  // Replies when the end of the job is known, whichever it is.
+  // If the job is done or cancelled, replies with that state and returns true.
   bool reply_if_cancelled(std::uint64_t request, const std::string& id);
-  // Whether the machines of ours that still have tasks of the job answer, as far as we know.
-  [[nodiscard]] bool can_be_proven_soon(Ms now, const std::string& id) const;
+  // False if this controller can't write, or if a machine of its shard that still has tasks of the
+  // job is known not to answer. Machines of other shards are not considered.
+  [[nodiscard]] bool can_be_confirmed_soon(Ms now, const std::string& id) const;
 
   const Context& context_;
   JobReader& reader_;
--- a/src/jobs/job_completion.h
+++ b/src/jobs/job_completion.h
@@ -1,4 +1,4 @@
-// The end of jobs: their final state is written, and their records are removed.
+// Completion of jobs: writes the final state of jobs that have ended and removes their records.
 #pragma once
 
 #include <set>
@@ -10,27 +10,27 @@
 
 namespace scheduler {
 
-// The one writer of `over/ID`, on the controller that leads the duty of the job's key.
+// Only the controller that is the leader for the job's key writes the final state, `over/ID`.
 class JobCompletion {
  public:
   JobCompletion(const Context& context, const RangePlanner& planner, FailureTracker& failures)
       : context_(context), planner_(planner), failure_tracker_(failures) {}
 
-  // Something of the job has changed, or its leader has.
+  // Called when a record of the job, or the job's leader, has changed.
   void check(const std::string& job) { jobs_to_check_.insert(job); }
-  // Ends jobs of those to be checked that are over.
+  // Writes the final state of those jobs to be checked that have ended.
   void tick(Ms now);
 
  private:
-  // Every task is done, or cancelled and provably gone.
-  static bool is_over(const Job& job);
+  // Whether every task is done, or the job is cancelled and the records show that no task is left.
+  static bool has_ended(const Job& job);
   void write_final_state(const std::string& id, const Job& job);
 
   const Context& context_;
   const RangePlanner& planner_;
   FailureTracker& failure_tracker_;
   std::set<std::string> jobs_to_check_;
-  std::set<std::string> finishing_;  // being written
+  std::set<std::string> final_state_writes_;  // jobs whose final state is being written
 };
 
 }  // namespace scheduler
--- a/src/jobs/job_reader.cpp
+++ b/src/jobs/job_reader.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::string_view name_of(wire::JobState state) {
+std::string_view job_state_name(wire::JobState state) {
   switch (state) {
     case wire::JobState::queued:
       return "queued";
@@ -30,31 +30,31 @@
 void JobReader::log_job_reply(const std::string& id, wire::JobState state) const {
   if (!context_.logs_debug()) return;
   LogEvent event("job_reply");
-  event.field("job", id).field("state", name_of(state));
+  event.field("job", id).field("state", job_state_name(state));
   event.field("revision", newest_job_revision(context_.replica, context_.state_client, id))
       .field("applied", context_.state_client.applied_revision());
   context_.log(LogLevel::debug, event.text());
 }
 
 void JobReader::wait_until_job_settled(Ms now, std::uint64_t request, const std::string& id,
-                                       Ms deadline, const std::function<void(Ms now)>& then) {
+                                       Ms deadline, const std::function<void(Ms now)>& on_settled) {
   const std::uint64_t newest = newest_job_revision(context_.replica, context_.state_client, id);
   if (newest <= context_.state_client.applied_revision()) {
-    then(now);
+    on_settled(now);
     return;
   }
   if (waiting_requests_.shed_load(request)) return;
   waiting_requests_.add();
-  ++replies_delayed_;
+  ++delayed_reply_count_;
   context_.state_client.wait_for_revision(
-      now, newest, deadline, [this, request, id, deadline, then](Ms at, bool reached) {
+      now, newest, deadline, [this, request, id, deadline, on_settled](Ms at, bool reached) {
         waiting_requests_.remove();
         if (!reached) {
           context_.reply_unavailable(request, kRetryAfterS);
           return;
         }
         wait_until_job_settled(at, request, id, deadline,
-                               then);  // written again meanwhile, perhaps
+                               on_settled);  // the job may have been written again meanwhile
       });
 }
 
@@ -65,7 +65,7 @@
 
 void JobReader::read_job(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
                          const OnJobRead& on_job_read) {
-  // Final states never change, so the first one known is the answer.
+  // Final states never change, so one that the replica holds is the answer.
   if (const auto* final_state = context_.replica.final_state(id)) {
     on_job_read(now, final_status(*final_state));
     return;
@@ -84,8 +84,8 @@
           return;
         }
         wait_until_job_settled(at, request, id, deadline,
-                               [this, request, id, on_job_read](Ms then) {
-                                 read_settled_job(then, request, id, on_job_read);
+                               [this, request, id, on_job_read](Ms settled_at) {
+                                 read_settled_job(settled_at, request, id, on_job_read);
                                });
       });
 }
@@ -121,7 +121,7 @@
       return;
     }
   }
-  // Accepted between the two reads: then the replica may have it by now.
+  // If the job was accepted between the two reads, the replica may hold it now.
   if (http_result.status != 404 || context_.replica.job(id) || context_.replica.final_state(id)) {
     context_.reply_unavailable(request, kRetryAfterS);
     return;
--- a/src/jobs/job_submission.cpp
+++ b/src/jobs/job_submission.cpp
@@ -25,14 +25,15 @@
 std::optional<AdmissionError> JobSubmission::admission_error(const wire::JobSpec& spec) const {
   const Team* team = context_.team(spec.team);
   if (!team) return AdmissionError{"unknown team"};
-  std::set<std::string> zones;  // with a type that fits
+  std::set<std::string> zones;  // allowed zones with a machine type that a task fits on
   for (const auto& type : context_.replica.catalog()) {
     if (!type_fits(spec, type)) continue;
     for (const auto& zone : type.zones)
       if (allowed(spec, type.name, zone, false)) zones.insert(zone);
   }
   if (zones.empty()) return AdmissionError{"a task fits no allowed machine type"};
-  // Guards against tasks without number on one machine, beside every limit.
+  // An unlimited number of tasks without cpus and gpus would fit on one machine, and no limit of
+  // the team would apply to them.
   if (spec.cpus <= 0 && spec.gpus <= 0) return AdmissionError{"a task needs cpus or gpus"};
   const bool all_at_once = spec.is_gang() || spec.is_service();
   const double tasks = all_at_once ? spec.tasks : 1;
@@ -42,9 +43,10 @@
   return placement_error(spec, zones.size());
 }
 
-bool JobSubmission::refuse_early_service(std::uint64_t request, const wire::JobSpec& spec) const {
+bool JobSubmission::refuse_unsupported_service(std::uint64_t request,
+                                               const wire::JobSpec& spec) const {
   if (!spec.is_service() || context_.services_enabled()) return false;
-  // A controller of the former version could not read its records yet.
+  // Controllers of the previous version can't read the records of services.
   if (context_.settings.record_format < wire::kServiceFormat) {
     context_.reply(request, 400, wire::error_body("shape is missing or invalid"));
   } else {
@@ -60,7 +62,7 @@
 
 void JobSubmission::reply_known_or_refuse(Ms now, std::uint64_t request, const std::string& id,
                                           std::optional<AdmissionError> error) {
-  // What was accepted once is never refused later, whatever has changed since.
+  // A job that has been accepted is never refused later, even if it could not be admitted now.
   reader_.read_job(now, request, id, now + kSubmitTimeoutMs,
                    [this, request, id, error](Ms, const JobStatus& status) {
                      if (status.known) {
@@ -80,7 +82,8 @@
   record.shares = planner_.split_into_ranges(spec);
   std::string value = encode(record);
   if (static_cast<double>(value.size()) > context_.value_bytes()) {
-    // Types that nobody offers tell nothing.
+    // Machine types that the catalog doesn't offer have no effect, so they are left out to save
+    // space.
     std::erase_if(record.spec.types,
                   [this](const auto& type) { return !context_.replica.type(type); });
     value = encode(record);
@@ -96,7 +99,7 @@
     return;
   }
   const wire::JobSpec& spec = *job;
-  if (refuse_early_service(request, spec)) return;
+  if (refuse_unsupported_service(request, spec)) return;
   if (const auto* final_state = context_.replica.final_state(spec.id)) {
     reply_state(request, spec.id, JobReader::final_status(*final_state).state);
     return;
@@ -159,13 +162,14 @@
                                       const std::vector<std::string>& failed) {
   const Ms deadline = now + kPollTimeoutMs;
   if (failed.size() == 1 && failed[0] == wire::kViewKey) {
-    // Only the view has changed meanwhile; nothing speaks against the job itself.
-    context_.state_client.barrier_read(now, deadline, [this, request, body](Ms then, bool ok) {
-      ok ? on_submit(then, request, body) : context_.reply_unavailable(request, kRetryAfterS);
+    // Only the view has changed; the job itself can still be accepted, so the submission is
+    // retried.
+    context_.state_client.barrier_read(now, deadline, [this, request, body](Ms read_at, bool ok) {
+      ok ? on_submit(read_at, request, body) : context_.reply_unavailable(request, kRetryAfterS);
     });
     return;
   }
-  // Known already, or the view has changed.
+  // Another condition failed: the job may exist already.
   reader_.read_job(now, request, id, deadline, [this, request, id](Ms, const JobStatus& status) {
     status.known ? reply_state(request, id, status.state)
                  : context_.reply_unavailable(request, kRetryAfterS);
@@ -173,27 +177,28 @@
 }
 
 void JobSubmission::on_job_recorded(Ms now, std::uint64_t request, const std::string& id) {
-  const auto accepted = [this, request, id](wire::JobState state) {
+  const auto reply_accepted = [this, request, id](wire::JobState state) {
     context_.reply(request, 201, wire::job_state_body(id, state));
   };
   if (const auto* final_state = context_.replica.final_state(id)) {
-    accepted(JobReader::final_status(*final_state).state);
+    reply_accepted(JobReader::final_status(*final_state).state);
     return;
   }
   const Job* job = context_.replica.job(id);
   if (!job || (!job->record.cancelled && job->placed_tasks() == 0)) {
-    accepted(wire::JobState::queued);
+    reply_accepted(wire::JobState::queued);
     return;
   }
-  reader_.wait_until_job_settled(now, request, id, now + kPollTimeoutMs, [this, id, accepted](Ms) {
-    const auto* final_state = context_.replica.final_state(id);
-    const Job* settled = context_.replica.job(id);
-    if (final_state) {
-      accepted(JobReader::final_status(*final_state).state);
-      return;
-    }
-    accepted(settled ? JobReader::state_of(*settled) : wire::JobState::queued);
-  });
+  reader_.wait_until_job_settled(
+      now, request, id, now + kPollTimeoutMs, [this, id, reply_accepted](Ms) {
+        const auto* final_state = context_.replica.final_state(id);
+        const Job* settled = context_.replica.job(id);
+        if (final_state) {
+          reply_accepted(JobReader::final_status(*final_state).state);
+          return;
+        }
+        reply_accepted(settled ? JobReader::state_of(*settled) : wire::JobState::queued);
+      });
 }
 
 }  // namespace scheduler
--- a/src/jobs/job_submission.h
+++ b/src/jobs/job_submission.h
@@ -1,4 +1,4 @@
-// Submissions of jobs: admission, and the write that accepts a job.
+// Submission of jobs: checks whether a job can be admitted, and writes its record.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,14 @@
 
 namespace scheduler {
 
-// Why a job can never run here. Users are told the text with 422.
+// Why a job can never run in this cluster. The user receives the reason with status 422.
 struct AdmissionError {
   std::string_view reason;
 };
 
-// Submissions are idempotent: a job that was accepted once is answered with its state, whatever has
-// changed since. Accepted means that the job's record, with its first ranges, is written.
+// Submissions are idempotent: the reply to a repeated submission of an accepted job is the job's
+// state, whatever has changed since. A job is accepted once its record, with its first ranges, is
+// written.
 class JobSubmission {
  public:
   JobSubmission(const Context& context, const ControllerStatus& status, JobReader& reader,
@@ -34,24 +35,27 @@
   void on_submit(Ms now, std::uint64_t request, const std::string& body);
 
  private:
-  // Why the job can't run; none: it can.
+  // The reason why the job can never run; std::nullopt if it can.
   [[nodiscard]] std::optional<AdmissionError> admission_error(const wire::JobSpec& spec) const;
   [[nodiscard]] std::optional<AdmissionError> placement_error(const wire::JobSpec& spec,
                                                               std::size_t zones) const;
-  // A service is submitted while some controller may be unable to read its record. Replies if so.
-  [[nodiscard]] bool refuse_early_service(std::uint64_t request, const wire::JobSpec& spec) const;
+  // If the job is a service and some controller may be unable to read its record, replies with an
+  // error and returns true.
+  [[nodiscard]] bool refuse_unsupported_service(std::uint64_t request,
+                                                const wire::JobSpec& spec) const;
   void reply_state(std::uint64_t request, const std::string& id, wire::JobState state) const;
-  // The job is known, or can't be admitted unless it was accepted before.
+  // Replies with the state of the job if it was accepted before. Otherwise replies 422 with the
+  // reason, or 503 if there is none.
   void reply_known_or_refuse(Ms now, std::uint64_t request, const std::string& id,
                              std::optional<AdmissionError> error);
-  // The value of the job's record; none if it is too large to be stored.
+  // The encoded record of the job; std::nullopt if it is too large to be stored.
   std::optional<std::string> record_value(Ms now, const wire::JobSpec& spec);
   void write_job(Ms now, std::uint64_t request, const std::string& id, std::string value,
                  const std::string& body);
   void on_write_conflict(Ms now, std::uint64_t request, const std::string& id,
                          const std::string& body, const std::vector<std::string>& failed);
-  // The job is written. The reply may have been on its way for long: what has become of the job
-  // since then may have been told already.
+  // Called when the job's record is written. The reply of the state service may be late, and users
+  // may have received newer states of the job meanwhile, so the reply must not be older than those.
   void on_job_recorded(Ms now, std::uint64_t request, const std::string& id);
 
   const Context& context_;
--- a/src/jobs/timeouts.h
+++ b/src/jobs/timeouts.h
@@ -1,4 +1,4 @@
-// How long requests of users may wait.
+// Time limits of users' requests.
 #pragma once
 
 #include <cstddef>
@@ -6,12 +6,13 @@
 
 namespace scheduler {
 
-// Milliseconds after which a waiting request is given up with 503 (users wait 2 s for polls and
-// 5 s for submissions; an early no lets them come back).
+// Milliseconds after which a waiting request is answered 503. Users time out after 2 s for polls
+// and 5 s for submissions; the earlier 503 lets them retry before that.
 constexpr std::int64_t kPollTimeoutMs = 1500;
 constexpr std::int64_t kSubmitTimeoutMs = 2500;
-// Milliseconds for which a cancellation that is recorded waits for the proof that nothing is left:
-// a stop and a write take about 100, more on a busy controller.
+// Milliseconds for which the request waits, once its cancellation is recorded, until the records
+// show that no task is left. A stop command and a write take about 100 ms, more on a busy
+// controller.
 constexpr std::int64_t kCancelTimeoutMs = 1000;
 
 }  // namespace scheduler
--- a/src/jobs/waiting_requests.h
+++ b/src/jobs/waiting_requests.h
@@ -1,4 +1,4 @@
-// Requests of users that wait for the state service: their number is bounded.
+// Limits the number of users' requests that wait for the state service.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
   explicit WaitingRequests(const Context& context) : context_(context) {}
 
   [[nodiscard]] bool full() const { return count_ >= context_.capacity.waiting_requests; }
-  // If as many wait as may: answers this one 429 with Retry-After, and returns true.
+  // If the limit is reached, replies 429 with Retry-After to this request and returns true.
   [[nodiscard]] bool shed_load(std::uint64_t request) const;
   void add() { ++count_; }
   void remove() { --count_; }
