--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -53,7 +53,7 @@
 namespace scheduler {
 
 // A message to send to another controller.
-struct PeerSend {
+struct OutgoingPeerMessage {
   std::string to;
   std::string bytes;
 };
@@ -61,7 +61,7 @@
 struct Output {
   std::vector<Call> calls;
   std::vector<HttpReply> replies;
-  std::vector<PeerSend> peers;
+  std::vector<OutgoingPeerMessage> peers;
   std::vector<LogLine> logs;
 };
 
--- a/src/fleet/cloud_inventory.h
+++ b/src/fleet/cloud_inventory.h
@@ -1,4 +1,4 @@
-// The cloud's list of machines, read page by page again and again.
+// Reads the cloud's list of machines page by page, at regular intervals.
 #pragma once
 
 #include <functional>
@@ -13,29 +13,30 @@
 
 namespace scheduler {
 
-// Milliseconds between machine lists.
-constexpr std::int64_t kListEveryMs = 2000;
+// Milliseconds between two reads of the whole machine list.
+constexpr std::int64_t kListIntervalMs = 2000;
 // Milliseconds until a cloud request counts as unanswered.
 constexpr std::int64_t kCloudTimeoutMs = 8000;
-// Names in one request to return machines, and machines in one page of the list (PROTOCOL).
-constexpr std::size_t kMachinesPerScaleIn = 100;
-constexpr std::uint32_t kListPage = 500;
+// Most machines in one request to return machines, and in one page of the list (PROTOCOL).
+constexpr std::size_t kMaxMachinesPerScaleIn = 100;
+constexpr std::uint32_t kMaxMachinesPerPage = 500;
 
-// The list lags behind, and one may be older than the one before (PROTOCOL): what it lacks may
-// exist, and what it names may be gone.
+// The machine list of the cloud lags behind, and a list may be older than the previous one
+// (PROTOCOL): a machine that is missing from the list may exist, and a listed machine may no longer
+// exist.
 class CloudInventory {
  public:
-  // `complete` is called after each whole list.
-  CloudInventory(const Context& context, std::function<void(Ms now)> complete);
+  // `on_complete` is called whenever all pages of a list have been read.
+  CloudInventory(const Context& context, std::function<void(Ms now)> on_complete);
 
   void tick(Ms now);
-  // Forgets the list: this controller isn't the fleet leader, or can't write.
+  // Discards the list. Called while this controller isn't the fleet leader or can't write.
   void clear();
-  // This process was paused: a list that was asked for before is as old as that, on top of its own
-  // lag, and is asked for anew.
+  // Called when this process was paused. A list that was requested before the pause is older by the
+  // length of the pause, in addition to the usual lag, so it is discarded and requested again.
   void on_pause(Ms now);
-  // Whether a whole list has come since it was last forgotten.
-  [[nodiscard]] bool known() const { return listed_at_ != 0; }
+  // Whether a whole list has been read since the last one was discarded.
+  [[nodiscard]] bool known() const { return completed_at_ != 0; }
   [[nodiscard]] const links::RequestLink& link() const { return link_; }
   [[nodiscard]] bool contains(const std::string& id) const { return machines_.contains(id); }
   [[nodiscard]] const std::map<std::string, wire::CloudMachine>& machines() const {
@@ -46,20 +47,22 @@
   void read_page(Ms now, const std::string& after);
   void on_page(Ms now, std::uint64_t generation, const HttpResult& http_result);
   void finish(Ms now);
-  // When the list may be read again, so that its pages take their share of the cloud's rate only.
-  [[nodiscard]] Ms next_list_at(Ms now) const;
+  // Earliest time for the next read of the list, such that reading pages uses no more than its
+  // share of the cloud's request rate.
+  [[nodiscard]] Ms next_read_time(Ms now) const;
 
   const Context& context_;
-  std::function<void(Ms)> complete_;
-  bool busy_ = false;
-  Ms next_at_ = 0;
-  Ms page_at_ = 0;      // when to ask for a refused page again; 0: none was refused
-  int page_tries_ = 0;  // of the page that is being read
+  std::function<void(Ms)> on_complete_;
+  bool reading_ = false;
+  Ms next_read_at_ = 0;
+  Ms page_retry_at_ = 0;  // when to retry the failed page; 0: no retry is due
+  int page_tries_ = 0;    // failed reads of the current page
   std::size_t pages_read_ = 0;
-  std::uint64_t generation_ = 0;  // of what was asked for; counts the pauses
-  std::vector<wire::CloudMachine> pages_;
+  // Number of pauses so far. Replies to requests from before the last pause are ignored.
+  std::uint64_t generation_ = 0;
+  std::vector<wire::CloudMachine> machines_read_;  // machines of the pages read so far
   std::map<std::string, wire::CloudMachine> machines_;
-  Ms listed_at_ = 0;
+  Ms completed_at_ = 0;
   links::RequestLink link_;  // to the cloud
 };
 
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -11,24 +11,27 @@
 namespace {
 
 // Milliseconds between catalog reads.
-constexpr std::int64_t kCatalogEveryMs = 60'000;
+constexpr std::int64_t kCatalogIntervalMs = 60'000;
 // Milliseconds between decisions about the size of the fleet.
-constexpr std::int64_t kSizeEveryMs = 1000;
-// Part of that surplus that is returned in a second (one machine at least): whatever its size, most
-// of it is gone within ten minutes, and one a second is what small fleets always had.
-constexpr int kSurplusParts = 300;
-// Part of an idle fleet's surplus that is returned at once (one machine at least), so that a large
-// fleet is mostly back within a minute and a submission in between still finds machines.
-constexpr int kIdleSurplusParts = 30;
-// Nominal boot times after which a machine that is not up counts as stuck, and seconds added.
-constexpr double kStuckBoots = 4.0;
-constexpr double kStuckBootS = 30.0;
-// Seconds that a machine of a type that the catalog doesn't name is taken to need to boot.
-constexpr double kUnknownBootS = 60.0;
+constexpr std::int64_t kResizeIntervalMs = 1000;
+// The surplus divided by this is the number of machines drained per second, but at least one
+// machine. Most of a surplus of any size is thus returned within ten minutes.
+constexpr int kSurplusDivisor = 300;
+// The divisor for an idle fleet (at least one machine per second). Most of a large fleet is
+// returned within a minute, and a job that is submitted meanwhile still finds machines.
+constexpr int kIdleSurplusDivisor = 30;
+// A machine that is still booting after this many nominal boot times plus this many seconds counts
+// as stuck.
+constexpr double kStuckBootTimes = 4.0;
+constexpr double kStuckBootMarginS = 30.0;
+// Assumed boot time in seconds of machine types that the catalog doesn't contain.
+constexpr double kDefaultBootS = 60.0;
 // Milliseconds between checks for machines to return.
-constexpr std::int64_t kScaleInCheckMs = 500;
-// Milliseconds that the record of a machine that is gone is kept beyond what old lists may show.
-constexpr std::int64_t kGoneKeptMs = 60'000;
+constexpr std::int64_t kScaleInCheckIntervalMs = 500;
+// Milliseconds added to three times the list lag. The record of a terminated machine is kept for
+// this time, since an outdated list may still contain the machine, and a recorded machine may be
+// missing from the list for this time before it counts as lost.
+constexpr std::int64_t kListLagMarginMs = 60'000;
 
 }  // namespace
 
@@ -36,12 +39,13 @@
 
 namespace {
 
-// Keeps the time since which a condition has held; 0 while it does not.
-void since(Ms& from, bool holds, Ms now) {
+// Sets `since` to the time since which the condition has held without interruption, or to 0 if it
+// does not hold.
+void update_since(Ms& since, bool holds, Ms now) {
   if (!holds) {
-    from = 0;
-  } else if (from == 0) {
-    from = now;
+    since = 0;
+  } else if (since == 0) {
+    since = now;
   }
 }
 
@@ -49,43 +53,45 @@
 
 FleetCoordinator::FleetCoordinator(const Context& context)
     : context_(context),
-      fleet_(context.settings),
-      records_(context,
-               [this](const std::vector<std::string>& forgotten) { scale_out_.forget(forgotten); }),
-      list_(context, [this](Ms now) { on_list(now); }),
-      scale_out_(context, fleet_,
-                 [this](Ms now, const wire::ScaleOutRequest& request,
-                        const std::vector<std::string>& machines) {
-                   on_scaled_out(now, request, machines);
-                 }) {}
+      sizer_(context.settings),
+      record_writer_(
+          context,
+          [this](const std::vector<std::string>& removed) { scale_out_requests_.forget(removed); }),
+      inventory_(context, [this](Ms now) { on_list_complete(now); }),
+      scale_out_requests_(context, sizer_,
+                          [this](Ms now, const wire::ScaleOutRequest& request,
+                                 const std::vector<std::string>& machines) {
+                            on_scaled_out(now, request, machines);
+                          }) {}
 
 void FleetCoordinator::tick(Ms now) {
   if (!is_leader()) {
-    // Somebody else's now; what was under way fails by its view.
-    list_.clear();
-    records_.clear();
-    scale_out_.clear();
+    // Another controller is the fleet leader now. Transactions in flight fail because their
+    // condition on the view no longer holds.
+    inventory_.clear();
+    record_writer_.clear();
+    scale_out_requests_.clear();
     unlisted_since_.clear();
     surplus_since_ = idle_since_ = 0;
     return;
   }
   if (!context_.can_write(now)) {
-    list_.clear();
+    inventory_.clear();
     return;
   }
-  if (!reading_catalog_ && now >= catalog_at_) read_catalog(now);
-  list_.tick(now);
-  if (now >= resize_at_) resize(now);
-  scale_out_.tick(now);
-  if (!returning_ && now >= return_at_) return_drained(now);
-  records_.write(now);
+  if (!reading_catalog_ && now >= next_catalog_read_) read_catalog(now);
+  inventory_.tick(now);
+  if (now >= next_resize_) resize(now);
+  scale_out_requests_.tick(now);
+  if (!return_in_flight_ && now >= next_return_) return_drained(now);
+  record_writer_.write(now);
 }
 
 void FleetCoordinator::on_pause(Ms now, Ms gap) {
-  // What the list has not shown for a while gets that time again.
-  list_.on_pause(now);
+  // The time for which a machine has been missing from the list must not include the pause.
+  inventory_.on_pause(now);
   for (auto& [id, since] : unlisted_since_) since += gap;
-  for (auto& [id, since] : gone_since_) since += gap;
+  for (auto& [id, since] : terminated_since_) since += gap;
   surplus_since_ = 0;
   idle_since_ = 0;
 }
@@ -101,8 +107,8 @@
   return out;
 }
 
-// Machines that are usable or on their way.
-std::map<MachineKind, int> FleetCoordinator::held() const {
+// Machines that are ready or requested from the cloud, by kind.
+std::map<MachineKind, int> FleetCoordinator::held_machines() const {
   std::map<MachineKind, int> held;
   for (const auto& [id, record] : context_.replica.machines()) {
     if (record.state == MachineState::ready) ++held[{record.type, record.zone, record.spot}];
@@ -116,7 +122,7 @@
 
 void FleetCoordinator::read_catalog(Ms now) {
   reading_catalog_ = true;
-  catalog_at_ = now + kCatalogEveryMs;
+  next_catalog_read_ = now + kCatalogIntervalMs;
   context_.call(Target::cloud, "", "GET", wire::kCatalogPath, "", kCloudTimeoutMs,
                 [this](Ms at, const HttpResult& http_result) { on_catalog(at, http_result); });
 }
@@ -126,7 +132,7 @@
   const auto types = http_result.status == 200 ? wire::parse_catalog(http_result.body)
                                                : wire::decode_error("status", "200");
   if (!types || types->empty()) {
-    catalog_at_ = now + kSizeEveryMs;
+    next_catalog_read_ = now + kResizeIntervalMs;
     return;
   }
   const Replica& replica = context_.replica;
@@ -137,22 +143,22 @@
   transaction.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
   transaction.writes = {{key, body, std::nullopt}};
   transaction.done = [this](Ms at, TxnResult result, const auto&) {
-    if (result != TxnResult::committed) catalog_at_ = at + kSizeEveryMs;
+    if (result != TxnResult::committed) next_catalog_read_ = at + kResizeIntervalMs;
   };
   context_.state_client.submit(std::move(transaction));
 }
 
 // ---- the list of machines ----
 
-void FleetCoordinator::on_list(Ms now) {
+void FleetCoordinator::on_list_complete(Ms now) {
   if (!context_.can_write(now) || !is_leader()) return;
   std::vector<std::string> unknown_failed;
-  for (const auto& [id, listed] : list_.machines()) {
+  for (const auto& [id, listed] : inventory_.machines()) {
     if (check_listed(id, listed)) unknown_failed.push_back(id);
   }
-  if (adopted_ > 0)
-    context_.log(LogLevel::info, "adopting " + std::to_string(adopted_) + " machines");
-  adopted_ = 0;
+  if (adopted_count_ > 0)
+    context_.log(LogLevel::info, "adopting " + std::to_string(adopted_count_) + " machines");
+  adopted_count_ = 0;
   if (!unknown_failed.empty()) return_machines(std::move(unknown_failed));
   check_unlisted(now);
 }
@@ -161,94 +167,99 @@
   const bool failed = listed.state == wire::CloudState::failed;
   const wire::MachineRecord* record = context_.replica.machine(id);
   if (!record) {
-    if (gone_since_.contains(id) || records_.pending(id)) return false;  // an old list
+    if (terminated_since_.contains(id) || record_writer_.is_pending(id))
+      return false;  // the list is outdated
     if (failed) return true;
-    // Not rented by any request we remember, or not yet recorded: ours to use or to return.
+    // No known request has rented this machine, or the machine is not recorded yet. It is paid for,
+    // so it is recorded, and then used or returned like any other.
     context_.log(LogLevel::debug, "adopting machine " + id);
-    ++adopted_;
-    wire::MachineRecord fresh;
-    fresh.address = listed.address;
-    fresh.type = listed.type;
-    fresh.zone = listed.zone;
-    fresh.spot = listed.spot;
-    records_.set_state(id, fresh, MachineState::ready);
+    ++adopted_count_;
+    wire::MachineRecord new_record;
+    new_record.address = listed.address;
+    new_record.type = listed.type;
+    new_record.zone = listed.zone;
+    new_record.spot = listed.spot;
+    record_writer_.set_state(id, new_record, MachineState::ready);
     return false;
   }
   if (record->state == MachineState::terminated || record->state == MachineState::lost)
     return false;
   if (failed) {
     context_.log(LogLevel::info, "machine " + id + " has failed");
-    records_.set_state(id, *record, MachineState::terminated);
+    record_writer_.set_state(id, *record, MachineState::terminated);
     return true;
   }
   const wire::MachineType* type = context_.replica.type(listed.type);
-  const double boot_s = type ? type->boot_s : kUnknownBootS;
+  const double boot_s = type ? type->boot_s : kDefaultBootS;
   if (listed.state == wire::CloudState::booting && record->incarnation == 0 &&
-      listed.held_s > kStuckBoots * boot_s + kStuckBootS) {
-    context_.log(LogLevel::info, "machine " + id + " does not come up");
-    records_.set_state(id, *record, MachineState::lost);
+      listed.held_s > kStuckBootTimes * boot_s + kStuckBootMarginS) {
+    context_.log(LogLevel::info, "machine " + id + " has not finished booting in time");
+    record_writer_.set_state(id, *record, MachineState::lost);
   }
   return false;
 }
 
-// Machines that are recorded and not listed although they have had time to appear.
+// Marks recorded machines as lost if the list has not contained them for longer than its lag
+// explains.
 void FleetCoordinator::check_unlisted(Ms now) {
   const Replica& replica = context_.replica;
-  const Ms patience = static_cast<Ms>(context_.settings.list_lag_s * 3000.0) + kGoneKeptMs;
-  std::erase_if(gone_since_, [&](const auto& gone) {
-    return !replica.machine(gone.first) && now - gone.second > 2 * patience;
+  const Ms unlisted_timeout =
+      static_cast<Ms>(context_.settings.list_lag_s * 3000.0) + kListLagMarginMs;
+  std::erase_if(terminated_since_, [&](const auto& entry) {
+    return !replica.machine(entry.first) && now - entry.second > 2 * unlisted_timeout;
   });
   std::erase_if(unlisted_since_,
-                [this](const auto& unlisted) { return list_.contains(unlisted.first); });
+                [this](const auto& unlisted) { return inventory_.contains(unlisted.first); });
   const auto overdue = [&](const std::string& id) {
-    return now - unlisted_since_.emplace(id, now).first->second > patience;
+    return now - unlisted_since_.emplace(id, now).first->second > unlisted_timeout;
   };
   for (const auto& [id, record] : replica.machines()) {
-    if (list_.contains(id) || record.state != MachineState::ready) continue;
-    if (overdue(id) && record.incarnation == 0) {  // never heard
-      context_.log(LogLevel::info, "machine " + id + " is not listed");
-      records_.set_state(id, record, MachineState::lost);
+    if (inventory_.contains(id) || record.state != MachineState::ready) continue;
+    if (overdue(id) && record.incarnation == 0) {  // it never sent a heartbeat
+      context_.log(LogLevel::info, "machine " + id + " is missing from the cloud's machine list");
+      record_writer_.set_state(id, record, MachineState::lost);
     }
   }
-  // Placements on a machine that is neither recorded nor listed: it is returned, which proves them
-  // gone. Guards against tasks that nobody could ever free.
+  // A machine with placements that is neither recorded nor listed is marked as lost and thus
+  // returned, which proves that its tasks have ended. Otherwise no controller could ever release
+  // them.
   for (const auto& id : replica.unrecorded_machines()) {
-    if (list_.contains(id) || records_.pending(id)) continue;
-    if (overdue(id)) records_.set_state(id, {}, MachineState::lost);
+    if (inventory_.contains(id) || record_writer_.is_pending(id)) continue;
+    if (overdue(id)) record_writer_.set_state(id, {}, MachineState::lost);
   }
 }
 
 // ---- size ----
 
 void FleetCoordinator::resize(Ms now) {
-  resize_at_ = now + kSizeEveryMs;
-  if (!context_.replica.has_catalog() || !list_.known()) return;
-  const auto machines = held();
+  next_resize_ = now + kResizeIntervalMs;
+  if (!context_.replica.has_catalog() || !inventory_.known()) return;
+  const auto machines = held_machines();
   const auto work = demand();
-  if (scale_out_.idle()) scale_out(now, work, machines);
+  if (scale_out_requests_.idle()) scale_out(now, work, machines);
   scale_in(now, work, machines);
 }
 
 void FleetCoordinator::scale_out(Ms now, const std::vector<Demand>& work,
                                  const std::map<MachineKind, int>& held) {
-  for (auto& request : fleet_.next_scale_out(now, work, context_.replica.catalog(), held))
-    scale_out_.request(std::move(request));
+  for (auto& request : sizer_.next_scale_out(now, work, context_.replica.catalog(), held))
+    scale_out_requests_.request(std::move(request));
 }
 
-// Too many machines for long: one empty machine at a time is drained and then returned. With
-// nothing to do at all they go sooner, and more at a time.
+// Drains some of the empty machines each second if the surplus has lasted long enough. Without any
+// unfinished job, draining starts sooner and takes more machines at a time.
 void FleetCoordinator::scale_in(Ms now, const std::vector<Demand>& work,
                                 const std::map<MachineKind, int>& held) {
-  const auto surplus = fleet_.surplus(work, context_.replica.catalog(), held);
+  const auto surplus = sizer_.surplus(work, context_.replica.catalog(), held);
   int total = 0;
   for (const auto& [type, count] : surplus) total += std::max(0, count);
-  since(surplus_since_, total > 0, now);
-  since(idle_since_, work.empty(), now);
+  update_since(surplus_since_, total > 0, now);
+  update_since(idle_since_, work.empty(), now);
   if (total == 0) return;
-  if (idle_since_ != 0 && now - idle_since_ >= kScaleInIdleAfterMs) {
-    drain_empty(surplus, std::max(1, total / kIdleSurplusParts));
-  } else if (now - surplus_since_ >= kScaleInAfterMs) {
-    drain_empty(surplus, std::max(1, total / kSurplusParts));
+  if (idle_since_ != 0 && now - idle_since_ >= kIdleScaleInDelayMs) {
+    drain_empty(surplus, std::max(1, total / kIdleSurplusDivisor));
+  } else if (now - surplus_since_ >= kScaleInDelayMs) {
+    drain_empty(surplus, std::max(1, total / kSurplusDivisor));
   }
 }
 
@@ -260,7 +271,7 @@
     const bool usable = record.incarnation != 0 && record.state == MachineState::ready;
     if (!usable || !context_.replica.placed_on(id).empty()) continue;
     context_.log(LogLevel::info, "returning idle machine " + id);
-    records_.set_state(id, record, MachineState::draining);
+    record_writer_.set_state(id, record, MachineState::draining);
     --of_type->second;
     --count;
   }
@@ -269,24 +280,25 @@
 void FleetCoordinator::on_scaled_out(Ms now, const wire::ScaleOutRequest& request,
                                      const std::vector<std::string>& machines) {
   for (const auto& id : machines) {
-    if (context_.replica.machine(id) || records_.pending(id)) continue;  // listed already
+    if (context_.replica.machine(id) || record_writer_.is_pending(id))
+      continue;  // already adopted from the list
     wire::MachineRecord record;
     record.type = request.type;
     record.zone = request.zone;
     record.spot = request.spot;
-    records_.set_state(id, record, MachineState::ready);
+    record_writer_.set_state(id, record, MachineState::ready);
   }
-  records_.settle_scale_out(request.name, {machines.begin(), machines.end()});
-  records_.write(now);
+  record_writer_.settle_scale_out(request.name, {machines.begin(), machines.end()});
+  record_writer_.write(now);
 }
 
 // ---- returning machines ----
 
 void FleetCoordinator::return_drained(Ms now) {
-  return_at_ = now + kScaleInCheckMs;
+  next_return_ = now + kScaleInCheckIntervalMs;
   std::vector<std::string> ids;
   for (const auto& [id, record] : context_.replica.machines()) {
-    if (records_.pending(id)) continue;
+    if (record_writer_.is_pending(id)) continue;
     const bool empty = context_.replica.placed_on(id).empty();
     switch (record.state) {
       case MachineState::lost:
@@ -297,9 +309,11 @@
         if (empty) ids.push_back(id);
         break;
       case MachineState::terminated: {
-        const Ms since = gone_since_.emplace(id, now).first->second;
-        const Ms kept = kGoneKeptMs + static_cast<Ms>(context_.settings.list_lag_s * 3000.0);
-        if (empty && now - since >= kept && !list_.contains(id)) records_.forget(id);
+        const Ms since = terminated_since_.emplace(id, now).first->second;
+        const Ms retention =
+            kListLagMarginMs + static_cast<Ms>(context_.settings.list_lag_s * 3000.0);
+        if (empty && now - since >= retention && !inventory_.contains(id))
+          record_writer_.remove(id);
         break;
       }
       case MachineState::ready:
@@ -310,8 +324,8 @@
 }
 
 void FleetCoordinator::return_machines(std::vector<std::string> ids) {
-  if (ids.size() > kMachinesPerScaleIn) ids.resize(kMachinesPerScaleIn);
-  returning_ = true;
+  if (ids.size() > kMaxMachinesPerScaleIn) ids.resize(kMaxMachinesPerScaleIn);
+  return_in_flight_ = true;
   const std::string body = wire::scale_in_body(ids);
   context_.call(Target::cloud, "", "POST", wire::kScaleInPath, body, kCloudTimeoutMs,
                 [this, ids = std::move(ids)](Ms at, const HttpResult& http_result) {
@@ -321,16 +335,16 @@
 
 void FleetCoordinator::on_returned(Ms now, const std::vector<std::string>& ids,
                                    const HttpResult& http_result) {
-  returning_ = false;
-  return_at_ = now + kScaleInCheckMs;
+  return_in_flight_ = false;
+  next_return_ = now + kScaleInCheckIntervalMs;
   if (http_result.status != 200) return;
-  // The cloud's word: the machines and all on them are gone.
+  // The cloud has confirmed that the machines are terminated, and thus all tasks on them.
   for (const auto& id : ids) {
-    gone_since_[id] = now;
+    terminated_since_[id] = now;
     unlisted_since_.erase(id);
     const wire::MachineRecord* record = context_.replica.machine(id);
     if (record && record->state != MachineState::terminated && context_.can_write(now))
-      records_.set_state(id, *record, MachineState::terminated);
+      record_writer_.set_state(id, *record, MachineState::terminated);
   }
 }
 
--- a/src/fleet/fleet_coordinator.h
+++ b/src/fleet/fleet_coordinator.h
@@ -1,5 +1,5 @@
-// The fleet leader decides which machines there are to be. One controller of the view
-// does this, the one that the duty is hashed to.
+// The fleet leader decides which machines to rent and which to return. One controller of the view
+// is the leader: the one that the duty's name is hashed to.
 #pragma once
 
 #include <map>
@@ -16,41 +16,43 @@
 
 namespace scheduler {
 
-// Milliseconds for which the fleet must have been larger than wanted before machines are returned.
-constexpr std::int64_t kScaleInAfterMs = 300'000;
-// The same while no job is unfinished: the pause between two submissions is shorter on any busy
-// day, and a machine is back within a boot.
-constexpr std::int64_t kScaleInIdleAfterMs = 30'000;
+// Milliseconds for which the fleet must be larger than needed before machines are returned.
+constexpr std::int64_t kScaleInDelayMs = 300'000;
+// Milliseconds without an unfinished job after which surplus machines are returned. On a busy day
+// the time between two submissions is shorter than that, and a returned machine can be replaced
+// within one boot time.
+constexpr std::int64_t kIdleScaleInDelayMs = 30'000;
 
-// Rents what the unfinished work needs, adopts machines that nobody expected, and returns those
-// that are lost, quarantined, drained or not needed.
+// Rents machines for the unfinished jobs, adopts listed machines that have no record, and returns
+// machines that are lost, quarantined, drained or not needed.
 class FleetCoordinator {
  public:
   explicit FleetCoordinator(const Context& context);
 
   void tick(Ms now);
-  // This process was paused for `gap` milliseconds.
+  // Called when this process was paused for `gap` milliseconds.
   void on_pause(Ms now, Ms gap);
-  // The link to the cloud; known only while this controller is the fleet leader.
-  [[nodiscard]] const links::RequestLink& cloud_link() const { return list_.link(); }
+  // The link to the cloud. It has evidence only while this controller is the fleet leader.
+  [[nodiscard]] const links::RequestLink& cloud_link() const { return inventory_.link(); }
 
  private:
   [[nodiscard]] bool is_leader() const { return context_.is_leader_of(kFleetDuty); }
   [[nodiscard]] std::vector<Demand> demand() const;
-  [[nodiscard]] std::map<MachineKind, int> held() const;
+  [[nodiscard]] std::map<MachineKind, int> held_machines() const;
 
   void read_catalog(Ms now);
   void on_catalog(Ms now, const HttpResult& http_result);
 
-  void on_list(Ms now);
-  // A machine of the list. True when it is to be returned although it is not recorded as lost.
+  void on_list_complete(Ms now);
+  // Compares a listed machine with its record. Returns true if the machine has failed and must be
+  // returned although no record says that it is lost.
   bool check_listed(const std::string& id, const wire::CloudMachine& listed);
   void check_unlisted(Ms now);
 
   void resize(Ms now);
   void scale_out(Ms now, const std::vector<Demand>& work, const std::map<MachineKind, int>& held);
   void scale_in(Ms now, const std::vector<Demand>& work, const std::map<MachineKind, int>& held);
-  // Drains up to `count` empty machines of those types that there are too many of.
+  // Drains up to `count` machines without tasks, of the types in `surplus` with a positive count.
   void drain_empty(std::map<std::string, int> surplus, int count);
   void on_scaled_out(Ms now, const wire::ScaleOutRequest& request,
                      const std::vector<std::string>& machines);
@@ -60,21 +62,21 @@
   void on_returned(Ms now, const std::vector<std::string>& ids, const HttpResult& http_result);
 
   const Context& context_;
-  FleetSizer fleet_;
-  FleetRecordWriter records_;
-  CloudInventory list_;
-  ScaleOutRequests scale_out_;
+  FleetSizer sizer_;
+  FleetRecordWriter record_writer_;
+  CloudInventory inventory_;
+  ScaleOutRequests scale_out_requests_;
 
-  int adopted_ = 0;  // machines of the list that is being looked through
+  int adopted_count_ = 0;  // machines adopted from the list that is being processed
   bool reading_catalog_ = false;
-  Ms catalog_at_ = 0;
-  Ms resize_at_ = 0;
-  Ms surplus_since_ = 0;  // 0: no more machines than wanted
+  Ms next_catalog_read_ = 0;
+  Ms next_resize_ = 0;
+  Ms surplus_since_ = 0;  // 0: no more machines than needed
   Ms idle_since_ = 0;     // 0: some job is unfinished
-  bool returning_ = false;
-  Ms return_at_ = 0;
-  std::map<std::string, Ms> gone_since_;      // machines that the cloud has taken back
-  std::map<std::string, Ms> unlisted_since_;  // recorded machines that the list lacks
+  bool return_in_flight_ = false;
+  Ms next_return_ = 0;
+  std::map<std::string, Ms> terminated_since_;  // machines that the cloud has terminated
+  std::map<std::string, Ms> unlisted_since_;    // recorded machines that are missing from the list
 };
 
 }  // namespace scheduler
--- a/src/fleet/fleet_record_writer.cpp
+++ b/src/fleet/fleet_record_writer.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-// Bytes that a machine takes of a shared record, with space for longer names than usual.
+// Bytes of one machine in a group's record, with a reserve for names that are longer than usual.
 constexpr std::size_t kBytesPerMachine = 112;
 
 }  // namespace
 
-FleetRecordWriter::FleetRecordWriter(const Context& context, Written written)
-    : context_(context), written_(std::move(written)) {}
+FleetRecordWriter::FleetRecordWriter(const Context& context, OnWritten on_written)
+    : context_(context), on_written_(std::move(on_written)) {}
 
 void FleetRecordWriter::set_state(const std::string& id, wire::MachineRecord record,
                                   wire::MachineState state) {
@@ -24,7 +24,7 @@
   pending_[id] = std::move(record);
 }
 
-void FleetRecordWriter::forget(const std::string& id) { pending_[id] = std::nullopt; }
+void FleetRecordWriter::remove(const std::string& id) { pending_[id] = std::nullopt; }
 
 void FleetRecordWriter::settle_scale_out(const std::string& name, std::set<std::string> machines) {
   settled_scale_outs_[name] = std::move(machines);
@@ -36,18 +36,18 @@
 }
 
 void FleetRecordWriter::write(Ms now) {
-  if (busy_ || !context_.can_write(now)) return;
+  if (write_in_flight_ || !context_.can_write(now)) return;
   if (context_.services_enabled() && split_large_group()) return;
   if (pending_.empty() && settled_scale_outs_.empty()) return;
   Batch batch;
-  add_machines(batch);
-  Transaction transaction = transaction_of(batch);
+  add_pending_changes(batch);
+  Transaction transaction = make_transaction(batch);
   if (transaction.writes.empty()) {
     on_settled(batch);
     return;
   }
-  // Whatever was not written is found again: in the list, in the records, or by repeating the
-  // scale-out request under its name.
+  // If the write fails, its changes are dropped as well. Their reasons are detected again: from the
+  // machine list, from the records, or from the repeated scale-out request with the same name.
   submit(std::move(transaction), [this, batch = std::move(batch)](Ms) { on_settled(batch); });
 }
 
@@ -56,7 +56,7 @@
       std::max(1.0, context_.value_bytes() / static_cast<double>(kBytesPerMachine)));
 }
 
-// Splits the first group over the limit. True when a write is under way.
+// Splits the first group that is over the limit. Returns true if a write was started.
 bool FleetRecordWriter::split_large_group() {
   GroupLimits limits;
   limits.machines = machines_per_group();
@@ -75,52 +75,53 @@
     }
     context_.log(LogLevel::info, "splitting machine group " + std::to_string(group) + " into " +
                                      std::to_string(pieces->size()));
-    submit(std::move(transaction), [this](Ms) { busy_ = false; });
+    submit(std::move(transaction), [this](Ms) { write_in_flight_ = false; });
     return true;
   }
   return false;
 }
 
-// The group's record as the batch is to write it.
-wire::FleetRecord& FleetRecordWriter::group_of_batch(Batch& batch, std::uint32_t group) const {
-  auto [entry, fresh] = batch.groups.try_emplace(group);
-  if (fresh) {
+// The record that the batch will write for the group; initially a copy of the stored record.
+wire::FleetRecord& FleetRecordWriter::batch_group(Batch& batch, std::uint32_t group) const {
+  auto [entry, inserted] = batch.groups.try_emplace(group);
+  if (inserted) {
     const auto stored = context_.replica.fleet().find(group);
     if (stored != context_.replica.fleet().end()) entry->second = stored->second;
   }
   return entry->second;
 }
 
-// The first group, from the given one on, that can take one more machine.
+// The first group, starting with `first`, that has room for one more machine.
 std::uint32_t FleetRecordWriter::group_with_room(const Batch& batch, std::uint32_t first) const {
   const auto size = [&](std::uint32_t group) -> std::size_t {
-    const auto written = batch.groups.find(group);
-    if (written != batch.groups.end()) return written->second.machines.size();
+    const auto batched = batch.groups.find(group);
+    if (batched != batch.groups.end()) return batched->second.machines.size();
     const auto stored = context_.replica.fleet().find(group);
     return stored == context_.replica.fleet().end() ? 0 : stored->second.machines.size();
   };
-  const std::size_t most = machines_per_group();
+  const std::size_t max_machines = machines_per_group();
   std::uint32_t group = first;
-  while (size(group) >= most) ++group;
+  while (size(group) >= max_machines) ++group;
   return group;
 }
 
-// Puts the changes that wait into the batch, new machines into groups that have capacity.
-void FleetRecordWriter::add_machines(Batch& batch) const {
-  std::uint32_t open = 0;  // groups before it are full
+// Adds the queued changes to the batch, as far as they fit. New machines are assigned to groups
+// that have room.
+void FleetRecordWriter::add_pending_changes(Batch& batch) const {
+  std::uint32_t first_open_group = 0;  // all groups with lower numbers are full
   for (const auto& [id, record] : pending_) {
     std::optional<std::uint32_t> group = context_.replica.group_of(id);
     if (!group && !record) {
-      batch.machines.insert(id);  // forgotten already
+      batch.machines.insert(id);  // the record has been removed already
       continue;
     }
     if (!group) {
-      open = group_with_room(batch, open);
-      group = open;
+      first_open_group = group_with_room(batch, first_open_group);
+      group = first_open_group;
     }
-    const bool carried = batch.groups.contains(*group);
-    if (!carried && batch.groups.size() >= context_.capacity.machine_groups_at_once) continue;
-    wire::FleetRecord& target = group_of_batch(batch, *group);
+    const bool in_batch = batch.groups.contains(*group);
+    if (!in_batch && batch.groups.size() >= context_.capacity.machine_groups_at_once) continue;
+    wire::FleetRecord& target = batch_group(batch, *group);
     if (record) {
       target.machines[id] = *record;
     } else {
@@ -130,8 +131,9 @@
   }
 }
 
-// The transaction that writes the batch, with the scale-out requests that can be forgotten with it.
-Transaction FleetRecordWriter::transaction_of(Batch& batch) const {
+// The transaction that writes the batch and removes the records of those scale-out requests whose
+// machines are all recorded with it.
+Transaction FleetRecordWriter::make_transaction(Batch& batch) const {
   Transaction transaction;
   transaction.conditions = {context_.view_unchanged()};
   for (const auto& [group, record] : batch.groups) {
@@ -144,7 +146,7 @@
   for (const auto& [name, machines] : settled_scale_outs_) {
     const bool all_recorded = std::all_of(
         machines.begin(), machines.end(),
-        [&](const std::string& id) { return batch.machines.contains(id) || !pending(id); });
+        [&](const std::string& id) { return batch.machines.contains(id) || !is_pending(id); });
     const bool full = static_cast<int>(transaction.writes.size()) >= context_.settings.txn_ops;
     if (!all_recorded || full) continue;
     batch.scale_out_requests.push_back(name);
@@ -156,14 +158,15 @@
   return transaction;
 }
 
-void FleetRecordWriter::submit(Transaction transaction, std::function<void(Ms)> settled) {
-  busy_ = true;
-  transaction.done = [this, settled = std::move(settled)](Ms now, TxnResult result, const auto&) {
+void FleetRecordWriter::submit(Transaction transaction, std::function<void(Ms)> after_write) {
+  write_in_flight_ = true;
+  transaction.done = [this, after_write = std::move(after_write)](Ms now, TxnResult result,
+                                                                  const auto&) {
     if (result == TxnResult::committed) {
-      settled(now);
+      after_write(now);
       return;
     }
-    context_.state_client.wait_until_settled(now, settled);
+    context_.state_client.wait_until_settled(now, after_write);
   };
   context_.state_client.submit(std::move(transaction));
 }
@@ -171,8 +174,8 @@
 void FleetRecordWriter::on_settled(const Batch& batch) {
   for (const auto& id : batch.machines) pending_.erase(id);
   for (const auto& name : batch.scale_out_requests) settled_scale_outs_.erase(name);
-  busy_ = false;
-  written_(batch.scale_out_requests);
+  write_in_flight_ = false;
+  on_written_(batch.scale_out_requests);
 }
 
 }  // namespace scheduler
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -11,18 +11,19 @@
 
 namespace {
 
-// Share of the demand held beyond it, so that a burst finds capacity while others boot.
-constexpr double kHeadroom = 0.5;
-// Whole machines held free beyond the demand, if there is any.
+// Machines held in addition to the demand, as a share of the demand: capacity for a burst of jobs
+// while more machines boot.
+constexpr double kHeadroomShare = 0.5;
+// Machines of each type held in addition to the demand and its headroom, if there is any demand.
 constexpr double kSpareMachines = 2.0;
-// Machines rented in one request (PROTOCOL: 50 at most).
-constexpr std::uint32_t kMachinesPerScaleOut = 50;
-// Requests for one kind of machine at once; further ones wait until these are answered.
-constexpr std::uint32_t kScaleOutsPerKind = 3;
+// Most machines in one scale-out request (PROTOCOL allows 50).
+constexpr std::uint32_t kMaxMachinesPerScaleOut = 50;
+// Most simultaneous requests for one kind of machine; further ones wait until these are answered.
+constexpr std::uint32_t kMaxScaleOutsPerKind = 3;
 
 }  // namespace
 
-double FleetSizer::parallel(const Demand& demand) const {
+double FleetSizer::parallel_tasks(const Demand& demand) const {
   const wire::JobSpec& job = *demand.job;
   const auto tasks = static_cast<double>(demand.tasks);
   if (job.is_gang() || job.is_service()) return job.tasks;
@@ -35,13 +36,14 @@
       horizon = std::min(horizon, objective.within_s);
     if (objective.kind == ObjectiveKind::wait) horizon = 0;
   }
-  // Half of the horizon: boots, fetches and wrong estimates take the rest.
+  // Only half of the horizon is planned for tasks; booting machines, fetching images and wrong
+  // estimates take the other half.
   const double rounds = std::max(1.0, std::floor(horizon / 2 / std::max(1.0, job.estimate_s)));
   return std::ceil(tasks / rounds);
 }
 
-const wire::MachineType* FleetSizer::type_for(const wire::JobSpec& job,
-                                              const std::vector<wire::MachineType>& catalog) {
+const wire::MachineType* FleetSizer::cheapest_type_for(
+    const wire::JobSpec& job, const std::vector<wire::MachineType>& catalog) {
   const wire::MachineType* best = nullptr;
   double best_price = 0;
   for (const auto& type : catalog) {
@@ -51,9 +53,9 @@
     if (!job.zone.empty() &&
         std::find(type.zones.begin(), type.zones.end(), job.zone) == type.zones.end())
       continue;
-    const double n = fit_count(resources_of(job), resources_of(type));
-    if (n < 1) continue;
-    const double price = type.price / n;
+    const double tasks_per_machine = fit_count(resources_of(job), resources_of(type));
+    if (tasks_per_machine < 1) continue;
+    const double price = type.price / tasks_per_machine;
     if (!best || price < best_price) {
       best = &type;
       best_price = price;
@@ -64,66 +66,70 @@
 
 std::vector<FleetSizer::Need> FleetSizer::needs(
     const std::vector<Demand>& demand, const std::vector<wire::MachineType>& catalog) const {
-  // By type, whether for any zone, zone, whether for any kind: specific before general.
+  // Key: type, whether any zone counts, zone, whether spot machines count. false sorts before true,
+  // so specific needs come before general ones.
   std::map<std::tuple<std::string, bool, std::string, bool>, double> sums;
   for (const auto& work : demand) {
-    const auto* t = type_for(*work.job, catalog);
-    if (!t || work.tasks == 0) continue;
-    const double machines = parallel(work) / fit_count(resources_of(*work.job), resources_of(*t));
+    const auto* machine_type = cheapest_type_for(*work.job, catalog);
+    if (!machine_type || work.tasks == 0) continue;
+    const double machines =
+        parallel_tasks(work) / fit_count(resources_of(*work.job), resources_of(*machine_type));
     std::vector<std::string> zones{""};
     if (!work.job->zone.empty()) zones.push_back(work.job->zone);
-    for (const auto& z : zones) {
-      sums[{t->name, z.empty(), z, true}] += machines;
-      if (!work.job->spot) sums[{t->name, z.empty(), z, false}] += machines;
+    for (const auto& zone : zones) {
+      sums[{machine_type->name, zone.empty(), zone, true}] += machines;
+      if (!work.job->spot) sums[{machine_type->name, zone.empty(), zone, false}] += machines;
     }
   }
   std::vector<Need> out;
-  for (const auto& [key, n] : sums) {
+  for (const auto& [key, machines] : sums) {
     const auto& [type, any_zone, zone, any_kind] = key;
     const double spare = any_zone && any_kind ? kSpareMachines : 0;
-    out.push_back({type, zone, !any_kind, n * (1.0 + kHeadroom) + spare});
+    out.push_back({type, zone, !any_kind, machines * (1.0 + kHeadroomShare) + spare});
   }
   return out;
 }
 
 bool FleetSizer::is_refused(Ms now, const MachineKind& kind) const {
-  auto it = refused_.find(kind);
-  return it != refused_.end() && now < it->second;
+  auto it = refused_until_.find(kind);
+  return it != refused_until_.end() && now < it->second;
 }
 
 void FleetSizer::on_refused(Ms now, const MachineKind& kind) {
-  refused_[kind] = now + kRefusedPauseMs;
+  refused_until_[kind] = now + kRefusedPauseMs;
 }
 
-// Machines to be rented beside those that are held, kind by kind.
+// Machines to rent in addition to those held, by kind.
 struct FleetSizer::ScaleOutPlan {
-  std::map<MachineKind, int> counts;  // held, and planned so far
-  std::map<MachineKind, int> rent;
-  std::map<std::string, bool> spot_ok;  // by type: some work of it may use spot machines
+  std::map<MachineKind, int> counts;  // held, plus those planned so far
+  std::map<MachineKind, int> to_rent;
+  std::map<std::string, bool>
+      allows_spot;  // by type: whether some job for it may use spot machines
 };
 
-double FleetSizer::count_for(const Need& need, const std::map<MachineKind, int>& counts) {
-  double have = 0;
+double FleetSizer::matching_count(const Need& need, const std::map<MachineKind, int>& counts) {
+  double matching = 0;
   for (const auto& [kind, count] : counts) {
     if (kind.type == need.type && (need.zone.empty() || kind.zone == need.zone) &&
         !(need.ordinary_only && kind.spot))
-      have += count;
+      matching += count;
   }
-  return have;
+  return matching;
 }
 
 std::optional<MachineKind> FleetSizer::next_kind(Ms now, const Need& need,
                                                  const wire::MachineType& type,
                                                  ScaleOutPlan& plan) const {
-  constexpr int kMost = static_cast<int>(kMachinesPerScaleOut * kScaleOutsPerKind);
+  constexpr int kMaxMachinesPerKind =
+      static_cast<int>(kMaxMachinesPerScaleOut * kMaxScaleOutsPerKind);
   std::optional<MachineKind> best;
-  // Ordinary machines first: they are not preempted. Then the zone with the fewest.
+  // Prefers ordinary machines, since they are not preempted, and then the zone with the fewest.
   for (const bool spot : {false, true}) {
-    if (best || (spot && (need.ordinary_only || !plan.spot_ok[need.type]))) continue;
+    if (best || (spot && (need.ordinary_only || !plan.allows_spot[need.type]))) continue;
     for (const auto& zone : type.zones) {
       const MachineKind kind{need.type, zone, spot};
       if ((!need.zone.empty() && zone != need.zone) || is_refused(now, kind)) continue;
-      if (plan.rent[kind] >= kMost) continue;
+      if (plan.to_rent[kind] >= kMaxMachinesPerKind) continue;
       if (!best || plan.counts[kind] < plan.counts[*best]) best = kind;
     }
   }
@@ -136,26 +142,27 @@
   ScaleOutPlan plan;
   plan.counts = held;
   for (const auto& work : demand) {
-    if (const auto* type = type_for(*work.job, catalog)) plan.spot_ok[type->name] |= work.job->spot;
+    if (const auto* type = cheapest_type_for(*work.job, catalog))
+      plan.allows_spot[type->name] |= work.job->spot;
   }
   for (const Need& need : needs(demand, catalog)) {
     const auto type = std::find_if(catalog.begin(), catalog.end(), [&need](const auto& candidate) {
       return candidate.name == need.type;
     });
-    int missing = static_cast<int>(std::ceil(need.machines - count_for(need, plan.counts)));
+    int missing = static_cast<int>(std::ceil(need.machines - matching_count(need, plan.counts)));
     while (missing-- > 0) {
       const std::optional<MachineKind> kind = next_kind(now, need, *type, plan);
       if (!kind) break;
       ++plan.counts[*kind];
-      ++plan.rent[*kind];
+      ++plan.to_rent[*kind];
     }
   }
   std::vector<wire::ScaleOutRequest> out;
-  for (const auto& [kind, count] : plan.rent) {
-    for (auto left = static_cast<std::uint32_t>(count); left > 0;) {
-      const std::uint32_t machines = std::min(left, kMachinesPerScaleOut);
+  for (const auto& [kind, count] : plan.to_rent) {
+    for (auto remaining = static_cast<std::uint32_t>(count); remaining > 0;) {
+      const std::uint32_t machines = std::min(remaining, kMaxMachinesPerScaleOut);
       out.push_back({"", kind.type, kind.zone, kind.spot, machines});
-      left -= machines;
+      remaining -= machines;
     }
   }
   return out;
@@ -164,14 +171,15 @@
 std::map<std::string, int> FleetSizer::surplus(const std::vector<Demand>& demand,
                                                const std::vector<wire::MachineType>& catalog,
                                                const std::map<MachineKind, int>& held) const {
-  std::map<std::string, double> want;
+  std::map<std::string, double> wanted;
   for (const Need& need : needs(demand, catalog))
-    if (need.zone.empty() && !need.ordinary_only) want[need.type] = need.machines;
-  // Nothing is held for what may come while nothing is to be done.
-  const double least = demand.empty() ? 0.0 : kSpareMachines;
+    if (need.zone.empty() && !need.ordinary_only) wanted[need.type] = need.machines;
+  // Spare machines are held only while there is unfinished work.
+  const double min_machines = demand.empty() ? 0.0 : kSpareMachines;
   std::map<std::string, int> out;
-  for (const auto& [kind, n] : held) out[kind.type] += n;
-  for (auto& [type, n] : out) n -= static_cast<int>(std::ceil(std::max(want[type], least)));
+  for (const auto& [kind, count] : held) out[kind.type] += count;
+  for (auto& [type, count] : out)
+    count -= static_cast<int>(std::ceil(std::max(wanted[type], min_machines)));
   return out;
 }
 
--- a/src/fleet/fleet_sizer.h
+++ b/src/fleet/fleet_sizer.h
@@ -1,4 +1,4 @@
-// How many machines to hold, and which to rent next. Pure functions.
+// Computes how many machines the fleet needs and which to rent next, without I/O or clock.
 #pragma once
 
 #include <map>
@@ -13,20 +13,21 @@
 
 namespace scheduler {
 
-// Milliseconds for which a refused kind of machine is not asked for again.
+// Milliseconds for which a kind of machine is not requested again after the cloud refused it.
 constexpr std::int64_t kRefusedPauseMs = 15'000;
 
-// The duty of running the fleet. Its name decides which controller that is, so that the
-// production version and this one must hash the same one.
+// Name of the duty of managing the fleet. The fleet leader is determined by the hash of this name,
+// so it must be equal in the version in production and in this one.
 constexpr std::string_view kFleetDuty = "cloud";
 
+// Machines that are rented by the same kind of request.
 struct MachineKind {
   std::string type, zone;
   bool spot = false;
   auto operator<=>(const MachineKind&) const = default;
 };
 
-// Work that is not finished, as far as sizing cares.
+// An unfinished job.
 struct Demand {
   const wire::JobSpec* job = nullptr;
   std::uint64_t tasks = 0;  // unfinished
@@ -36,28 +37,28 @@
  public:
   explicit FleetSizer(const Settings& settings) : settings_(settings) {}
 
-  // Tasks of the job that have to run side by side for its objective.
-  [[nodiscard]] double parallel(const Demand& demand) const;
-  // The cheapest allowed type that a task fits on; nullptr if none.
-  [[nodiscard]] static const wire::MachineType* type_for(
+  // Number of tasks of the job that must run in parallel to meet its objective.
+  [[nodiscard]] double parallel_tasks(const Demand& demand) const;
+  // The allowed machine type with the lowest price per task; nullptr if a task fits on none.
+  [[nodiscard]] static const wire::MachineType* cheapest_type_for(
       const wire::JobSpec& job, const std::vector<wire::MachineType>& catalog);
-  // A number of machines of a type that must be held, counting only those of the zone ("" for
-  // any) and, if set, only ordinary ones.
+  // Number of machines of a type that the fleet needs. Only machines in `zone` count ("": any
+  // zone), and if `ordinary_only` is set, spot machines don't count.
   struct Need {
     std::string type, zone;
     bool ordinary_only = false;
     double machines = 0;
   };
-  // Most specific first. Work that is free to go anywhere counts in the general needs, and work
-  // that is not in all that it falls under.
+  // The most specific needs come first. Every job counts in the general needs; a job that is bound
+  // to a zone or may not use spot machines counts in the matching specific needs as well.
   [[nodiscard]] std::vector<Need> needs(const std::vector<Demand>& demand,
                                         const std::vector<wire::MachineType>& catalog) const;
-  // What to rent now, at most a few requests per kind. `held` counts machines that are usable or on
-  // their way; `refused` tells until when a kind is not asked for.
+  // The requests to send now, limited to a few per kind. `held` counts the machines that are ready
+  // or requested already. Kinds that the cloud refused recently are left out.
   [[nodiscard]] std::vector<wire::ScaleOutRequest> next_scale_out(
       Ms now, const std::vector<Demand>& demand, const std::vector<wire::MachineType>& catalog,
       const std::map<MachineKind, int>& held) const;
-  // Machines held beyond what is wanted, in total over zones, per type.
+  // Machines held beyond the need, by type and summed over zones; negative if machines are missing.
   [[nodiscard]] std::map<std::string, int> surplus(const std::vector<Demand>& demand,
                                                    const std::vector<wire::MachineType>& catalog,
                                                    const std::map<MachineKind, int>& held) const;
@@ -67,14 +68,14 @@
   struct ScaleOutPlan;
 
   [[nodiscard]] bool is_refused(Ms now, const MachineKind& kind) const;
-  // Of these, the machines that count for the need.
-  static double count_for(const Need& need, const std::map<MachineKind, int>& counts);
-  // Which kind the next machine for the need is to be; none: no more may be asked for.
+  // Number of machines among `counts` that count for the need.
+  static double matching_count(const Need& need, const std::map<MachineKind, int>& counts);
+  // The kind of the next machine to rent for the need; std::nullopt if no more may be requested.
   std::optional<MachineKind> next_kind(Ms now, const Need& need, const wire::MachineType& type,
                                        ScaleOutPlan& plan) const;
 
   const Settings& settings_;
-  std::map<MachineKind, Ms> refused_;
+  std::map<MachineKind, Ms> refused_until_;  // time until which the kind is not requested
 };
 
 }  // namespace scheduler
--- a/src/fleet/machine_groups.h
+++ b/src/fleet/machine_groups.h
@@ -1,9 +1,10 @@
-// Cutting groups of machines whose records have grown over the state service's limit on values.
+// Splits groups of machines whose records exceed the state service's limit on the size of values.
 //
-// Machines share records by groups (wire/records.h). A lowered limit leaves groups that can be read
-// but no longer written. A group is split by one transaction, so that every machine is in just one
-// group at any moment; what controllers have recorded of its machines follows in transactions of
-// their own, and counts wherever it stands until then.
+// Each group of machines shares one record (wire/records.h). When the limit is lowered, the records
+// of some groups can still be read but no longer written. One transaction splits a group, so that
+// every machine belongs to exactly one group at any time. The records that controllers keep of the
+// states of these machines are moved by later transactions, and are valid in the old group until
+// then.
 #pragma once
 
 #include <cstddef>
@@ -18,13 +19,14 @@
 using FleetRecords = std::map<std::uint32_t, wire::FleetRecord>;  // by group
 
 struct GroupLimits {
-  std::size_t machines = 1;     // of one group
-  std::size_t value_bytes = 0;  // of one record
-  std::size_t records = 1;      // in one transaction
+  std::size_t machines = 1;     // per group
+  std::size_t value_bytes = 0;  // per record
+  std::size_t records = 1;      // per transaction
 };
 
-// The records to write so that `group` holds no more machines than the limit and others, not in use
-// yet, hold the rest. None if it holds no more now, or if one transaction cannot carry it.
+// The records to write so that `group` keeps about as many machines as the limit allows and unused
+// groups take the rest. std::nullopt if the group is within the limit, or if one transaction can't
+// write all records.
 std::optional<FleetRecords> split_group(const FleetRecords& fleet, std::uint32_t group,
                                         const GroupLimits& limits);
 
--- a/src/fleet/scale_out_requests.cpp
+++ b/src/fleet/scale_out_requests.cpp
@@ -10,18 +10,19 @@
 
 namespace {
 
-// Milliseconds between checks for scale-out requests to send, and before an unanswered one is
+// Milliseconds between checks for scale-out requests to send, and until an unanswered request is
 // repeated.
 constexpr std::int64_t kScaleOutCheckMs = 250;
 constexpr std::int64_t kScaleOutRetryMs = 2000;
 
 }  // namespace
 
-ScaleOutRequests::ScaleOutRequests(const Context& context, FleetSizer& fleet, Answered answered)
-    : context_(context), fleet_(fleet), answered_(std::move(answered)) {}
+ScaleOutRequests::ScaleOutRequests(const Context& context, FleetSizer& sizer,
+                                   OnAnswered on_answered)
+    : context_(context), sizer_(sizer), on_answered_(std::move(on_answered)) {}
 
 void ScaleOutRequests::request(wire::ScaleOutRequest request) {
-  // Never reused: no two runs of any controller share an incarnation.
+  // The name is unique, since no two runs of any controller share an incarnation.
   request.name =
       context_.settings.name + "-" + context_.incarnation + "-" + std::to_string(++last_number_);
   context_.log(LogLevel::info, "scaling out: " + std::to_string(request.count) + " " +
@@ -31,23 +32,25 @@
   Transaction transaction;
   transaction.conditions = {context_.view_unchanged(), {key, 0}};
   transaction.writes = {{key, encode(request), std::nullopt}};
-  ++being_recorded_;
+  ++being_recorded_count_;
   transaction.done = [this](Ms now, TxnResult result, const auto&) {
-    send_at_ = 0;
-    const auto release = [this](Ms) { --being_recorded_; };
-    result == TxnResult::committed ? release(now)
-                                   : context_.state_client.wait_until_settled(now, release);
+    next_send_at_ = 0;
+    const auto finish_recording = [this](Ms) { --being_recorded_count_; };
+    result == TxnResult::committed
+        ? finish_recording(now)
+        : context_.state_client.wait_until_settled(now, finish_recording);
   };
   context_.state_client.submit(std::move(transaction));
 }
 
 void ScaleOutRequests::tick(Ms now) {
-  if (now < send_at_) return;
-  send_at_ = now + kScaleOutCheckMs;
+  if (now < next_send_at_) return;
+  next_send_at_ = now + kScaleOutCheckMs;
   for (const auto& [name, recorded] : context_.replica.scale_out_requests()) {
-    // Guards against a fleet that grows by thousands spending the cloud's whole rate on refusals.
-    if (sent_ >= context_.capacity.scale_out_requests) break;
-    if (!under_way_.insert(name).second) continue;
+    // Without this limit, a fleet that grows by thousands of machines could spend the cloud's whole
+    // request rate on requests that are refused.
+    if (unanswered_count_ >= context_.capacity.scale_out_requests) break;
+    if (!in_progress_.insert(name).second) continue;
     wire::ScaleOutRequest request = recorded;
     request.name = name;
     send(request);
@@ -55,10 +58,10 @@
 }
 
 void ScaleOutRequests::send(const wire::ScaleOutRequest& request) {
-  ++sent_;
+  ++unanswered_count_;
   context_.call(Target::cloud, "", "POST", wire::kScaleOutPath, wire::scale_out_body(request),
                 kCloudTimeoutMs, [this, request](Ms now, const HttpResult& http_result) {
-                  --sent_;
+                  --unanswered_count_;
                   on_result(now, request, http_result);
                 });
 }
@@ -72,20 +75,21 @@
   const bool no_capacity =
       http_result.status == 503 && http_result.body.find("capacity") != std::string::npos;
   if (no_capacity || (rented && machines.size() < request.count))
-    fleet_.on_refused(now, {request.type, request.zone, request.spot});
+    sizer_.on_refused(now, {request.type, request.zone, request.spot});
   if (!rented && !no_capacity && http_result.status != 400) {
-    // Unanswered or not now: the same name again, which rents nothing twice.
-    send_at_ = now + kScaleOutRetryMs;
-    under_way_.erase(request.name);
+    // No answer, or a temporary refusal. The request is repeated with the same name, for which the
+    // cloud rents machines only once.
+    next_send_at_ = now + kScaleOutRetryMs;
+    in_progress_.erase(request.name);
     return;
   }
-  send_at_ = std::min(send_at_, now);  // others may wait for their turn
-  if (context_.is_leader_of(kFleetDuty)) answered_(now, request, machines);
+  next_send_at_ = std::min(next_send_at_, now);  // further requests may be waiting to be sent
+  if (context_.is_leader_of(kFleetDuty)) on_answered_(now, request, machines);
 }
 
 void ScaleOutRequests::forget(const std::vector<std::string>& names) {
-  for (const auto& name : names) under_way_.erase(name);
-  send_at_ = 0;
+  for (const auto& name : names) in_progress_.erase(name);
+  next_send_at_ = 0;
 }
 
 }  // namespace scheduler
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,4 +1,5 @@
-// A single controller against a fake state service: what a heartbeat may and may not bring about.
+// Tests of a single controller with a fake state service: which effects heartbeats, cancellations,
+// submissions and malformed messages have.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,9 +12,9 @@
 
 TEST_F(SingleControllerTest, DuplicateHeartbeatsRenewNoLease) {
   EXPECT_EQ(heartbeat(50).status, 200);
-  const HttpReply copy = heartbeat(49);
-  EXPECT_EQ(copy.status, 503);
-  EXPECT_EQ(copy.body.find("orders"), std::string::npos);
+  const HttpReply duplicate = heartbeat(49);
+  EXPECT_EQ(duplicate.status, 503);
+  EXPECT_EQ(duplicate.body.find("orders"), std::string::npos);
 }
 
 TEST_F(SingleControllerTest, RestartedAgentIsAcceptedAfterItsOwnReply) {
@@ -21,10 +22,10 @@
   run(200);
   token_ = 0;
   sequence_ = 0;
-  const int asked = direct_commands_;
-  EXPECT_EQ(heartbeat(1).status, 503);  // may be a late copy
+  const int commands_before = direct_commands_;
+  EXPECT_EQ(heartbeat(1).status, 503);  // may be a delayed duplicate
   run(200);
-  EXPECT_GT(direct_commands_, asked);
+  EXPECT_GT(direct_commands_, commands_before);
   EXPECT_EQ(heartbeat(sequence_ + 1).status, 200);
 }
 
@@ -52,7 +53,7 @@
   const Job* second = controller_->replica().job("req-000002");
   ASSERT_TRUE(second);
   EXPECT_EQ(second->placed_tasks(), 0U);
-  // It receives a reply again and shows the token: it gets tasks.
+  // The machine receives a reply again and its next heartbeat contains the token: it gets tasks.
   receives_replies_ = true;
   heartbeat(71);
   heartbeat(72);
@@ -60,17 +61,18 @@
   EXPECT_EQ(controller_->replica().job("req-000002")->placed_tasks(), 2U);
 }
 
-// A cancellation is confirmed as soon as it is proven: at once for a job without placed tasks,
-// after a stop command and a write for one that runs. The user need not retry for either.
+// A cancellation is confirmed as soon as the records show that no task is left: at once for a job
+// without placed tasks, after a stop command and a write for a running job. The user need not retry
+// in either case.
 TEST_F(SingleControllerTest, CancellationsAreConfirmedOnceProven) {
   start_two();
   const std::uint64_t running = cancel("req-000001");
-  EXPECT_EQ(status(running), 0);  // the tasks are there
+  EXPECT_EQ(status(running), 0);  // no reply while tasks are placed
   run(300);
   ASSERT_EQ(status(running), 200);
   EXPECT_NE(answers_[running].body.find("withdrawn"), std::string::npos);
   for (const auto& [task, exited] : tasks_) EXPECT_TRUE(exited) << task.first;
-  // No machine may be used: no task of the next job is placed.
+  // Without heartbeats for 6 s no machine may be used, so no task of the next job is placed.
   run(6000);
   submit("req-000002");
   run(1000);
@@ -79,10 +81,11 @@
   EXPECT_EQ(status(waiting), 200);
 }
 
-// Refused for good what can never run, or could run without end; a repeat of what was accepted is
-// answered with its state, whatever was asked since.
+// A job that can never run, or has no resource that limits its tasks, is refused with 422. The
+// reply to a repeated submission of an accepted job is its current state, here after a
+// cancellation.
 TEST_F(SingleControllerTest, SubmissionIsIdempotent) {
-  const std::pair<const char*, const char*> never[] = {
+  const std::pair<const char*, const char*> refused_changes[] = {
       {R"("cpus":1.0)", R"("cpus":9.0)"},
       {R"("cpus":1.0)", R"("cpus":0)"},
       {R"("crew":"t")", R"("crew":"u")"},
@@ -95,7 +98,7 @@
        R"("pullGb":0.1,"together":false,"scatter":false)",
        R"("ensemble","rank":"standard","loads":2,"cpus":1.0,"gpus":0.0,"memGb":1.0,"kit":"i",)"
        R"("pullGb":0.1,"together":false,"scatter":true)"}};
-  for (const auto& [from, to] : never) {
+  for (const auto& [from, to] : refused_changes) {
     std::string body = job_body("req-000003");
     ASSERT_NE(body.find(from), std::string::npos) << from;
     body.replace(body.find(from), std::string(from).size(), to);
@@ -118,22 +121,24 @@
   EXPECT_NE(answers_[again].body.find("withdrawn"), std::string::npos);
 }
 
-// A cancellation that cannot be proven soon is answered at once with a time to retry.
+// If the records can't soon show that no task is left, the reply is 503 with Retry-After: at the
+// deadline, or at once if the machine is known not to answer.
 TEST_F(SingleControllerTest, UnprovableCancellationsGetRetryAfter) {
   start_two();
   reachable_ = false;
-  const Ms asked = now_;
+  const Ms requested_at = now_;
   const std::uint64_t first = cancel("req-000001");
-  while (status(first) == 0 && now_ < asked + 5000) run(20);
+  while (status(first) == 0 && now_ < requested_at + 5000) run(20);
   EXPECT_EQ(status(first), 503);
   EXPECT_GT(answers_[first].retry_after_s, 0);
-  EXPECT_LE(now_ - asked, kCancelTimeoutMs + 200);
-  run(1000);  // the machine has not answered: known now
+  EXPECT_LE(now_ - requested_at, kCancelTimeoutMs + 200);
+  run(1000);  // the controller detects that the machine does not answer
   const std::uint64_t second = cancel("req-000001");
   EXPECT_EQ(status(second), 503);
 }
 
-// A report older than what is known proves nothing, not even that a task it lacks is gone.
+// A heartbeat that is older than a start command must not release the task: that the heartbeat
+// doesn't contain the task does not prove that it has ended.
 TEST_F(SingleControllerTest, HeartbeatFromBeforeAStartReleasesNothing) {
   start_two();
   reachable_ = false;
@@ -144,11 +149,13 @@
   EXPECT_EQ(controller_->replica().job("req-000001")->placed_tasks(), 2U);
 }
 
-// A start on its way in the answer to a report is outrun by a higher token than the one it carries
-// before its task counts as gone.
+// The reply to a heartbeat carries a start command and is delayed. Before the controller releases
+// the task, the machine must have a token higher than the one in that reply, so that it rejects the
+// late command.
 TEST_F(SingleControllerTest, StartInFlightCarriesALowerTokenThanItsRelease) {
   EXPECT_EQ(heartbeat(50).status, 200);
-  // The first start reaches the machine, which does not obey, and its answer is late.
+  // The first start command reaches the machine, which does not execute it, and its reply is
+  // delayed.
   delays_reply_ = [](const Call& call) { return call.target == Target::worker; };
   submit("req-000001");
   run(200);
@@ -157,23 +164,24 @@
   run(200);
   cancel("req-000001");
   run(100);
-  // The second start goes out with this answer, which is on its way for long.
+  // The second start command is in this reply, which the machine does not receive yet.
   receives_replies_ = false;
-  const HttpReply late = heartbeat(sequence_ + 1);
-  ASSERT_NE(late.body.find(R"("start","load":"req-000002)"), std::string::npos) << late.body;
+  const HttpReply late_reply = heartbeat(sequence_ + 1);
+  ASSERT_NE(late_reply.body.find(R"("start","load":"req-000002)"), std::string::npos)
+      << late_reply.body;
   rapidjson::Document doc;
-  ASSERT_TRUE(wire::parse_object(late.body, doc));
-  const std::uint64_t carried = doc["baton"].GetUint64();
+  ASSERT_TRUE(wire::parse_object(late_reply.body, doc));
+  const std::uint64_t carried_token = doc["baton"].GetUint64();
   const std::uint64_t cancelled = cancel("req-000002");
   delays_reply_ = nullptr;
   release_replies([](const Call&) { return true; });
   run(900);
   ASSERT_EQ(status(cancelled), 200);
-  EXPECT_GT(token_, carried);
+  EXPECT_GT(token_, carried_token);
 }
 
-// Nor does one that was delayed until another owner had acted, and is the first that this one
-// receives: the machine has not shown its token.
+// A heartbeat that was delayed until the machine has a new owner, and is the first one that this
+// owner receives, must not release a task: it does not contain the new owner's token.
 TEST_F(SingleControllerTest, HeartbeatDelayedUntilANewOwnerActedReleasesNothing) {
   start_two();
   reachable_ = false;
@@ -186,7 +194,7 @@
   run(2500);
   ASSERT_EQ(status(first), 503);
   EXPECT_EQ(controller_->replica().job("req-000001")->placed_tasks(), 2U);
-  // It replies, still running them, and gets the command to stop.
+  // The machine replies that it still runs the tasks, and receives the command to stop them.
   reachable_ = true;
   run(4000);
   const std::uint64_t second = cancel("req-000001");
@@ -195,7 +203,8 @@
   for (const auto& [task, exited] : tasks_) EXPECT_TRUE(exited) << task.first;
 }
 
-// Malformed replies, heartbeats and gossip end no task: afterwards the controller serves as before.
+// Malformed replies, heartbeats and gossip messages have no lasting effect: afterwards the
+// controller serves requests as before.
 TEST_F(SingleControllerTest, MalformedRepliesEndNothing) {
   EXPECT_EQ(heartbeat(50).status, 200);
   submit("req-000001");
@@ -217,11 +226,11 @@
   EXPECT_EQ(status(request), 201);
 }
 
-// A machine whose heartbeats are lost loses its tasks as its lease expires, although it replies to
-// commands.
+// A machine whose heartbeats are lost loses its tasks when its lease expires, even if it replies to
+// commands. It must therefore get no new tasks.
 TEST_F(SingleControllerTest, MachineWithoutHeartbeatsGetsNothingNew) {
   start_two();
-  run(4500);  // it answers direct messages all the while, and its lease lasts
+  run(4500);  // the machine replies to commands, and its lease has not expired
   EXPECT_EQ(starts_, 2);
   EXPECT_EQ(controller_->replica().machine("n-1")->state, wire::MachineState::ready);
   submit("req-000002");
@@ -232,8 +241,8 @@
   EXPECT_EQ(starts_, 4);
 }
 
-// Transactions whose replies are lost are not taken for an outage of the state service: later calls
-// are answered, and users are served meanwhile.
+// Lost replies to transactions must not count as an outage of the state service: it answers later
+// calls, and users are served meanwhile.
 TEST_F(SingleControllerTest, SingleLostRepliesAreNoOutage) {
   EXPECT_EQ(heartbeat(50).status, 200);
   lost_request_path_ = "/multi";
@@ -248,32 +257,33 @@
   EXPECT_EQ(refused, 0);
 }
 
-// A process that has lost a machine's record and fence recovers both from the machine's replies.
+// A controller that has lost a machine's record and fencing token recovers both from the machine:
+// it adopts the higher token in a heartbeat, and its later replies carry at least that token.
 TEST_F(SingleControllerTest, FenceIsRecoveredFromTheMachine) {
   EXPECT_EQ(heartbeat(50).status, 200);
-  const std::uint64_t raised = token_ + 5;
-  token_ = raised;
+  const std::uint64_t raised_token = token_ + 5;
+  token_ = raised_token;
   EXPECT_EQ(heartbeat(51).status, 200);
   rapidjson::Document doc;
-  const HttpReply a = heartbeat(52);
-  ASSERT_TRUE(wire::parse_object(a.body, doc));
-  EXPECT_GE(doc["baton"].GetUint64(), raised);
+  const HttpReply reply = heartbeat(52);
+  ASSERT_TRUE(wire::parse_object(reply.body, doc));
+  EXPECT_GE(doc["baton"].GetUint64(), raised_token);
 }
 
-// A placement's transaction is executed, and once more by a repeat of it; the answer that comes is
-// the second one, a conflict with itself. Until the watch shows that it was executed its tasks
-// count against the team's limit.
+// The state service executes the transaction of a placement, but the controller receives only the
+// reply to a repetition of it, which reports a conflict with the first execution. Until the watch
+// shows that the transaction was executed, its tasks must count against the team's limit.
 TEST_F(SingleControllerTest, ConflictWithARepeatedPlacementStaysUnderTheQuota) {
   settings_.teams = {{"t", 0, 2, 0, 0}};
   restart();
   executes_commands_ = true;
   ASSERT_EQ(heartbeat(50).status, 200);
   const auto is_watch = [](const Call& call) { return call.path.starts_with("/changes"); };
-  const auto places = [](const Call& call) {
+  const auto is_placement = [](const Call& call) {
     return call.path == "/multi" && call.body.find(R"("write":"range/)") != std::string::npos;
   };
-  delays_reply_ = [&](const Call& call) { return is_watch(call) || places(call); };
-  const auto placed = [this] {
+  delays_reply_ = [&](const Call& call) { return is_watch(call) || is_placement(call); };
+  const auto recorded_placements = [this] {
     std::size_t tasks = 0;
     for (const auto& [key, item] : state_.items) {
       if (!key.starts_with(wire::kRangePrefix)) continue;
@@ -282,27 +292,27 @@
     }
     return tasks;
   };
-  // Time passes, in which no watch is answered.
-  const auto wait = [&](Ms lasts) {
-    for (const Ms end = now_ + lasts; now_ < end; now_ += 20) {
+  // Advances the time without replies to watches.
+  const auto wait = [&](Ms duration_ms) {
+    for (const Ms end = now_ + duration_ms; now_ < end; now_ += 20) {
       controller_->tick(now_, now_);
       pump();
     }
   };
   submit("req-000001");
   wait(600);
-  ASSERT_EQ(placed(), 2U);
+  ASSERT_EQ(recorded_placements(), 2U);
   for (auto& [call, http_result] : delayed_replies_)
-    if (places(call)) http_result = {409, R"({"failed":["range/req-000001/1"],"ledger":99})"};
-  release_replies(places);
+    if (is_placement(call)) http_result = {409, R"({"failed":["range/req-000001/1"],"ledger":99})"};
+  release_replies(is_placement);
   submit("req-000002");
   wait(600);
-  EXPECT_EQ(placed(), 2U);
+  EXPECT_EQ(recorded_placements(), 2U);
   EXPECT_EQ(starts_, 0);
   delays_reply_ = nullptr;
   release_replies(is_watch);
   run(2000);
-  EXPECT_EQ(placed(), 2U);
+  EXPECT_EQ(recorded_placements(), 2U);
   EXPECT_EQ(starts_, 2);
 }
 
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -1,4 +1,5 @@
-// The coordinator of the fleet by itself: scale out, scale in, and adoption of machines.
+// Tests of the fleet coordinator without the other components: scale-out, scale-in and adoption of
+// machines.
 #include "fleet/fleet_coordinator.h"
 
 #include <gtest/gtest.h>
@@ -20,14 +21,14 @@
 
 class FleetCoordinatorTest : public ComponentTest {
  protected:
-  // Machines that are up and recorded as such, and listed by the cloud.
-  void have_machines(int count) {
+  // Adds machines that run, are recorded as ready and are listed by the cloud.
+  void add_machines(int count) {
     constexpr int kPerGroup = 50;
     for (int first = 0; first < count; first += kPerGroup)
-      have_group(first / kPerGroup, first, std::min(count, first + kPerGroup));
+      add_group(first / kPerGroup, first, std::min(count, first + kPerGroup));
   }
 
-  void have_group(int group, int first, int end) {
+  void add_group(int group, int first, int end) {
     wire::FleetRecord fleet;
     wire::ShardRecord part;
     for (int i = first; i < end; ++i) {
@@ -45,8 +46,8 @@
     put(wire::shard_key(kName, number), encode(part));
   }
 
-  // An array of one-machine tasks that run for ten minutes.
-  void have_job(std::uint32_t tasks) {
+  // Adds an array job whose tasks each fill one machine and run for ten minutes.
+  void add_job(std::uint32_t tasks) {
     const std::string body =
         R"({"id":"req-000001","queue":"c","crew":"t","shape":"batch","rank":"standard","loads":)" +
         std::to_string(tasks) +
@@ -60,8 +61,8 @@
     put(wire::job_key(job.spec.id), encode(job));
   }
 
-  void advance(Ms lasts) {
-    run(lasts, [this](Ms now) {
+  void advance(Ms duration_ms) {
+    run(duration_ms, [this](Ms now) {
       coordinator_.tick(now);
       serve_cloud();
     });
@@ -70,12 +71,12 @@
   void serve_cloud() {
     for (auto& pending : std::exchange(calls_, {})) {
       ASSERT_EQ(pending.call.target, Target::cloud);
-      const HttpResult http_result = answer(pending.call);
+      const HttpResult http_result = reply_to(pending.call);
       pending.done(now_, http_result);
     }
   }
 
-  HttpResult answer(const Call& call) {
+  HttpResult reply_to(const Call& call) {
     if (call.path == wire::kCatalogPath) return {200, cloud_.catalog()};
     if (call.path == wire::kScaleInPath) return scale_in(call.body);
     if (call.path == wire::kScaleOutPath) {
@@ -102,56 +103,58 @@
   HttpResult scale_out_reply_ = FakeCloud::no_capacity();
 };
 
-// Guards against machines that are paid for all night: five with nothing to do were kept for five
-// minutes, and two of them for ever (docs/results.md, round 25).
+// Machines without work must be returned, since they are paid for. Before, five idle machines were
+// kept for five minutes, and two of them were never returned (docs/results.md, round 25).
 TEST_F(FleetCoordinatorTest, IdleMachinesAreReturnedWithinAMinute) {
-  have_machines(5);
-  advance(kScaleInIdleAfterMs - 5000);
+  add_machines(5);
+  advance(kIdleScaleInDelayMs - 5000);
   EXPECT_TRUE(returned_.empty());
   advance(35'000);
   EXPECT_EQ(returned_.size(), 5U);
   advance(60'000);
-  EXPECT_TRUE(scale_outs_.empty());  // and there is no scale out
+  EXPECT_TRUE(scale_outs_.empty());  // nothing is rented again
 }
 
 TEST_F(FleetCoordinatorTest, IdleFleetOfHundredsScalesInWithinMinutes) {
-  have_machines(300);
-  advance(kScaleInIdleAfterMs + 60'000);
+  add_machines(300);
+  advance(kIdleScaleInDelayMs + 60'000);
   EXPECT_GT(returned_.size(), 200U);
   advance(120'000);
   EXPECT_EQ(returned_.size(), 300U);
 }
 
-// While there is work, more may arrive at any moment, and a new machine takes time to boot.
+// While there is unfinished work, surplus machines are kept for minutes: more jobs may arrive at
+// any moment, and a new machine takes time to boot.
 TEST_F(FleetCoordinatorTest, MachinesBeyondTheWorkAreKeptForMinutes) {
-  have_machines(8);
-  have_job(1);
-  advance(kScaleInAfterMs - 5000);
+  add_machines(8);
+  add_job(1);
+  advance(kScaleInDelayMs - 5000);
   EXPECT_TRUE(returned_.empty());
   advance(30'000);
   EXPECT_FALSE(returned_.empty());
 }
 
 TEST_F(FleetCoordinatorTest, APauseBetweenTwoJobsReturnsNothing) {
-  have_machines(8);
-  have_job(1);
+  add_machines(8);
+  add_job(1);
   advance(120'000);
   auto decoded = wire::decode<wire::JobRecord>(state_.items[wire::job_key("req-000001")].value);
   ASSERT_TRUE(decoded) << decoded.error().message();
   wire::JobRecord& job = *decoded;
   job.cancelled = true;
   put(wire::job_key("req-000001"), encode(job));
-  advance(kScaleInIdleAfterMs - 2000);
+  advance(kIdleScaleInDelayMs - 2000);
   job.cancelled = false;
   put(wire::job_key("req-000001"), encode(job));
   advance(60'000);
   EXPECT_TRUE(returned_.empty());
 }
 
-// Guards against paying for machines that nobody knows of: scale out is idempotent by its name.
+// A scale-out request is repeated with the same name, so that the cloud rents the machines only
+// once. Otherwise machines could be paid for that no controller knows of.
 TEST_F(FleetCoordinatorTest, ScaleOutIsRetriedUnderItsName) {
   scale_out_reply_ = {0, ""};
-  have_job(2);
+  add_job(2);
   advance(3000);
   ASSERT_FALSE(scale_outs_.empty());
   const std::string first = scale_outs_.front();
@@ -175,7 +178,8 @@
   EXPECT_EQ(returned_, std::set<std::string>{"n-701"});
 }
 
-// A list that was asked for before a pause is as old as that: what it lacks may have come since.
+// A list that was requested before a pause of the process is outdated: machines that are missing
+// from it may have been rented since.
 TEST_F(FleetCoordinatorTest, ListFromBeforeAPauseIsDiscarded) {
   CloudInventory list(context_, [](Ms) {});
   run(1000, [&](Ms now) { list.tick(now); });
@@ -183,13 +187,14 @@
   list.on_pause(now_);
   calls_[0].done(now_, {200, R"({"rigs":[],"hasNext":false})"});
   EXPECT_FALSE(list.known());
-  run(kListEveryMs + 100, [&](Ms now) { list.tick(now); });
+  run(kListIntervalMs + 100, [&](Ms now) { list.tick(now); });
   ASSERT_EQ(calls_.size(), 2U);
   calls_[1].done(now_, {200, R"({"rigs":[],"hasNext":false})"});
   EXPECT_TRUE(list.known());
 }
 
-// One transaction carries few groups; what does not fit follows.
+// One transaction writes only a few groups of machines; later transactions write the remaining
+// ones.
 TEST_F(FleetCoordinatorTest, MachinesOfManyScaleOutsAreAllRecorded) {
   settings_.value_kb = 1;
   FleetRecordWriter writer(context_, [](const std::vector<std::string>&) {});
@@ -205,7 +210,7 @@
   writer.settle_scale_out("r", machines);
   put(wire::scale_out_key("r"), encode(wire::ScaleOutRequest{"", "g", "a", false, 50}));
   run(10'000, [&](Ms now) {
-    // The request is not forgotten before all that it brought is recorded.
+    // The request's record is not removed before all machines rented for it are recorded.
     const bool all = std::all_of(machines.begin(), machines.end(),
                                  [&](const std::string& id) { return replica_.machine(id); });
     if (!all) {
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -1,5 +1,5 @@
-// Monotonic reads while replies of the state service overtake one another: once a user knows that a
-// job is accepted, done or cancelled, no controller gives that user an older state.
+// Tests of monotonic reads while replies of the state service arrive out of order: once a user has
+// been told that a job is accepted, done or cancelled, no controller may reply with an older state.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -19,7 +19,8 @@
 
 class SingleControllerReads : public SingleControllerTest {
  protected:
-  // Another job completes the open watch, so that the test delays the next one.
+  // Submits another job, whose changes complete the open watch. From then on, replies to watches
+  // are delayed.
   void delay_watches() {
     executes_commands_ = true;
     ASSERT_EQ(heartbeat(50).status, 200);
@@ -32,13 +33,14 @@
     ASSERT_EQ(tasks_.size(), 2U);
   }
 
-  // The state service replies to the watch that is open at this moment.
-  void answer_watch() {
+  // Makes the state service reply to the open watch.
+  void reply_to_watch() {
     state_.serve_watchers(now_, [](std::size_t) { return true; });
   }
 
-  // Lets time pass without replies to watches.
-  bool placement_is_sent() {
+  // Advances the time, without replies to watches, until the write of a placement is sent. Returns
+  // false if none was sent within 400 ms.
+  bool run_until_placement_is_sent() {
     const auto sent = [this] {
       return std::any_of(delayed_replies_.begin(), delayed_replies_.end(),
                          [](const auto& reply) { return writes_range(reply.first); });
@@ -50,26 +52,27 @@
     return sent();
   }
 
-  [[nodiscard]] bool says(std::uint64_t request, const std::string& state) const {
+  [[nodiscard]] bool reply_contains(std::uint64_t request, const std::string& state) const {
     const auto answer = answers_.find(request);
     return answer != answers_.end() && answer->second.body.find(state) != std::string::npos;
   }
 };
 
-// The placement's answer is late, the cancellation's is not, and a watch answer from before both
-// comes between them: the controller knows its later write without the earlier one.
+// The reply to the write of a placement is delayed, the reply to the later write of a cancellation
+// is not, and a watch reply from before both writes arrives in between. The replica then holds the
+// later write without the earlier one, a state that never existed.
 TEST_F(SingleControllerReads, PollNeverShowsAStateThatNeverExisted) {
   delay_watches();
   delays_reply_ = [](const Call& call) { return is_watch(call) || writes_range(call); };
   submit("req-000001");
   pump();
   const std::uint64_t first = poll("req-000001");
-  EXPECT_EQ(status(first), 0);  // until the watch has passed what was read
-  answer_watch();
-  ASSERT_TRUE(placement_is_sent());
+  EXPECT_EQ(status(first), 0);  // no reply until the watch has delivered the change that was read
+  reply_to_watch();
+  ASSERT_TRUE(run_until_placement_is_sent());
   const std::uint64_t cancelled = cancel("req-000001");
   release_replies(is_watch);
-  EXPECT_FALSE(says(first, "withdrawn"));  // two tasks are placed
+  EXPECT_FALSE(reply_contains(first, "withdrawn"));  // two tasks are placed
   release_replies(writes_range);
   const std::uint64_t second = poll("req-000001");
   delays_reply_ = nullptr;
@@ -77,13 +80,14 @@
   run(1000);
   ASSERT_EQ(status(first), 200);
   ASSERT_EQ(status(second), 200);
-  EXPECT_FALSE(says(first, "withdrawn") && !says(second, "withdrawn"))
+  EXPECT_FALSE(reply_contains(first, "withdrawn") && !reply_contains(second, "withdrawn"))
       << answers_[first].body << " then " << answers_[second].body;
-  EXPECT_TRUE(says(cancelled, "withdrawn"));
+  EXPECT_TRUE(reply_contains(cancelled, "withdrawn"));
 }
 
-// The reply to the write of a job is late; by then its user has a confirmed cancellation.
-TEST_F(SingleControllerReads, LateSubmissionReplyTellsTheCurrentState) {
+// The reply to the write of a job arrives after the user has received the confirmation that the job
+// is cancelled. The reply to the submission must contain the state "withdrawn".
+TEST_F(SingleControllerReads, LateSubmissionReplyContainsTheCurrentState) {
   executes_commands_ = true;
   ASSERT_EQ(heartbeat(50).status, 200);
   delays_reply_ = [](const Call& call) {
@@ -91,18 +95,18 @@
   };
   const std::uint64_t submitted = next_;
   submit("req-000001");
-  run(400);  // the watch brings the job, and it is placed
+  run(400);  // the watch delivers the job, and it is placed
   ASSERT_EQ(status(submitted), 0);
   const std::vector<std::pair<Call, HttpResult>> late = std::exchange(delayed_replies_, {});
   delays_reply_ = nullptr;
   const std::uint64_t cancelled = cancel("req-000001");
   run(1000);
-  ASSERT_TRUE(says(cancelled, "withdrawn"));
+  ASSERT_TRUE(reply_contains(cancelled, "withdrawn"));
   delayed_replies_ = late;
   release_replies([](const Call&) { return true; });
   run(100);
   EXPECT_EQ(status(submitted), 201);
-  EXPECT_TRUE(says(submitted, "withdrawn")) << answers_[submitted].body;
+  EXPECT_TRUE(reply_contains(submitted, "withdrawn")) << answers_[submitted].body;
 }
 
 }  // namespace
@@ -111,9 +115,9 @@
 namespace scheduler::sim {
 namespace {
 
-// Small jobs that find room at once, each asked about at all nodes within milliseconds and most of
-// them cancelled at once. The state service's rates are low, so that watches are reopened about ten
-// times a second.
+// Small jobs that are placed at once. Users poll each one at all controllers within milliseconds
+// and cancel most of them at once. The state service's rate limits are low, so that watches are
+// reopened about ten times a second.
 Options concurrent_reads(std::uint64_t seed, const std::vector<Fault>& faults) {
   Options o;
   o.seed = seed;
@@ -133,11 +137,11 @@
   return o;
 }
 
-// How many seeds violate an invariant.
-int seeds_with_violations(const std::vector<std::uint64_t>& in_ci, const std::vector<Fault>& faults,
-                          bool random_faults = false) {
+// Runs the simulation with each seed and returns the number of seeds that violate an invariant.
+int seeds_with_violations(const std::vector<std::uint64_t>& default_seeds,
+                          const std::vector<Fault>& faults, bool random_faults = false) {
   int violations = 0;
-  for (const std::uint64_t seed : seed_list_or(in_ci)) {
+  for (const std::uint64_t seed : seed_list_or(default_seeds)) {
     Options options = concurrent_reads(seed, faults);
     options.faults = random_faults;
     const Result r = SimulatedCluster(options).run();
@@ -150,7 +154,7 @@
   return violations;
 }
 
-// Besides the first ones, seeds in which users read "withdrawn" and then "running".
+// The seeds 1 and 2, and seeds in which users once read "withdrawn" and then "running".
 TEST(Answers, StayMonotonicWithDelayedWatches) {
   EXPECT_EQ(seeds_with_violations({1, 2, 10, 21, 39, 51}, {Fault::watch_lags}), 0);
   EXPECT_EQ(seeds_with_violations({1, 2, 17, 23, 33, 39}, {Fault::state_reorders}), 0);
@@ -165,22 +169,22 @@
   EXPECT_EQ(seeds_with_violations({1, 2, 3, 4}, {Fault::state_reorders, Fault::answers_lost}), 0);
 }
 
-// The state service forgets changes that a late watch still needs: everything is read again, page
-// after page, while it changes.
+// The state service compacts changes that a delayed watch still needs. The controller reads all
+// records again, page by page, while they change.
 TEST(Answers, StayMonotonicDuringAFullReload) {
-  int read_again = 0;
+  int full_reloads = 0;
   for (const std::uint64_t seed : seed_list_or({1, 8, 12, 27, 48, 131})) {
     Options options = concurrent_reads(seed, {Fault::state_reorders});
     options.changes_kept = 5;
     const Result r = SimulatedCluster(options).run();
     EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
     EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
-    read_again += r.compacted_watches;
+    full_reloads += r.compacted_watches;
   }
-  EXPECT_GT(read_again, 10);
+  EXPECT_GT(full_reloads, 10);
 }
 
-// The same while machines, controllers and links fail.
+// Reads stay monotonic while machines, controllers and links fail at random.
 TEST(Answers, StayMonotonicUnderRandomFaults) {
   EXPECT_EQ(seeds_with_violations({1, 2, 3, 4, 5, 6}, {Fault::state_reorders}, true), 0);
 }
--- a/tests/request_route_test.cpp
+++ b/tests/request_route_test.cpp
@@ -1,4 +1,4 @@
-// Which operation an HTTP request asks for.
+// Tests of the mapping from HTTP requests to operations.
 #include "controller/request_route.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
   return route_of({method, path, ""}).operation;
 }
 
-TEST(RequestRoute, EveryPathHasItsMethod) {
+TEST(RequestRoute, EachPathAcceptsOnlyItsMethod) {
   EXPECT_EQ(operation("POST", "/hello"), Operation::heartbeat);
   EXPECT_EQ(operation("GET", "/healthz?full=1"), Operation::health);
   EXPECT_EQ(operation("POST", "/v1/jobs"), Operation::submit);
@@ -22,7 +22,7 @@
     EXPECT_EQ(operation("POST", path), Operation::method_not_allowed) << path;
 }
 
-TEST(RequestRoute, UnknownPathsAndNamesAreToldApart) {
+TEST(RequestRoute, UnknownPathsAndInvalidJobIdsAreDistinguished) {
   EXPECT_EQ(operation("GET", "/"), Operation::no_such_path);
   EXPECT_EQ(operation("GET", "/v1/jobs/a/b"), Operation::no_such_path);
   EXPECT_EQ(operation("GET", "/v1/jobs/x"), Operation::no_such_job);
