--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -143,19 +143,19 @@
   return scheduler_.next_tick(now, state_client_.next_tick(now));
 }
 
-void Controller::on_request(Ms now, std::uint64_t request, const Request& r) {
+void Controller::on_request(Ms now, std::uint64_t request, const Request& http_request) {
   observe_input(now);
-  const RequestRoute route = route_of(r);
+  const RequestRoute route = route_of(http_request);
   switch (route.operation) {
     case Operation::heartbeat:
-      heartbeats_.on_heartbeat(now, request, r.body);
+      heartbeats_.on_heartbeat(now, request, http_request.body);
       break;
     case Operation::health:
       health_.on_health(now, request);
       break;
     case Operation::submit:
       request_log_.on_request(now, request, "submit");
-      submission_.on_submit(now, request, r.body);
+      submission_.on_submit(now, request, http_request.body);
       break;
     case Operation::poll:
       request_log_.on_request(now, request, "poll");
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -82,7 +82,7 @@
   void tick(Ms now, Ms wall);
   // Handles a request of a user or a worker. The reply, immediate or later, carries the number
   // `request`.
-  void on_request(Ms now, std::uint64_t request, const Request& r);
+  void on_request(Ms now, std::uint64_t request, const Request& http_request);
   // Handles the result of the call with this id.
   void on_result(Ms now, std::uint64_t id, const HttpResult& http_result);
   // Handles a message of another controller.
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -199,8 +199,8 @@
   return false;
 }
 
-// Marks recorded machines as lost if the list has not contained them for longer than its lag
-// explains.
+// Marks recorded machines as lost if they never sent a heartbeat and the list has not contained
+// them for longer than its lag explains.
 void FleetCoordinator::check_unlisted(Ms now) {
   const Replica& replica = context_.replica;
   const Ms unlisted_timeout =
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -103,15 +103,15 @@
 struct FleetSizer::ScaleOutPlan {
   std::map<MachineKind, int> counts;  // held, plus those planned so far
   std::map<MachineKind, int> to_rent;
-  std::map<std::string, bool>
-      allows_spot;  // by type: whether some job for it may use spot machines
+  // By type: whether some job for it may use spot machines.
+  std::map<std::string, bool> allows_spot;
 };
 
 double FleetSizer::matching_count(const Need& need, const std::map<MachineKind, int>& counts) {
   double matching = 0;
   for (const auto& [kind, count] : counts) {
     if (kind.type == need.type && (need.zone.empty() || kind.zone == need.zone) &&
-        !(need.ordinary_only && kind.spot))
+        !(need.non_spot_only && kind.spot))
       matching += count;
   }
   return matching;
@@ -123,9 +123,10 @@
   constexpr int kMaxMachinesPerKind =
       static_cast<int>(kMaxMachinesPerScaleOut * kMaxScaleOutsPerKind);
   std::optional<MachineKind> best;
-  // Prefers ordinary machines, since they are not preempted, and then the zone with the fewest.
+  // Prefers machines other than spot, since they are not preempted, and then the zone with the
+  // fewest machines of the type.
   for (const bool spot : {false, true}) {
-    if (best || (spot && (need.ordinary_only || !plan.allows_spot[need.type]))) continue;
+    if (best || (spot && (need.non_spot_only || !plan.allows_spot[need.type]))) continue;
     for (const auto& zone : type.zones) {
       const MachineKind kind{need.type, zone, spot};
       if ((!need.zone.empty() && zone != need.zone) || is_refused(now, kind)) continue;
@@ -173,7 +174,7 @@
                                                const std::map<MachineKind, int>& held) const {
   std::map<std::string, double> wanted;
   for (const Need& need : needs(demand, catalog))
-    if (need.zone.empty() && !need.ordinary_only) wanted[need.type] = need.machines;
+    if (need.zone.empty() && !need.non_spot_only) wanted[need.type] = need.machines;
   // Spare machines are held only while there is unfinished work.
   const double min_machines = demand.empty() ? 0.0 : kSpareMachines;
   std::map<std::string, int> out;
--- a/src/fleet/fleet_sizer.h
+++ b/src/fleet/fleet_sizer.h
@@ -43,10 +43,10 @@
   [[nodiscard]] static const wire::MachineType* cheapest_type_for(
       const wire::JobSpec& job, const std::vector<wire::MachineType>& catalog);
   // Number of machines of a type that the fleet needs. Only machines in `zone` count ("": any
-  // zone), and if `ordinary_only` is set, spot machines don't count.
+  // zone), and if `non_spot_only` is set, spot machines don't count.
   struct Need {
     std::string type, zone;
-    bool ordinary_only = false;
+    bool non_spot_only = false;
     double machines = 0;
   };
   // The most specific needs come first. Every job counts in the general needs; a job that is bound
--- a/src/jobs/job_reader.h
+++ b/src/jobs/job_reader.h
@@ -9,17 +9,15 @@
 //   when the replica holds nothing newer of this job (`wait_until_job_settled`).
 // - The applied revision never decreases, so no reply is older than an earlier reply of this
 //   controller.
-// - A barrier read that starts after the request arrives makes the reply no older than any reply
-// that
+// - The barrier read starts after the request arrives, so the reply is no older than any reply that
 //   any controller sent before the request.
 // - Final states never change, so they are sent without waiting, whichever record they come from.
 //
 // Two replies are based on this controller's own newest write, ahead of the watch, and are valid at
 // the revision of that write:
 // - A submission that has just been written: the job is queued.
-// - A cancellation whose record the watch has delivered: from then on placements of the job can
-// only
-//   be removed, each by a write of its owner. If the replica holds no placement, none exists.
+// - A cancellation whose record the watch has delivered: from then on, placements of the job are
+//   only removed, each by a write of its owner. If the replica holds no placement, none exists.
 #pragma once
 
 #include <cstdint>
