--- a/src/links/decision.h
+++ b/src/links/decision.h
@@ -1,4 +1,4 @@
-// The answer to "may I decide this, through which link, on what evidence".
+// Result of a decision based on the state of the links, with the evidence for it.
 #pragma once
 
 #include <string>
@@ -9,17 +9,17 @@
 namespace scheduler::links {
 
 enum class Reason : std::uint8_t {
-  link_up,              // our own link works
-  outage,               // the service answers nobody, as far as we know
-  peer_reaches,         // our link is down, and that controller's is up
-  nobody_reaches,       // our link is down, and no controller's is known to be better
-  isolated,             // neither the service nor any controller is heard
-  mostly_responsive,    // most workers are heard: the silence is that of a few
-  mostly_unresponsive,  // most workers are silent: the silence is that of a link
-  patience_over,        // most are silent, but for longer than cuts last
+  link_up,              // this controller's own link works
+  outage,               // the service answers no controller, as far as is known
+  peer_reaches,         // this controller's link is down, and that of the named one is up
+  nobody_reaches,       // this controller's link is down, and no other one is known to be up
+  isolated,             // no messages from the service or any other controller
+  mostly_responsive,    // most workers are in contact: only the silent ones have failed
+  mostly_unresponsive,  // most workers are silent: a link has failed
+  patience_over,        // most workers are silent, for longer than partitions last
   steady,               // the link has been up for long enough
-  unsteady,             // the link has failed lately, and must be up for longer
-  nobody_else           // no other controller could do it instead
+  unsteady,             // the link has failed recently and must stay up for longer
+  nobody_else           // no other controller could take over
 };
 
 std::string_view name(Reason reason);
@@ -27,8 +27,8 @@
 struct Decision {
   bool allowed = true;
   Reason reason = Reason::link_up;
-  std::string through;     // the controller whose row it rests on; empty: our own evidence
-  Ms evidence_age_ms = 0;  // of that row, or since our own link last worked
+  std::string through;     // controller whose row the decision is based on; empty: own evidence
+  Ms evidence_age_ms = 0;  // age of that row, or time since the own link last worked
 };
 
 }  // namespace scheduler::links
--- a/src/links/flap_damper.cpp
+++ b/src/links/flap_damper.cpp
@@ -8,25 +8,25 @@
 namespace scheduler::links {
 
 namespace {
-// Below half a failure a link is as good as one that never failed.
-constexpr double kForgottenPenalty = 0.5;
+// Penalty below which past failures are ignored: half of that of one failure.
+constexpr double kNegligiblePenalty = 0.5;
 }  // namespace
 
 double FlapDamper::penalty_at(Ms now) const {
-  return penalty_ * std::exp2(-static_cast<double>(now - counted_at_) / kFlapHalfLifeMs);
+  return penalty_ * std::exp2(-static_cast<double>(now - updated_at_) / kFlapHalfLifeMs);
 }
 
-void FlapDamper::failed(Ms now) {
+void FlapDamper::on_failure(Ms now) {
   penalty_ = penalty_at(now) + 1.0;
-  counted_at_ = now;
+  updated_at_ = now;
 }
 
-Ms FlapDamper::steady_ms(Ms now) const {
+Ms FlapDamper::required_stable_ms(Ms now) const {
   const double penalty = penalty_at(now);
-  const double counted = penalty - free_failures_;
-  if (counted < kForgottenPenalty) return 0;
-  const double steady = static_cast<double>(kSteadyMs) * (std::exp2(counted) - 1.0);
-  return std::min(kSteadyMostMs, static_cast<Ms>(steady));
+  const double excess = penalty - free_failures_;
+  if (excess < kNegligiblePenalty) return 0;
+  const double stable_ms = static_cast<double>(kMinStableMs) * (std::exp2(excess) - 1.0);
+  return std::min(kMaxStableMs, static_cast<Ms>(stable_ms));
 }
 
 }  // namespace scheduler::links
--- a/src/links/matrix.cpp
+++ b/src/links/matrix.cpp
@@ -12,9 +12,9 @@
 }
 
 void Matrix::merge(Ms now, Ms wall, const wire::LinkRow& row) {
-  if (row.controller == own_ || age(wall, row) > kStateWordFreshMs) return;
+  if (row.controller == own_name_ || age(wall, row) > kStateWordFreshMs) return;
   const auto known = entries_.find(row.controller);
-  if (known == entries_.end() && entries_.size() >= kMostRows) return;
+  if (known == entries_.end() && entries_.size() >= kMaxRows) return;
   Entry& entry = known == entries_.end() ? entries_[row.controller] : known->second;
   if (row.as_of_ms <= entry.row.as_of_ms) return;
   const bool interrupted = age(wall, entry.row) > kStateWordFreshMs;
@@ -26,18 +26,18 @@
   std::map<std::string, Ms> up_since;
   for (const auto& [zone, links] : row.workers) {
     if (links.reports != Status::up) continue;
-    const auto before = entry.reports_up_since.find(zone);
-    const bool went_on = before != entry.reports_up_since.end() && !interrupted;
-    up_since[zone] = went_on ? before->second : now;
+    const auto previous = entry.reports_up_since.find(zone);
+    const bool uninterrupted = previous != entry.reports_up_since.end() && !interrupted;
+    up_since[zone] = uninterrupted ? previous->second : now;
   }
   entry.reports_up_since = std::move(up_since);
   entry.row = row;
 }
 
-std::vector<const Matrix::Entry*> Matrix::fresh(Ms wall, Ms most_ms) const {
+std::vector<const Matrix::Entry*> Matrix::fresh(Ms wall, Ms max_age_ms) const {
   std::vector<const Entry*> out;
   for (const auto& [name, entry] : entries_)
-    if (age(wall, entry.row) <= most_ms) out.push_back(&entry);
+    if (age(wall, entry.row) <= max_age_ms) out.push_back(&entry);
   return out;
 }
 
--- a/src/links/matrix.h
+++ b/src/links/matrix.h
@@ -1,4 +1,4 @@
-// The links of all controllers as far as this one has heard: one row each, with an age.
+// Link states of all other controllers as known here: one row per controller, with its age.
 #pragma once
 
 #include <map>
@@ -10,33 +10,35 @@
 
 namespace scheduler::links {
 
-// Rows spread from controller to controller with the gossip messages, so that a row arrives
-// although there is no link to the one that wrote it. Of two rows of one controller the newer
-// counts, whichever way it came; its age follows from the time of day, which differs by less than
+// Controllers gossip all rows that they have, so a row also arrives when there is no direct link to
+// the controller that wrote it. The newest row of a controller is kept, whichever way it came. Its
+// age is computed from the time of day, which differs between controllers by less than
 // `clock_off_ms` (settings).
 class Matrix {
  public:
   struct Entry {
     wire::LinkRow row;
-    // Since when, by our own clock, its rows have said that the state service answers it. 0: not.
+    // Local time since which the controller's rows have reported a working link to the state
+    // service; 0: they report none.
     Ms state_up_since = 0;
-    // The same of heartbeats from the workers of a zone; zones that it doesn't hear are missing.
+    // By zone, local time since which its rows have reported heartbeats from workers of the zone;
+    // zones without heartbeats are missing.
     std::map<std::string, Ms> reports_up_since;
   };
 
-  // `own`: the name of this controller, whose own row is not kept here.
-  explicit Matrix(std::string own) : own_(std::move(own)) {}
+  // `own_name`: name of this controller; its own row is not stored.
+  explicit Matrix(std::string own_name) : own_name_(std::move(own_name)) {}
 
-  // Takes a row in unless a newer one of that controller is known. `wall`: time of day now.
+  // Stores a row unless a newer one of the controller is known. `wall`: current time of day.
   void merge(Ms now, Ms wall, const wire::LinkRow& row);
-  // Rows that are no older than `most_ms`.
-  [[nodiscard]] std::vector<const Entry*> fresh(Ms wall, Ms most_ms) const;
+  // Rows that are not older than `max_age_ms`.
+  [[nodiscard]] std::vector<const Entry*> fresh(Ms wall, Ms max_age_ms) const;
   [[nodiscard]] const Entry* find(const std::string& controller) const;
   static Ms age(Ms wall, const wire::LinkRow& row);
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
-  std::string own_;
+  std::string own_name_;
   std::map<std::string, Entry> entries_;
 };
 
--- a/src/links/phi_detector.cpp
+++ b/src/links/phi_detector.cpp
@@ -6,40 +6,42 @@
 
 namespace scheduler::links {
 
-PhiDetector::PhiDetector(Ms expected_interval) : expected_(static_cast<double>(expected_interval)) {
-  // Until enough intervals have been seen the expected one stands for them.
-  intervals_.fill(expected_);
-  const auto n = static_cast<double>(kIntervals);
-  sum_ = n * expected_;
-  sum_of_squares_ = n * expected_ * expected_;
+PhiDetector::PhiDetector(Ms expected_interval)
+    : expected_interval_(static_cast<double>(expected_interval)) {
+  // The expected interval fills the window until real intervals replace it.
+  intervals_.fill(expected_interval_);
+  const auto n = static_cast<double>(kIntervalWindow);
+  sum_ = n * expected_interval_;
+  sum_of_squares_ = n * expected_interval_ * expected_interval_;
 }
 
-void PhiDetector::heard(Ms now) {
-  const Ms before = std::exchange(last_heard_, std::max(now, last_heard_));
-  if (before == 0) return;
-  const auto interval = static_cast<double>(last_heard_ - before);
-  if (interval > kLongestInterval * expected_) return;
-  double& oldest = intervals_.at(count_++ % kIntervals);
+void PhiDetector::on_message(Ms now) {
+  const Ms previous = std::exchange(last_message_at_, std::max(now, last_message_at_));
+  if (previous == 0) return;
+  const auto interval = static_cast<double>(last_message_at_ - previous);
+  if (interval > kOutlierIntervalFactor * expected_interval_) return;
+  double& oldest = intervals_.at(interval_count_++ % kIntervalWindow);
   sum_ += interval - oldest;
   sum_of_squares_ += interval * interval - oldest * oldest;
   oldest = interval;
 }
 
 void PhiDetector::on_pause(Ms now) {
-  if (last_heard_ != 0) last_heard_ = now;
+  if (last_message_at_ != 0) last_message_at_ = now;
 }
 
-double PhiDetector::mean() const { return sum_ / static_cast<double>(kIntervals); }
+double PhiDetector::mean() const { return sum_ / static_cast<double>(kIntervalWindow); }
 
-double PhiDetector::spread() const {
+double PhiDetector::std_dev() const {
   const double average = mean();
-  const double variance = sum_of_squares_ / static_cast<double>(kIntervals) - average * average;
-  return std::max(kLeastSpreadMs, std::sqrt(std::max(0.0, variance)));
+  const double variance =
+      sum_of_squares_ / static_cast<double>(kIntervalWindow) - average * average;
+  return std::max(kMinStdDevMs, std::sqrt(std::max(0.0, variance)));
 }
 
 double PhiDetector::suspicion(Ms now) const {
-  if (last_heard_ == 0) return 0;
-  const double y = (static_cast<double>(now - last_heard_) - mean()) / spread();
+  if (last_message_at_ == 0) return 0;
+  const double y = (static_cast<double>(now - last_message_at_) - mean()) / std_dev();
   // A logistic function that is within 0.02% of the normal distribution (Bowling et al., 2009).
   constexpr double kCubic = 0.070566;
   constexpr double kLinear = 1.5976;
@@ -51,8 +53,8 @@
 }
 
 Status PhiDetector::status(Ms now) const {
-  if (last_heard_ == 0) return Status::unknown;
-  return suspicion(now) < kSuspicion ? Status::up : Status::down;
+  if (last_message_at_ == 0) return Status::unknown;
+  return suspicion(now) < kSuspicionThreshold ? Status::up : Status::down;
 }
 
 }  // namespace scheduler::links
--- a/src/links/phi_detector.h
+++ b/src/links/phi_detector.h
@@ -1,4 +1,4 @@
-// A failure detector for messages that come at intervals, after Hayashibara, Défago, Yared and
+// Failure detector for messages at regular intervals, after Hayashibara, Défago, Yared and
 // Katayama, "The phi accrual failure detector" (2004).
 #pragma once
 
@@ -10,28 +10,29 @@
 
 namespace scheduler::links {
 
-// Tells how unlikely the present silence is, given the intervals so far.
+// Computes how unlikely the time since the last message is, given the previous intervals.
 class PhiDetector {
  public:
   explicit PhiDetector(Ms expected_interval);
 
-  void heard(Ms now);
-  // This process was paused: silence counts from now on.
+  void on_message(Ms now);
+  // Restarts the silence timer after a pause of this process.
   void on_pause(Ms now);
-  // Minus the decimal logarithm of the probability that a message still comes; 0 if none ever came.
+  // Negative decimal logarithm of the probability that a message still arrives; 0 before the first
+  // message.
   [[nodiscard]] double suspicion(Ms now) const;
   [[nodiscard]] Status status(Ms now) const;
-  [[nodiscard]] Ms last_heard() const { return last_heard_; }
+  [[nodiscard]] Ms last_message_at() const { return last_message_at_; }
 
  private:
   [[nodiscard]] double mean() const;
-  [[nodiscard]] double spread() const;
+  [[nodiscard]] double std_dev() const;
 
-  double expected_;
-  std::array<double, kIntervals> intervals_{};
-  std::size_t count_ = 0;  // of all intervals so far; the newest ones are kept
+  double expected_interval_;
+  std::array<double, kIntervalWindow> intervals_{};
+  std::size_t interval_count_ = 0;  // intervals seen so far; only the newest are kept
   double sum_ = 0, sum_of_squares_ = 0;
-  Ms last_heard_ = 0;  // 0: never
+  Ms last_message_at_ = 0;  // 0: never
 };
 
 }  // namespace scheduler::links
--- a/src/links/types.h
+++ b/src/links/types.h
@@ -1,4 +1,4 @@
-// What the package has in common.
+// Types shared by the link monitoring.
 #pragma once
 
 #include <cstdint>
--- a/src/links/zone_links.h
+++ b/src/links/zone_links.h
@@ -7,48 +7,49 @@
 
 namespace scheduler::links {
 
-// Heartbeats show one direction, answers to probes and commands the other (and that their answers
-// come back). Workers report at intervals with a known bound, so silence is judged by that bound
-// and by how many workers are silent at once; a sample of them is probed as soon as that looks
-// unusual.
+// Heartbeats prove one direction of the link; replies to probes and commands prove the other, and
+// the way back. Workers send heartbeats at intervals with a known maximum, so silence is judged by
+// that maximum and by the number of workers that are silent at once. A sample of workers is probed
+// as soon as the silence looks unusual.
 class ZoneLinks {
  public:
   explicit ZoneLinks(Ms heartbeat_interval) : heartbeat_interval_(heartbeat_interval) {}
 
-  // So many workers of the zone report to this controller, as far as it knows.
-  void expect(Ms now, std::size_t workers);
+  // Sets the number of workers of the zone that are known to send heartbeats to this controller.
+  void set_expected_workers(Ms now, std::size_t workers);
   void heartbeat_received(Ms now) { last_heartbeat_ = now; }
   // A worker has answered a command or a probe.
   void answered(Ms now);
-  // None of a sample of workers has answered.
-  void sample_unanswered() { ++unanswered_rounds_; }
-  // A command to a worker that had reported lately was not answered: that one, or its zone.
-  void suspect_commands() { suspected_ = true; }
+  // No worker of a probed sample has answered.
+  void on_sample_unanswered() { ++unanswered_rounds_; }
+  // A worker with recent heartbeats left a command unanswered: either this worker or the link to
+  // its zone has failed.
+  void suspect_commands() { commands_suspected_ = true; }
   void on_pause(Ms now);
 
   [[nodiscard]] Status reports(Ms now) const;
   [[nodiscard]] Status commands(Ms now) const;
-  // Both directions work, as far as anybody knows.
+  // Whether neither direction is known to be down.
   [[nodiscard]] bool usable(Ms now) const;
-  // A sample of workers should be probed now.
+  // Whether a sample of workers should be probed now.
   [[nodiscard]] bool probe_due(Ms now) const;
-  void probe_sent(Ms now) { probed_at_ = now; }
+  void probe_sent(Ms now) { last_probe_ = now; }
   [[nodiscard]] Ms last_heartbeat() const { return last_heartbeat_; }
   [[nodiscard]] std::size_t workers() const { return workers_; }
 
  private:
   [[nodiscard]] Ms silent_for(Ms now) const;
-  // Milliseconds without a heartbeat after which so many workers count as silent.
+  // Milliseconds without any heartbeat after which this number of workers counts as silent.
   [[nodiscard]] Ms silence_limit(std::size_t workers) const;
 
   Ms heartbeat_interval_;
   std::size_t workers_ = 0;
-  Ms expected_since_ = 0;  // 0: no worker is expected to report
+  Ms expected_since_ = 0;  // 0: no worker is expected to send heartbeats
   Ms last_heartbeat_ = 0;  // 0: never
   Ms last_answer_ = 0;
-  Ms probed_at_ = 0;
-  int unanswered_rounds_ = 0;  // in a row
-  bool suspected_ = false;
+  Ms last_probe_ = 0;
+  int unanswered_rounds_ = 0;  // consecutive
+  bool commands_suspected_ = false;
 };
 
 }  // namespace scheduler::links
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -12,33 +12,35 @@
 
 namespace {
 
-// Milliseconds for which a recorded start may wait for capacity while nothing on its machine is
-// being stopped: heartbeats of what ended come within one.
-constexpr std::int64_t kBlockedStartMs = 2500;
-// Commands in one message to a worker; keeps any body far below 64 KiB.
-constexpr std::size_t kCommandsPerMessage = 200;
-// Times that this interval doubles while a machine goes on not answering.
+// Milliseconds that a recorded start may wait for capacity while no task on its machine is being
+// stopped. Heartbeats that report ended tasks arrive within one second.
+constexpr std::int64_t kBlockedStartTimeoutMs = 2500;
+// Maximum number of commands in one message to a worker; keeps its body far below 64 KiB.
+constexpr std::size_t kMaxCommandsPerMessage = 200;
+// Limit of the exponential backoff: how many times kCommandRetryMs doubles while a machine does not
+// answer.
 constexpr int kCommandRetryDoublings = 3;
 
 }  // namespace
 
 void CommandDispatcher::add_commands_for_listed(const Machine& machine, CommandPlan& plan) const {
   for (const auto& [task, reported] : machine.tasks) {
-    if (plan.commands.size() >= kCommandsPerMessage) break;
+    if (plan.commands.size() >= kMaxCommandsPerMessage) break;
     const ListedTask listed = find_listed(machine, task, reported);
     if (reported.state == wire::TaskState::exited) {
       if (listed.placement) continue;
       plan.commands.push_back({wire::CommandKind::forget, task, reported.attempt, 0});
-      plan.forgets = true;
+      plan.has_forget = true;
       continue;
     }
     const std::optional<double> grace_s = grace_to_stop(machine, listed, task, reported);
-    const bool leaves = grace_s && add_stop(machine, listed, task, reported, *grace_s, plan);
-    if (!leaves && listed.job) plan.free -= resources_of(listed.job->record.spec);
+    const bool frees_capacity =
+        grace_s && add_stop(machine, listed, task, reported, *grace_s, plan);
+    if (!frees_capacity && listed.job) plan.free -= resources_of(listed.job->record.spec);
   }
 }
 
-CommandDispatcher::ListedTask CommandDispatcher::find_listed(const Machine& m,
+CommandDispatcher::ListedTask CommandDispatcher::find_listed(const Machine& machine,
                                                              const wire::TaskId& task,
                                                              const ReportedTask& reported) const {
   ListedTask listed;
@@ -48,8 +50,9 @@
   for (const auto& [number, range] : job->second.ranges) {
     if (task.index < range.begin || task.index >= range.end) continue;
     const auto placed = range.placed.find(task.index);
-    if (placed != range.placed.end() && placed->second.machine == m.id &&
-        placed->second.attempt == reported.attempt && placed->second.incarnation == m.incarnation) {
+    if (placed != range.placed.end() && placed->second.machine == machine.id &&
+        placed->second.attempt == reported.attempt &&
+        placed->second.incarnation == machine.incarnation) {
       listed.placement = &placed->second;
       listed.ref = {{task.job, number}, task.index};
     }
@@ -67,7 +70,8 @@
   if (!job.known || cancellations_.is_cancelled(task.job, job)) return 0.0;
   if (machine.stop_requested(task, reported.attempt)) return machine.stop_requests.at(task).grace_s;
   const wire::JobSpec& spec = job.record.spec;
-  // A gang stops as one, in time for all of it to write checkpoints.
+  // The tasks of a gang stop together; the grace period gives all of them time to write
+  // checkpoints.
   if (spec.is_gang() && spec.checkpoint_interval_s > 0)
     return spec.checkpoint_write_s + context_.settings.gang_peer_s;
   return 0.0;
@@ -77,7 +81,7 @@
                                  const wire::TaskId& task, const ReportedTask& reported,
                                  double grace_s, CommandPlan& plan) const {
   plan.stopping = true;
-  // A checkpoint is written undisturbed unless it is of no use any more.
+  // A checkpoint in progress is not interrupted unless it is no longer needed.
   if (reported.state != wire::TaskState::checkpointing || grace_s == 0) {
     plan.commands.push_back({wire::CommandKind::stop, task, reported.attempt, grace_s});
     const bool cancelled =
@@ -95,7 +99,7 @@
 
 void CommandDispatcher::add_starts(Ms now, Machine& machine, CommandPlan& plan) {
   for (const TaskRef& ref : context_.replica.placed_on(machine.id)) {
-    if (plan.commands.size() >= kCommandsPerMessage) break;
+    if (plan.commands.size() >= kMaxCommandsPerMessage) break;
     const auto* placement = context_.replica.placement(ref);
     const Job* job = context_.replica.job(ref.range.job);
     if (!placement || !job || placement->incarnation != machine.incarnation ||
@@ -109,7 +113,7 @@
     if (!plan.free.fits(resources_of(spec))) {
       if (!plan.stopping && !spec.is_gang())
         abandon_blocked_start(now, machine, task, placement->attempt);
-      continue;  // waits for what is being stopped
+      continue;  // waits for the tasks that are being stopped
     }
     machine.start_blocked_since.erase(task);
     plan.free -= resources_of(spec);
@@ -124,13 +128,13 @@
   CommandPlan plan;
   if (const auto* type = context_.replica.type(machine.type)) plan.free = resources_of(*type);
   add_commands_for_listed(machine, plan);
-  // A copy of a start for what is forgotten may still be on its way; the new token refuses it. A
-  // recorded task that must not run and is not listed: a higher token settles whether it can still
-  // start. Both before any start of this message is noted with the token that carries it.
-  if ((plan.forgets || reconciler_.has_unproven_absence(machine)) &&
+  // A delayed start of a forgotten task may still be in flight; the worker rejects it under the new
+  // token. For a recorded task that must not run and is not listed, a higher token settles whether
+  // it can still start. Raise the token before starts of this message are stored with it.
+  if ((plan.has_forget || reconciler_.has_unproven_absence(machine)) &&
       machines_.token(machine) <= machine.start_token)
     ++machine.fence;
-  // What is recorded and not listed. Nothing is started while the state service is silent.
+  // No task is started while the state service does not answer.
   if (context_.can_write(now) && machine.sequence > 0) add_starts(now, machine, plan);
   return std::move(plan.commands);
 }
@@ -155,20 +159,20 @@
 
 void CommandDispatcher::abandon_blocked_start(Ms now, Machine& machine, const wire::TaskId& task,
                                               std::uint64_t attempt) {
-  auto [since, fresh] = machine.start_blocked_since.try_emplace(task, now);
-  if (fresh || now - since->second < kBlockedStartMs) return;
+  auto [blocked_since, inserted] = machine.start_blocked_since.try_emplace(task, now);
+  if (inserted || now - blocked_since->second < kBlockedStartTimeoutMs) return;
   context_.log(LogLevel::info,
                "no capacity for " + wire::task_name(task.job, task.index) + " on " + machine.id);
   machine.stop_requests[task] = {attempt, 0.0};
-  machine.start_blocked_since.erase(since);
+  machine.start_blocked_since.erase(blocked_since);
   machine.candidate_known = false;
   machine.resend_commands = true;
 }
 
 bool CommandDispatcher::needs_direct_command(const Machine& machine,
-                                             const std::vector<wire::Command>& list) const {
+                                             const std::vector<wire::Command>& commands) const {
   if (!machine.token_confirmed || machine.unreachable_since != 0 || machine.suspect) return true;
-  if (std::any_of(list.begin(), list.end(),
+  if (std::any_of(commands.begin(), commands.end(),
                   [](const auto& c) { return c.kind != wire::CommandKind::forget; }))
     return true;
   return reconciler_.has_unproven_absence(machine);
@@ -183,19 +187,20 @@
     return;
   }
   if (now < machine.next_command_at) return;
-  const auto list = commands_for(now, machine);
+  const auto commands = commands_for(now, machine);
   machine.resend_commands = false;
-  if (!probe && !needs_direct_command(machine, list)) return;
-  // Bounded, or a partition would take all sockets; those that do not answer must not be in the
-  // way.
+  if (!probe && !needs_direct_command(machine, commands)) return;
+  // The number of messages in flight is limited so that a partition does not use up all sockets.
+  // Unresponsive machines have a separate limit so that they don't delay messages to responsive
+  // ones.
   const bool suspect = machine.unanswered_commands > 0 ||
                        now - machine.last_contact > machines_.unresponsive_after();
-  int& out = suspect ? probes_in_flight_ : direct_commands_in_flight_;
-  if (out >= (suspect ? context_.capacity.probes : context_.capacity.direct_messages)) {
+  int& in_flight = suspect ? probes_in_flight_ : direct_commands_in_flight_;
+  if (in_flight >= (suspect ? context_.capacity.probes : context_.capacity.direct_messages)) {
     machine.resend_commands = true;
     return;
   }
-  ++out;
+  ++in_flight;
   machine.commands_in_flight = true;
   machine.resend_commands = false;
   SentCommands sent{machine.id,
@@ -204,7 +209,7 @@
                     suspect,
                     false,
                     status_.pauses()};
-  std::string body = wire::commands_body(machines_.token(machine), machine.incarnation, list);
+  std::string body = wire::commands_body(machines_.token(machine), machine.incarnation, commands);
   if (const auto peer = worker_links_.relay_for(now, machine)) {
     sent.relayed = true;
     if (relay_.send_command(now, status_.wall(now), *peer, machine.address, body,
@@ -223,9 +228,9 @@
 void CommandDispatcher::on_command_result(Ms now, const SentCommands& sent,
                                           const HttpResult& http_result) {
   --(sent.suspect ? probes_in_flight_ : direct_commands_in_flight_);
-  auto it = machines_.find(sent.machine);
-  if (it == machines_.end()) return;
-  Machine& machine = it->second;
+  auto entry = machines_.find(sent.machine);
+  if (entry == machines_.end()) return;
+  Machine& machine = entry->second;
   machine.commands_in_flight = false;
   if (machine.owned_since_epoch != sent.owned_since_epoch) return;
   const bool current = sent.pauses == status_.pauses();
@@ -234,9 +239,9 @@
                                : wire::decode_error("status", "200 or 409");
   if (decoded && decoded->machine == machine.id) {
     const wire::Heartbeat& heartbeat = *decoded;
-    const bool again =
+    const bool restarted =
         HeartbeatCounters{heartbeat.incarnation, heartbeat.sequence} <= sent.counters;
-    if (again) heartbeat_applier_.on_agent_restart(now, machine, heartbeat);
+    if (restarted) heartbeat_applier_.on_agent_restart(now, machine, heartbeat);
     heartbeat_applier_.apply(now, machine, heartbeat);
     machine.suspect = false;
     machine.unanswered_commands = 0;
@@ -245,13 +250,16 @@
       machine.direct_command_failed_at = 0;
       links_.zone(machine.zone).answered(now);
     }
-    // It has answered, so it is within reach. A restarted one shows our token first.
-    if (!again) machine.unreachable_since = 0;
+    // The machine has answered and so is reachable. A restarted one must first report a token of
+    // this controller.
+    if (!restarted) machine.unreachable_since = 0;
     machine.next_command_at = http_result.status == 200 ? now : now + kCommandRetryMs / 4;
-    // What was stopped may be gone, and what waits for its capacity can start.
-    machine.next_command_check = std::min(machine.next_command_check, now + kMachineCheckMs);
+    // Stopped tasks may have ended by now, so that starts waiting for their capacity can be sent.
+    machine.next_command_check =
+        std::min(machine.next_command_check, now + kMachineCheckIntervalMs);
   } else if (!current) {
-    // We were not there to hear it. It may have been executed, or may still be.
+    // This process was paused when the reply was due. The commands may have been executed, or may
+    // still be.
     ++machine.fence;
     machine.candidate_known = false;
     machine.resend_commands = true;
@@ -266,7 +274,8 @@
   heartbeat_applier_.mark_unreachable(now, machine);
   machine.candidate_known = false;
   machine.resend_commands = true;
-  const bool first_of_service = machine.unanswered_commands == 0 && machines_.probed_early(machine);
+  const bool first_early_probe =
+      machine.unanswered_commands == 0 && machines_.probed_early(machine);
   machine.next_command_at = now;
   machine.relayed_command_unanswered = sent.relayed;
   if (!sent.relayed) {
@@ -274,9 +283,9 @@
     if (now - machine.last_heartbeat <= machines_.overdue_after())
       links_.zone(machine.zone).suspect_commands();
   }
-  // The next goes another way at once, if there is one.
-  const bool other_way = !sent.relayed && worker_links_.relay_for(now, machine).has_value();
-  if (!first_of_service && !other_way)
+  // The next message is sent through a relay at once, if one is available.
+  const bool relay_available = !sent.relayed && worker_links_.relay_for(now, machine).has_value();
+  if (!first_early_probe && !relay_available)
     machine.next_command_at += kCommandRetryMs
                                << std::min(machine.unanswered_commands, kCommandRetryDoublings);
   ++machine.unanswered_commands;
--- a/src/workers/command_dispatcher.h
+++ b/src/workers/command_dispatcher.h
@@ -1,5 +1,5 @@
-// Commands to the machines of this controller's shard: what follows from the records, and the
-// direct messages that carry them.
+// Derives the commands to the machines of this controller's shard from the records and sends them
+// as direct messages.
 #pragma once
 
 #include <optional>
@@ -20,9 +20,9 @@
 
 namespace scheduler {
 
-// Starts follow from recorded placements only, and nothing is started while the state service is
-// silent. Every message carries the machine's fencing token; one that may still be executed is
-// outrun by a higher token.
+// Only recorded placements are started, and no task is started while the state service does not
+// answer. Every message carries the machine's fencing token. When an earlier message may still be
+// executed, the token is raised so that the worker rejects that message.
 class CommandDispatcher {
  public:
   CommandDispatcher(const Context& context, const ControllerStatus& status, MachineTable& machines,
@@ -40,62 +40,62 @@
         worker_links_(worker_links),
         relay_(relay) {}
 
-  // What the machine is to be told now. Raises its token where that is needed.
+  // Commands for the machine as of now. Raises its token if needed.
   std::vector<wire::Command> commands_for(Ms now, Machine& machine);
-  // Sends a direct message if one is needed, or in any case as a `probe`.
+  // Sends a direct message if one is needed; a `probe` is sent in any case.
   void send(Ms now, Machine& machine, bool probe = false);
 
  private:
-  // What is known of a message when it is sent.
+  // State of a machine at the time when a message was sent to it.
   struct SentCommands {
     std::string machine;
     std::uint64_t owned_since_epoch = 0;
     HeartbeatCounters counters;  // of the machine
-    bool suspect = false;        // it left a message unanswered, or is silent
+    bool suspect = false;        // the machine left a message unanswered, or is silent
     bool relayed = false;        // through a peer
     std::uint64_t pauses = 0;
   };
-  // Commands so far, and the capacity that further starts may use.
+  // Commands collected for a message, and the capacity that further starts may use.
   struct CommandPlan {
     std::vector<wire::Command> commands;
-    // Free, as the worker counts; without a bound while its type is not known.
+    // Free capacity as counted by the worker; unbounded while the machine type is not known.
     Resources free{kUnbounded, kUnbounded, kUnbounded};
-    bool forgets = false;   // some exited task is to be forgotten
-    bool stopping = false;  // some task is being stopped
+    bool has_forget = false;  // has a command to forget an exited task
+    bool stopping = false;    // some task is being stopped
   };
-  // A task that the worker lists, and what the records say of it.
+  // A task listed by the worker, with its records.
   struct ListedTask {
     const Job* job = nullptr;
-    const wire::Placement* placement = nullptr;  // none: this attempt is not recorded here
+    const wire::Placement* placement = nullptr;  // null: attempt not recorded on the machine
     TaskRef ref;                                 // of the placement
   };
   static constexpr double kUnbounded = 1e9;
 
   [[nodiscard]] ListedTask find_listed(const Machine& machine, const wire::TaskId& task,
                                        const ReportedTask& reported) const;
-  // Seconds that a listed task has to end; none: it may run on.
+  // Seconds that a listed task gets before it must end; none if it may keep running.
   [[nodiscard]] std::optional<double> grace_to_stop(const Machine& machine,
                                                     const ListedTask& listed,
                                                     const wire::TaskId& task,
                                                     const ReportedTask& reported) const;
-  // Adds the command to stop a listed task. True if its capacity is free soon.
+  // Adds the command to stop a listed task. Returns true if its capacity becomes free soon.
   bool add_stop(const Machine& machine, const ListedTask& listed, const wire::TaskId& task,
                 const ReportedTask& reported, double grace_s, CommandPlan& plan) const;
-  // Stops and forgets what the worker lists and should not.
+  // Adds commands to stop or forget listed tasks that should not be on the machine.
   void add_commands_for_listed(const Machine& machine, CommandPlan& plan) const;
-  // Starts what is recorded and not listed.
+  // Adds starts of tasks that are recorded on the machine but not listed by it.
   void add_starts(Ms now, Machine& machine, CommandPlan& plan);
   void log_command(const Machine& machine, const wire::Command& command,
                    const wire::Placement* placement, std::string_view reason) const;
-  // Guards against a start that waits for ever: two controllers may have filled the same machine at
-  // the same time, and what runs there may be a service, which does not end. The task is placed
-  // anew once the machine has shown that it does not have it.
+  // Gives up a start that has waited too long for capacity. Two controllers may have filled the
+  // same machine at the same time with services, which do not end. The task is placed again once
+  // the machine has proven that it does not have it.
   void abandon_blocked_start(Ms now, Machine& machine, const wire::TaskId& task,
                              std::uint64_t attempt);
   [[nodiscard]] bool needs_direct_command(const Machine& machine,
-                                          const std::vector<wire::Command>& list) const;
+                                          const std::vector<wire::Command>& commands) const;
   void on_command_result(Ms now, const SentCommands& sent, const HttpResult& http_result);
-  // May still be executed: everything sent from now on outruns it.
+  // The commands may still be executed, so the token is raised to make the worker reject them.
   void on_commands_unanswered(Ms now, Machine& machine, const SentCommands& sent);
 
   const Context& context_;
--- a/src/workers/failure_tracker.h
+++ b/src/workers/failure_tracker.h
@@ -1,4 +1,4 @@
-// Tells failing machines from faulty jobs.
+// Distinguishes failing machines from faulty jobs.
 #pragma once
 
 #include <map>
@@ -9,52 +9,54 @@
 
 namespace scheduler {
 
-// Milliseconds after which errors are forgotten.
+// Milliseconds after which task failures are forgotten.
 constexpr std::int64_t kFailureMemoryMs = 180'000;
-// Milliseconds a failing job waits at first; doubles up to the most.
+// Initial and maximum backoff of a failing job in milliseconds; the delay doubles with each further
+// failure.
 constexpr std::int64_t kJobBackoffMs = 1000;
-constexpr std::int64_t kJobBackoffMostMs = 30'000;
+constexpr std::int64_t kMaxJobBackoffMs = 30'000;
 
 class FailureTracker {
  public:
-  // A task of `job` failed on `machine`. True when the machine is quarantined now.
+  // A task of `job` failed on `machine`. Returns true if the machine should be quarantined.
   bool failed(Ms now, const std::string& machine, const std::string& job);
-  // A replica of a service ended at once without being stopped. Says nothing against the machine;
-  // the job is backed off if it goes on.
+  // A replica of a service ended at once without being stopped. Does not count against the machine;
+  // the job is backed off.
   void on_early_exit(Ms now, const std::string& machine, const std::string& job);
-  // The worker keeps a result of this replica, and would end each further attempt of it at once.
-  // Other replicas of the job run there as on any machine.
+  // The worker keeps a result of this replica and would end each further attempt of it at once.
+  // Other replicas of the job are not affected on this machine.
   void on_result_kept(Ms now, const std::string& machine, const wire::TaskId& replica);
   [[nodiscard]] bool has_kept_result(Ms now, const std::string& machine,
                                      const wire::TaskId& replica) const;
-  // A replica has run for a while: the job is not at fault.
+  // A replica has run long enough to show that the job is not faulty.
   void on_stable(const std::string& job);
-  // A task of `job` completed on `machine`: neither is at fault.
+  // A task of `job` completed on `machine`: clears the failures of both.
   void completed(const std::string& machine, const std::string& job);
   // Earliest time at which the job's tasks may be started again.
   [[nodiscard]] Ms next_attempt_at(const std::string& job) const;
-  // The machine failed a task of this job lately: others are tried first.
+  // Whether a task of this job failed on the machine recently, so that other machines are
+  // preferred.
   [[nodiscard]] bool has_failed_on(Ms now, const std::string& machine, const std::string& job,
                                    Ms failure_memory = kFailureMemoryMs) const;
   [[nodiscard]] bool is_faulty_job(const std::string& job) const;
-  // A task of the job failed somewhere.
+  // Whether failures of the job are known, on any machine.
   [[nodiscard]] bool has_failed(const std::string& job) const { return jobs_.contains(job); }
   void forget_job(const std::string& job);
   void forget_machine(const std::string& machine);
 
  private:
-  void note_error(Ms now, const std::string& machine, const std::string& job);
+  void record_failure(Ms now, const std::string& machine, const std::string& job);
 
-  struct JobErrors {
+  struct JobFailures {
     std::map<std::string, Ms> machines;
-    int in_a_row = 0;
+    int consecutive = 0;
     Ms next_attempt_at = 0;
   };
-  static void back_off(Ms now, JobErrors& errors);
+  static void back_off(Ms now, JobFailures& failures);
 
-  std::map<std::string, JobErrors> jobs_;
-  std::map<std::string, std::map<std::string, Ms>> machines_;  // machine -> job -> last error
-  std::map<std::string, std::map<wire::TaskId, Ms>> results_;  // machine -> replica -> its end
+  std::map<std::string, JobFailures> jobs_;
+  std::map<std::string, std::map<std::string, Ms>> machines_;       // machine -> job -> last error
+  std::map<std::string, std::map<wire::TaskId, Ms>> kept_results_;  // machine -> replica -> end
 };
 
 }  // namespace scheduler
--- a/src/workers/gossiped_cancellations.h
+++ b/src/workers/gossiped_cancellations.h
@@ -1,4 +1,4 @@
-// Cancellations that a peer has told this controller of while it can't read the records itself.
+// Cancellations received from peers by gossip while this controller can't read the records itself.
 #pragma once
 
 #include <set>
@@ -10,24 +10,24 @@
 
 namespace scheduler {
 
-// Such jobs' tasks are stopped; what that proves is recorded once this controller can write again.
-// Nothing is ever started on a peer's word.
+// Stops the tasks of these jobs. Proof that they ended is recorded once this controller can write
+// again. Gossip never causes a task to be started.
 class GossipedCancellations {
  public:
   GossipedCancellations(const Context& context, MachineTable& machines)
       : context_(context), machines_(machines) {}
 
-  // A peer has read that these jobs are cancelled.
+  // Handles a peer's message that, by the records it has read, these jobs are cancelled.
   void apply(Ms now, const std::vector<std::string>& jobs);
-  // Cancelled by the records, or by a peer's word.
+  // Whether the job is cancelled according to the records or to a peer.
   [[nodiscard]] bool is_cancelled(const std::string& id, const Job& job) const {
-    return job.record.cancelled || jobs_.contains(id);
+    return job.record.cancelled || cancelled_jobs_.contains(id);
   }
 
  private:
   const Context& context_;
   MachineTable& machines_;
-  std::set<std::string> jobs_;
+  std::set<std::string> cancelled_jobs_;
 };
 
 }  // namespace scheduler
--- a/src/workers/heartbeat_applier.cpp
+++ b/src/workers/heartbeat_applier.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Images remembered of a machine; the oldest are forgotten.
-constexpr std::size_t kImagesRemembered = 16;
+// Maximum number of images stored per machine; the oldest are dropped.
+constexpr std::size_t kMaxImages = 16;
 
 }  // namespace
 
@@ -36,13 +36,14 @@
   machine.start_token = machines_.token(machine);
   mark_unreachable(now, machine);
   for (const TaskRef& ref : context_.replica.placed_on(machine.id)) {
-    const auto* p = context_.replica.placement(ref);
+    const auto* placement = context_.replica.placement(ref);
     const wire::TaskId task{ref.range.job, ref.index};
     const bool listed =
-        std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
-                    [&](const auto& t) { return t.task == task && p && t.attempt == p->attempt; });
-    if (!p || listed) continue;
-    machine.stop_requests[task] = {p->attempt, 0.0};
+        std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const auto& t) {
+          return t.task == task && placement && t.attempt == placement->attempt;
+        });
+    if (!placement || listed) continue;
+    machine.stop_requests[task] = {placement->attempt, 0.0};
     machine.unconfirmed_starts[task] = machine.start_token;
   }
 }
@@ -53,11 +54,12 @@
   machine.unconfirmed_starts.clear();
   machine.start_blocked_since.clear();
   machine.images.clear();
-  // Guards against counting the former incarnation's lease on: heard by a direct command alone, a
-  // new incarnation was taken for expired, and what had just started in it was started elsewhere.
+  // The lease timer restarts with the new incarnation. Otherwise a new incarnation known only from
+  // a reply to a direct command would be judged by the old incarnation's lease, count as expired,
+  // and have its newly started tasks started elsewhere as well.
   machine.lease_granted_at = std::max(machine.lease_granted_at, now);
-  // Its lease has expired although its heartbeats come: perhaps no reply reaches it. Guards against
-  // a machine that draws and loses task after task.
+  // The worker's lease expired although its heartbeats arrived, so replies may not reach it. Guards
+  // against a machine that receives and loses one task after another.
   if (machine.sequence > 0) mark_unreachable(now, machine);
 }
 
@@ -88,7 +90,7 @@
   return changed;
 }
 
-void HeartbeatApplier::remember_image(Machine& machine, const wire::TaskStatus& task) const {
+void HeartbeatApplier::add_image(Machine& machine, const wire::TaskStatus& task) const {
   const auto job = context_.replica.jobs().find(task.task.job);
   if (task.state == wire::TaskState::exited || task.state == wire::TaskState::fetching ||
       job == context_.replica.jobs().end())
@@ -97,7 +99,7 @@
   if (std::find(machine.images.begin(), machine.images.end(), image) != machine.images.end())
     return;
   machine.images.push_back(image);
-  if (machine.images.size() > kImagesRemembered) machine.images.erase(machine.images.begin());
+  if (machine.images.size() > kMaxImages) machine.images.erase(machine.images.begin());
 }
 
 bool HeartbeatApplier::apply_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat) {
@@ -109,45 +111,46 @@
     task.state = listed.state;
     task.cause = listed.cause;
     task.checkpointed = listed.checkpointed;
-    const auto before = machine.tasks.find(listed.task);
-    const bool same = before != machine.tasks.end() && before->second.attempt == listed.attempt;
-    changed = changed || !same || before->second.state != listed.state;
+    const auto previous = machine.tasks.find(listed.task);
+    const bool same_attempt =
+        previous != machine.tasks.end() && previous->second.attempt == listed.attempt;
+    changed = changed || !same_attempt || previous->second.state != listed.state;
     if (listed.state == wire::TaskState::running) {
-      const bool ran_before = same && before->second.running_since != 0;
-      task.running_since = ran_before ? before->second.running_since : now;
+      const bool ran_before = same_attempt && previous->second.running_since != 0;
+      task.running_since = ran_before ? previous->second.running_since : now;
     }
-    // How long it ran tells later whether it ended early.
-    if (listed.state == wire::TaskState::exited && same)
-      task.running_since = before->second.running_since;
-    remember_image(machine, listed);
+    // The run time later shows whether the attempt ended early.
+    if (listed.state == wire::TaskState::exited && same_attempt)
+      task.running_since = previous->second.running_since;
+    add_image(machine, listed);
     machine.unconfirmed_starts.erase(listed.task);
-    // The same task may be listed twice: an exited attempt and its successor.
-    const auto [entry, fresh] = tasks.emplace(listed.task, task);
-    if (!fresh && entry->second.state == wire::TaskState::exited) entry->second = task;
+    // A heartbeat may list a task twice: an exited attempt and its successor.
+    const auto [entry, inserted] = tasks.emplace(listed.task, task);
+    if (!inserted && entry->second.state == wire::TaskState::exited) entry->second = task;
   }
   changed = changed || tasks.size() != machine.tasks.size();
   machine.tasks = std::move(tasks);
   return changed;
 }
 
-bool HeartbeatApplier::apply(Ms now, Machine& m, const wire::Heartbeat& heartbeat) {
+bool HeartbeatApplier::apply(Ms now, Machine& machine, const wire::Heartbeat& heartbeat) {
   const HeartbeatCounters counters{heartbeat.incarnation, heartbeat.sequence};
-  if (m.sequence > 0 && counters <= m.counters()) return false;  // late: says nothing new
-  if (heartbeat.incarnation < m.incarnation) return false;
-  if (heartbeat.incarnation > m.incarnation) begin_incarnation(now, m);
-  const bool new_address = m.address != heartbeat.address;
-  bool changed = m.sequence == 0 || new_address;
-  changed = apply_attributes(now, m, heartbeat) || changed;
-  changed = apply_tasks(now, m, heartbeat) || changed;
-  machines_.refresh_from_records(m);
-  const auto* record = context_.replica.machine(m.id);
-  if (record &&
-      (record->incarnation != m.incarnation || new_address || record->address != m.address))
-    shard_records_.record_machine_state(now, m, m.state, kContactWriteDelayMs);
-  reconciler_.reconcile(now, m);
-  // Most heartbeats only say that all goes on.
+  if (machine.sequence > 0 && counters <= machine.counters()) return false;  // outdated
+  if (heartbeat.incarnation < machine.incarnation) return false;
+  if (heartbeat.incarnation > machine.incarnation) begin_incarnation(now, machine);
+  const bool address_changed = machine.address != heartbeat.address;
+  bool changed = machine.sequence == 0 || address_changed;
+  changed = apply_attributes(now, machine, heartbeat) || changed;
+  changed = apply_tasks(now, machine, heartbeat) || changed;
+  machines_.refresh_from_records(machine);
+  const auto* record = context_.replica.machine(machine.id);
+  if (record && (record->incarnation != machine.incarnation || address_changed ||
+                 record->address != machine.address))
+    shard_records_.record_machine_state(now, machine, machine.state, kContactWriteDelayMs);
+  reconciler_.reconcile(now, machine);
+  // Most heartbeats report no change and need no scheduling pass.
   if (changed) {
-    m.candidate_known = false;
+    machine.candidate_known = false;
     pass_trigger_.request();
   }
   return true;
--- a/src/workers/heartbeat_applier.h
+++ b/src/workers/heartbeat_applier.h
@@ -1,4 +1,4 @@
-// Takes in what a machine says of itself, in a heartbeat or in the reply to a direct message.
+// Applies the state that a machine reports in a heartbeat or in the reply to a direct message.
 #pragma once
 
 #include "allocation/pass_trigger.h"
@@ -19,26 +19,28 @@
         shard_records_(shard_records),
         pass_trigger_(pass_trigger) {}
 
-  // False when the heartbeat says nothing new.
+  // Returns false if the heartbeat is outdated.
   bool apply(Ms now, Machine& machine, const wire::Heartbeat& heartbeat);
-  // The machine's reply to our own message carries counters that it had already passed when we sent
-  // it: it has restarted, and what it ran is gone. Starts still on their way are outrun by a new
-  // token; what it does not list is released once it has shown that one (Reconciler).
+  // Handles an agent restart: the reply to a direct message carries counters no higher than those
+  // known when the message was sent, so the tasks of the former incarnation are gone. A new token
+  // makes the worker reject starts still in flight; tasks that the machine does not list are
+  // released once it has reported the new token (Reconciler).
   void on_agent_restart(Ms now, Machine& machine, const wire::Heartbeat& heartbeat);
-  // Something that we sent did not reach the machine: everything sent from now on outruns it, and
-  // the new token is what the machine must show before it gets new work.
+  // A message did not reach the machine. Raises the token so that the worker rejects the lost
+  // message if it arrives later; the machine gets new work only after it has reported the new
+  // token.
   void mark_unreachable(Ms now, Machine& machine);
 
  private:
-  // The agent has a later incarnation: what was known of the former one is void.
+  // Discards the state of the agent's former incarnation.
   void begin_incarnation(Ms now, Machine& machine);
-  // Takes over address, type, tokens and preemption notice. True if that changes what the machine
-  // can do.
+  // Applies address, type, tokens and preemption notice. Returns true if this changes whether tasks
+  // can be placed on the machine.
   static bool apply_attributes(Ms now, Machine& machine, const wire::Heartbeat& heartbeat);
-  // Takes over the listed tasks. True if that changes what the machine holds.
+  // Applies the listed tasks. Returns true if they differ from the known ones.
   bool apply_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat);
-  // Remembers that the image of a task is on its machine.
-  void remember_image(Machine& machine, const wire::TaskStatus& task) const;
+  // Stores that the image of a task is present on its machine.
+  void add_image(Machine& machine, const wire::TaskStatus& task) const;
 
   const Context& context_;
   MachineTable& machines_;
--- a/src/workers/heartbeat_endpoint.cpp
+++ b/src/workers/heartbeat_endpoint.cpp
@@ -14,7 +14,7 @@
     return false;
   }
   if (ClusterView::epoch_of(heartbeat.token) > context_.cluster_view.epoch()) {
-    // Somebody acts on a newer view than we know.
+    // Some controller acts on a newer view than this one has read.
     status_.see_epoch(ClusterView::epoch_of(heartbeat.token));
     context_.reply_unavailable(request, kRetryAfterS);
     return false;
@@ -48,16 +48,17 @@
   if (!accepts(now, request, heartbeat, body)) return;
   auto machine = machines_.find(heartbeat.machine);
   if (machine == machines_.end()) machine = machines_.add(now, heartbeat.machine);
-  on_own_heartbeat(now, request, machine->second, heartbeat);
+  on_shard_heartbeat(now, request, machine->second, heartbeat);
 }
 
-void HeartbeatEndpoint::on_own_heartbeat(Ms now, std::uint64_t request, Machine& machine,
-                                         const wire::Heartbeat& heartbeat) {
-  // Guards against a machine that nobody can ask because its address was never recorded.
+void HeartbeatEndpoint::on_shard_heartbeat(Ms now, std::uint64_t request, Machine& machine,
+                                           const wire::Heartbeat& heartbeat) {
+  // Guards against a machine that can't be probed because its address was never recorded.
   if (machine.address.empty()) machine.address = heartbeat.address;
-  // Guards against copies from a machine's life before it restarted, whose counters may well be the
-  // higher ones: within a life its token never falls, and a later incarnation counts only once the
-  // machine has said so in reply to a message of our own. Until then it gets no commands.
+  // Guards against delayed copies of heartbeats sent before a machine restarted, whose counters may
+  // be higher than the current ones. Between restarts the machine's token never falls. A later
+  // incarnation is accepted only from a reply to a direct message of this controller; until then
+  // the machine gets no commands.
   if (machine.incarnation != 0 && heartbeat.incarnation > machine.incarnation &&
       heartbeat.token >= machine.highest_token_seen) {
     machine.suspect = true;
@@ -68,31 +69,32 @@
   }
   const HeartbeatCounters counters{heartbeat.incarnation, heartbeat.sequence};
   const bool stale = heartbeat.token < machine.highest_token_seen;
-  // A heartbeat may be overtaken by the reply to a direct message; it is genuine all the same.
+  // The reply to a direct message may overtake a heartbeat, which is still valid.
   const bool fresh = !stale && counters > machine.last_heartbeat_counters;
   if (fresh) {
     machine.last_heartbeat_counters = counters;
     machine.last_heartbeat = now;
   }
-  // Guards against replies that the machine drops for ever because this process has forgotten how
-  // far it had raised the fence: only the owner of this epoch, ourselves, can have given it.
+  // Guards against replies that the machine rejects permanently because this process has restarted
+  // and lost the fence. Only the owner in the current epoch, this controller, can have issued a
+  // token of this epoch.
   if (fresh && ClusterView::epoch_of(heartbeat.token) == context_.cluster_view.epoch())
     machine.fence = std::max(machine.fence, ClusterView::fence_of(heartbeat.token));
   if ((stale || !heartbeat_applier_.apply(now, machine, heartbeat)) &&
       !(fresh && heartbeat.incarnation == machine.incarnation)) {
-    // Guards against late copies: they renew nothing and get no commands. A machine that came back
-    // with low counters looks the same; its reply to a message of our own tells
+    // Guards against delayed copies: they don't renew the lease and get no commands. A machine that
+    // restarted with lower counters looks alike; its reply to a direct message tells the two apart
     // (CommandDispatcher).
     machine.suspect = true;
     commands_.send(now, machine);
     context_.reply_unavailable(request, kRetryAfterS);
     return;
   }
-  const auto list = commands_.commands_for(now, machine);
-  const std::uint64_t given = machines_.token(machine);
+  const auto commands = commands_.commands_for(now, machine);
+  const std::uint64_t token = machines_.token(machine);
   machine.heartbeat_answered = true;
   machine.lease_granted_at = std::max(machine.lease_granted_at, now);
-  context_.reply(request, 200, wire::heartbeat_reply(given, list));
+  context_.reply(request, 200, wire::heartbeat_reply(token, commands));
 }
 
 }  // namespace scheduler
--- a/src/workers/heartbeat_endpoint.h
+++ b/src/workers/heartbeat_endpoint.h
@@ -1,4 +1,4 @@
-// Heartbeats of workers, and the replies that renew their leases and carry commands.
+// Handles heartbeats of workers; the replies renew their leases and carry commands.
 #pragma once
 
 #include <string>
@@ -29,11 +29,12 @@
   void on_heartbeat(Ms now, std::uint64_t request, const std::string& body);
 
  private:
-  // Whether this controller can speak for the machine now; replies otherwise.
+  // Whether this controller may answer for the machine now. Sends an error or redirect reply
+  // otherwise.
   bool accepts(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat,
                const std::string& body);
-  void on_own_heartbeat(Ms now, std::uint64_t request, Machine& machine,
-                        const wire::Heartbeat& heartbeat);
+  void on_shard_heartbeat(Ms now, std::uint64_t request, Machine& machine,
+                          const wire::Heartbeat& heartbeat);
 
   const Context& context_;
   ControllerStatus& status_;
--- a/src/workers/machine_monitor.h
+++ b/src/workers/machine_monitor.h
@@ -1,5 +1,5 @@
-// Leases of the machines of this controller's shard, and what becomes of those that are silent,
-// quarantined, about to be preempted or out of reach.
+// Tracks the leases of the machines of this controller's shard and handles machines that are
+// silent, quarantined, unreachable or about to be preempted.
 #pragma once
 
 #include "allocation/pass_trigger.h"
@@ -31,39 +31,41 @@
         pass_trigger_(pass_trigger) {}
 
   void tick(Ms now);
-  // This process was paused: silence and leases count from now on.
+  // Restarts the silence and lease timers after a pause of this process.
   void on_pause(Ms now);
 
  private:
-  // Forgets machines that are neither recorded nor heard.
-  void forget_unknown(Ms now);
+  // Removes machines that are not recorded, have no placements and send no heartbeats.
+  void remove_unknown(Ms now);
   void check(Ms now, Machine& machine, const links::Census& census);
-  // Releases what the machine had, if its lease has expired or it is terminated. True if so.
-  bool release_after_end(Ms now, Machine& machine, bool silence_of_few);
-  // Marks a machine as lost that is there but of no use: nothing reaches it, or its heartbeats
-  // don't come.
+  // Releases the machine's tasks if its lease has expired or it is terminated. Returns true in that
+  // case.
+  bool release_if_ended(Ms now, Machine& machine, bool few_machines_silent);
+  // Marks a machine as lost that is alive but unusable: no message reaches it, or its heartbeats
+  // don't arrive.
   void check_reachability(Ms now, Machine& machine);
-  void check_silence(Ms now, Machine& machine, const links::Census& census, bool silence_of_few);
+  void check_silence(Ms now, Machine& machine, const links::Census& census,
+                     bool few_machines_silent);
   void send_commands_if_due(Ms now, Machine& machine);
   void mark_lost(Ms now, Machine& machine, const char* reason);
 
-  void learn_lease(Ms now, Machine& machine) const;
+  void start_lease_timer(Ms now, Machine& machine) const;
   [[nodiscard]] bool lease_expired(Ms now, const Machine& machine) const;
-  // Every other member acts on a view of that epoch or later.
+  // Whether every other live member has acknowledged a view of that epoch or later.
   [[nodiscard]] bool peers_acknowledged_epoch(std::uint64_t epoch) const;
-  // It has been asked and has not answered, for so long that it is most likely dead. `early`: of
-  // the machines of its zone that are probed early.
+  // Whether the machine has left probes unanswered for so long that it is most likely dead.
+  // `probed_early_in_zone`: contact counts of the machines of its zone that are probed early.
   [[nodiscard]] bool presumed_dead(Ms now, const Machine& machine,
-                                   const links::ContactCount& early) const;
-  // All that it runs is short and must be done soon: it is sooner begun again elsewhere than heard
-  // of when a partition is over.
-  [[nodiscard]] bool restart_elsewhere_first(const Machine& machine) const;
+                                   const links::ContactCount& probed_early_in_zone) const;
+  // Whether all tasks of the machine are short and of high priority: they finish sooner if they are
+  // restarted elsewhere than if the controller waits for the end of a partition.
+  [[nodiscard]] bool should_restart_elsewhere(const Machine& machine) const;
 
-  // What still runs on a quarantined machine is stopped; it is returned once it is empty.
+  // Stops the remaining tasks of a quarantined machine; an empty one is returned to the cloud.
   void drain(Machine& machine) const;
-  // The cloud takes the machine away soon.
+  // Stops tasks that can't finish before the cloud preempts the machine.
   void drain_before_preemption(Ms now, Machine& machine);
-  // Stops a replica whose machine is about to go, so that it starts elsewhere.
+  // Stops a service replica whose machine is about to be preempted, so that it starts elsewhere.
   static void move_replica(Machine& machine, const wire::TaskId& task, std::uint64_t attempt);
 
   const Context& context_;
--- a/src/workers/machine_table.cpp
+++ b/src/workers/machine_table.cpp
@@ -8,14 +8,16 @@
 
 namespace {
 
-// Heartbeat intervals without a heartbeat after which a machine gets nothing new; heartbeats come
-// at up to 1.25 intervals, so this allows one to be lost.
+// Heartbeat intervals without contact after which a machine gets no new tasks. Workers send
+// heartbeats at intervals of up to 1.25 times the nominal one, so this tolerates one lost
+// heartbeat.
 constexpr double kUnresponsiveIntervals = 2.6;
-// Heartbeat intervals without a heartbeat after which it is asked directly; just above the longest.
+// Heartbeat intervals without contact after which a machine is probed; just above the longest
+// interval between two heartbeats.
 constexpr double kOverdueIntervals = 1.4;
-// Share of a worker lease without a heartbeat after which a machine gets nothing new though it
-// answers direct messages: its lease is about to end. After a crash of its controller it finds the
-// next in 5 s as a rule, well within.
+// Share of a worker lease without a heartbeat after which a machine gets no new tasks although it
+// answers direct messages: its lease is about to end. A worker whose controller has crashed usually
+// finds the next one within 5 s, which is well below this limit.
 constexpr double kHeartbeatsMissingLeaseShare = 0.6;
 
 }  // namespace
@@ -26,29 +28,29 @@
   machine.id = id;
   machine.owned_since_epoch = context_.cluster_view.epoch();
   machine.last_contact = machine.last_heartbeat =
-      now;  // no decision before it had time to reach us
+      now;  // gives the machine time for its first heartbeat before any decision
   refresh_from_records(machine);
   return added;
 }
 
-void MachineTable::refresh_from_records(Machine& m) const {
-  const auto* record = context_.replica.machine(m.id);
-  m.recorded = record != nullptr;
+void MachineTable::refresh_from_records(Machine& machine) const {
+  const auto* record = context_.replica.machine(machine.id);
+  machine.recorded = record != nullptr;
   if (!record) return;
-  m.state = std::max(m.state, record->state);
-  if (m.address.empty()) m.address = record->address;
-  if (m.type.empty()) {
-    m.type = record->type;
-    m.zone = record->zone;
-    m.spot = record->spot;
+  machine.state = std::max(machine.state, record->state);
+  if (machine.address.empty()) machine.address = record->address;
+  if (machine.type.empty()) {
+    machine.type = record->type;
+    machine.zone = record->zone;
+    machine.spot = record->spot;
   }
-  if (m.sequence > 0) return;
-  // Not heard yet: the newest incarnation that anybody has recorded, or placed something in. Later
-  // ones can only mean that even more of its tasks are gone.
-  m.incarnation = std::max(m.incarnation, record->incarnation);
-  for (const TaskRef& ref : context_.replica.placed_on(m.id))
-    if (const auto* p = context_.replica.placement(ref))
-      m.incarnation = std::max(m.incarnation, p->incarnation);
+  if (machine.sequence > 0) return;
+  // No heartbeat received yet: assume the newest incarnation that any controller has recorded or
+  // has placed a task in. A later incarnation can only mean that more of the tasks are gone.
+  machine.incarnation = std::max(machine.incarnation, record->incarnation);
+  for (const TaskRef& ref : context_.replica.placed_on(machine.id))
+    if (const auto* placement = context_.replica.placement(ref))
+      machine.incarnation = std::max(machine.incarnation, placement->incarnation);
 }
 
 Ms MachineTable::unresponsive_after() const {
@@ -60,8 +62,9 @@
 }
 
 Ms MachineTable::probe_after(const Machine& machine) const {
-  return context_.replica.hosts_service(machine.id) ? std::min(overdue_after(), kServiceOverdueMs)
-                                                    : overdue_after();
+  return context_.replica.hosts_service(machine.id)
+             ? std::min(overdue_after(), kServiceProbeAfterMs)
+             : overdue_after();
 }
 
 bool MachineTable::heartbeats_missing(Ms now, const Machine& machine) const {
@@ -73,7 +76,7 @@
 bool MachineTable::contacted_recently(Ms now, const std::string& machine) const {
   const auto known = machines_.find(machine);
   return known != machines_.end() &&
-         now - known->second.last_contact <= std::min(overdue_after(), kServiceOverdueMs);
+         now - known->second.last_contact <= std::min(overdue_after(), kServiceProbeAfterMs);
 }
 
 bool MachineTable::usable(Ms now, const Machine& machine) const {
--- a/src/workers/machine_table.h
+++ b/src/workers/machine_table.h
@@ -10,8 +10,8 @@
 
 namespace scheduler {
 
-// Owns what this controller knows of each machine. Which machines are in it follows the view and
-// the records; the components of src/workers change single machines.
+// Owns the state of each machine. The controller adds and removes machines according to the view
+// and the records; the components of src/workers change single machines.
 class MachineTable {
  public:
   using Map = std::map<std::string, Machine>;
@@ -33,32 +33,34 @@
     std::erase_if(machines_, std::forward<Predicate>(predicate));
   }
 
-  // Adds a machine that is of our shard now, or finds it.
+  // Adds a machine that now belongs to this controller's shard, or finds the existing entry.
   Map::iterator add(Ms now, const std::string& id);
-  // Takes over what the records say of the machine.
+  // Updates the machine from the stored records.
   void refresh_from_records(Machine& machine) const;
-  // The fencing token of commands to the machine.
+  // Current fencing token for commands to the machine.
   [[nodiscard]] std::uint64_t token(const Machine& machine) const {
     return ClusterView::token(context_.cluster_view.epoch(), machine.fence);
   }
 
   // ---- contact ----
-  // Milliseconds without contact after which a machine gets nothing new.
+  // Milliseconds without contact after which a machine gets no new tasks.
   [[nodiscard]] Ms unresponsive_after() const;
-  // Milliseconds without contact after which a heartbeat is overdue and the machine is asked.
+  // Milliseconds without contact after which a heartbeat is overdue and the machine is probed.
   [[nodiscard]] Ms overdue_after() const;
-  // The same for this machine, which may be asked earlier.
+  // Milliseconds without contact after which this machine is probed; may be less than
+  // overdue_after() for a machine that runs service replicas.
   [[nodiscard]] Ms probe_after(const Machine& machine) const;
-  // The machine is asked before its next heartbeat is overdue.
+  // Whether the machine is probed before its next heartbeat is overdue.
   [[nodiscard]] bool probed_early(const Machine& machine) const {
     return probe_after(machine) < overdue_after();
   }
-  // It answers direct messages, but its heartbeats do not come, and only replies to those renew its
-  // lease. Guards against a machine that draws task after task and loses each with its lease.
+  // Whether the machine's heartbeats are missing although it may answer direct messages. Only
+  // replies to heartbeats renew its lease, so this guards against a machine that receives one task
+  // after another and loses each with its lease.
   [[nodiscard]] bool heartbeats_missing(Ms now, const Machine& machine) const;
-  // There was contact so lately that it is most likely alive.
+  // Whether the last contact is so recent that the machine is most likely alive.
   [[nodiscard]] bool contacted_recently(Ms now, const std::string& machine) const;
-  // Tasks may be placed on it.
+  // Whether tasks may be placed on the machine.
   [[nodiscard]] bool usable(Ms now, const Machine& machine) const;
 
  private:
--- a/src/workers/reconciler.h
+++ b/src/workers/reconciler.h
@@ -1,4 +1,4 @@
-// Reconciliation: what the heartbeats of a machine prove about the tasks recorded on it.
+// Compares the tasks that a machine lists in its heartbeats with those recorded on it.
 #pragma once
 
 #include "allocation/range_table.h"
@@ -10,7 +10,7 @@
 
 namespace scheduler {
 
-// Releases tasks only on proof that their machine no longer has them and can't start them any more.
+// Releases a task only on proof that its machine no longer has it and can't start it any more.
 class Reconciler {
  public:
   Reconciler(const Context& context, RangeTable& ranges, FailureTracker& failures,
@@ -21,19 +21,23 @@
         shard_records_(shard_records),
         cancellations_(cancellations) {}
 
-  // A recorded task is gone when its machine, under a token that outruns every start sent for it,
-  // no longer lists it, or lists it as exited, or has moved to a later incarnation.
+  // Releases recorded tasks that are proven gone: the machine has moved to a later incarnation,
+  // lists the task as exited, or no longer lists it although it reports a token above that of every
+  // start sent for it.
   void reconcile(Ms now, Machine& machine);
-  // The task is not to be on any machine: cancelled, being stopped, or of a gang that failed.
+  // Whether the task must not run: its job is cancelled or unknown, it is being stopped, it was
+  // placed before the machine restarted, or it belongs to a gang that failed.
   [[nodiscard]] bool must_not_run(const Machine& machine, const TaskRef& ref,
                                   const wire::Placement& placement) const;
-  // A task that must not run is not listed, and it is not proven yet that it can't start.
+  // Whether a task that must not run is not listed by the machine, but could still be started by a
+  // message in flight.
   [[nodiscard]] bool has_unproven_absence(const Machine& machine) const;
 
  private:
-  void on_exit(Ms now, Machine& machine, const TaskRef& ref, const ReportedTask& seen);
-  // What a replica's end says about its job.
-  void on_replica_end(Ms now, const Machine& machine, const TaskRef& ref, const ReportedTask& seen);
+  void on_exit(Ms now, Machine& machine, const TaskRef& ref, const ReportedTask& reported);
+  // Updates the failure history of the job after the end of a replica.
+  void on_replica_end(Ms now, const Machine& machine, const TaskRef& ref,
+                      const ReportedTask& reported);
 
   const Context& context_;
   RangeTable& ranges_;
--- a/src/workers/relay.h
+++ b/src/workers/relay.h
@@ -1,5 +1,5 @@
-// Messages that are passed on through another controller, where there is no link between a
-// controller and a worker.
+// Relays messages through another controller when there is no link between a controller and a
+// worker.
 #pragma once
 
 #include <functional>
@@ -13,30 +13,33 @@
 
 namespace scheduler {
 
-// A command goes to its worker through a peer under the same token and incarnation, and a heartbeat
-// to its owner, whose answer the worker takes since any controller may give it under an equal token
-// (PROTOCOL, "Tokens"). So nothing that holds for a direct message is different for one that is
-// passed on: it may be lost, late or carried out twice. Who passes on decides nothing and keeps
-// nothing but the request that waits for its answer.
+// A command is sent to its worker through a peer, with token and incarnation unchanged. A heartbeat
+// is sent to the worker's owner; the worker accepts the owner's reply from the relaying controller,
+// because any controller may deliver a reply under an equal token (PROTOCOL, "Tokens"). A relayed
+// message has the guarantees of a direct one: it may be lost, late or executed twice. A relay makes
+// no decisions and keeps no state except requests and their results.
 class Relay {
  public:
-  using Send = std::function<void(const std::string& peer, std::string bytes)>;
-  // Hands a heartbeat that a peer has passed on to the controller; its answer comes by
-  // `answer_report` with the same number.
-  using TakeHeartbeat = std::function<void(Ms now, std::uint64_t request, const std::string& body)>;
+  using SendToPeer = std::function<void(const std::string& peer, std::string bytes)>;
+  // Handles a heartbeat relayed by a peer; the reply follows through `reply_to_heartbeat` with the
+  // same request number.
+  using HeartbeatHandler =
+      std::function<void(Ms now, std::uint64_t request, const std::string& body)>;
 
-  Relay(const Context& context, Send send, TakeHeartbeat apply_heartbeat);
+  Relay(const Context& context, SendToPeer send, HeartbeatHandler handle_heartbeat);
 
-  // Sends a command to a worker through `peer`. `done` is called with the worker's answer, or with
-  // kNoAnswer: then it may have been executed, or may still be. False if too many are under way.
+  // Sends a command to a worker through `peer`. `done` is called with the worker's reply, or with
+  // status kNoReply, in which case the command may have been executed or may still be. Returns
+  // false if too many requests are pending or the body is too large.
   bool send_command(Ms now, Ms wall, const std::string& peer, const std::string& address,
                     std::string body, ResultHandler done);
-  // Passes a worker's report on to its owner.
+  // Sends a worker's heartbeat to its owner.
   bool send_heartbeat(Ms now, Ms wall, const std::string& owner, const std::string& worker,
                       std::string body, ResultHandler done);
-  // One worker of a zone in a while is sent to its owner although that doesn't hear the zone, so
-  // that it is found out when it does again. True if that is to be this one; never one whose last
-  // heartbeat was not passed on here, since its lease may be about to end.
+  // Whether to redirect this worker to its owner now although the owner receives no heartbeats from
+  // the zone. One worker at a time tests in this way, at intervals, whether the link works again.
+  // Never true for a worker whose last heartbeat was not relayed by this controller, since its
+  // lease may be about to expire.
   bool direct_attempt_due(Ms now, const std::string& owner, const std::string& zone,
                           const std::string& worker);
 
@@ -44,7 +47,7 @@
   void on_reply(Ms now, const wire::RelayReply& reply);
   void tick(Ms now);
 
-  // Whether a request of the controller is a heartbeat that a peer has passed on.
+  // Whether the request is a heartbeat relayed by a peer.
   static bool is_relayed(std::uint64_t request) { return (request & kRelayedBit) != 0; }
   void reply_to_heartbeat(std::uint64_t request, int status, const std::string& body);
 
@@ -53,41 +56,43 @@
 
   struct Pending {
     std::string peer;
-    std::string bytes;  // sent again until it is answered
+    std::string bytes;  // encoded request, sent again until it is answered
     Ms send_at = 0;
     Ms deadline = 0;
     ResultHandler done;
   };
-  // A request of a peer.
-  struct Asked {
+  // Identifies a request of a peer.
+  struct PeerRequest {
     std::string peer;
     std::uint64_t id = 0;
-    auto operator<=>(const Asked&) const = default;
+    auto operator<=>(const PeerRequest&) const = default;
   };
-  // What became of it. Guards against carrying out a request twice that was sent again.
-  struct Handled {
+  // State of a peer's request. Guards against executing a request twice when the peer sends it
+  // again.
+  struct HandledRequest {
     Ms at = 0;
     std::string reply;  // empty: not answered yet
   };
 
   bool send(Ms now, Ms timeout, const std::string& peer, wire::RelayRequest request,
             ResultHandler done);
-  void pass_command(const wire::RelayRequest& request);
-  void reply_to_peer(const Asked& asked, int status, std::string body);
-  void forget(Ms now);
+  void relay_command(const wire::RelayRequest& request);
+  void reply_to_peer(const PeerRequest& peer_request, int status, std::string body);
+  void remove_expired(Ms now);
 
   const Context& context_;
-  Send send_;
-  TakeHeartbeat take_heartbeat_;
-  // Begins with the incarnation: an answer to a former one's request must not pass for one to ours.
+  SendToPeer send_to_peer_;
+  HeartbeatHandler handle_heartbeat_;
+  // Starts at the incarnation of this process, so that a reply to a request of a former incarnation
+  // does not match a current one.
   std::uint64_t next_id_;
-  std::map<std::uint64_t, Pending> pending_;           // of ours, by id
-  std::map<std::uint64_t, Asked> relayed_heartbeats_;  // of peers, by our number
+  std::map<std::uint64_t, Pending> pending_;                 // requests of this controller, by id
+  std::map<std::uint64_t, PeerRequest> relayed_heartbeats_;  // of peers, by local request number
   std::uint64_t next_relayed_heartbeat_ = 1;
-  std::map<Asked, Handled> handled_;
-  int commands_in_flight_ = 0;              // of peers, under way to workers
-  std::map<std::string, Ms> passed_on_at_;  // by worker, whose report was passed on and answered
-  std::map<std::pair<std::string, std::string>, Ms> direct_attempt_at_;  // by owner and zone
+  std::map<PeerRequest, HandledRequest> handled_requests_;
+  int commands_in_flight_ = 0;            // sent to workers for peers
+  std::map<std::string, Ms> relayed_at_;  // by worker, last relayed heartbeat with a reply
+  std::map<std::pair<std::string, std::string>, Ms> next_direct_attempt_at_;  // by owner and zone
 };
 
 }  // namespace scheduler
--- a/src/workers/shard_reachability.cpp
+++ b/src/workers/shard_reachability.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr std::size_t kProbesGivenUp = 3;  // workers asked at once after the machines were given up
+constexpr std::size_t kReclaimProbes = 3;  // workers probed at once while the shard is given up
 
 }  // namespace
 
 void ShardReachability::tick(Ms now) {
   if (write_in_flight_ || now < next_check_ || !context_.can_write(now)) return;
-  // Guards against taking workers that already send heartbeats to their new owner for a link that
-  // is down.
+  // Guards against mistaking workers that already send heartbeats to their new owner for a broken
+  // link.
   if (status_.newest_epoch_seen() > context_.cluster_view.epoch()) return;
   if (context_.replica.view().unreachable.contains(context_.settings.name)) {
     reclaim_shard(now);
@@ -31,28 +31,28 @@
 }
 
 void ShardReachability::reclaim_shard(Ms now) {
-  next_check_ = now + links::kWorkerProbeMs;
-  std::vector<std::string> near;
+  next_check_ = now + links::kWorkerProbeIntervalMs;
+  std::vector<std::string> in_own_zone;
   std::vector<std::string> all;
   for (const auto& [id, record] : context_.replica.machines()) {
     if (record.incarnation == 0 || record.address.empty() ||
         record.state != wire::MachineState::ready)
       continue;
-    (record.zone == context_.settings.zone ? near : all).push_back(record.address);
+    (record.zone == context_.settings.zone ? in_own_zone : all).push_back(record.address);
   }
-  auto& from = near.empty() ? all : near;
-  if (from.empty()) {
+  auto& candidates = in_own_zone.empty() ? all : in_own_zone;
+  if (candidates.empty()) {
     set_unreachable(false);
     return;
   }
   std::vector<std::string> sample;
-  while (sample.size() < kProbesGivenUp && !from.empty()) {
-    const auto at = probe_random_(static_cast<std::uint32_t>(from.size()));
-    sample.push_back(std::move(from[at]));
-    from.erase(from.begin() + at);
+  while (sample.size() < kReclaimProbes && !candidates.empty()) {
+    const auto at = probe_random_(static_cast<std::uint32_t>(candidates.size()));
+    sample.push_back(std::move(candidates[at]));
+    candidates.erase(candidates.begin() + at);
   }
   worker_links_.probe_workers(sample, [this](Ms at, bool answered) {
-    links_.probed_while_given_up(at, answered);
+    links_.on_reclaim_probe(at, answered);
     const links::Decision decision = links_.may_reclaim_machines(at);
     if (!answered || !decision.allowed || !status_.ready() ||
         !context_.replica.view().unreachable.contains(context_.settings.name))
--- a/src/workers/shard_reachability.h
+++ b/src/workers/shard_reachability.h
@@ -1,5 +1,5 @@
-// Gives up this controller's shard when its links to all of its machines are down and another
-// controller's are not, and reclaims it once they have been up for long enough.
+// Gives up this controller's shard when its links to all of its machines are down but those of
+// another controller are not. Reclaims the shard once the links have been up for long enough.
 #pragma once
 
 #include <pcg_random.hpp>
@@ -11,7 +11,7 @@
 
 namespace scheduler {
 
-// Changes this controller's entry among the unreachable ones of the view.
+// Adds this controller to the unreachable ones of the view and removes it from them.
 class ShardReachability {
  public:
   ShardReachability(const Context& context, const ControllerStatus& status, links::Monitor& links,
@@ -23,13 +23,15 @@
         probe_random_(random) {}
 
   void tick(Ms now);
-  // This process was paused: nothing is decided before machines had time to be heard.
+  // After a pause of this process, delays decisions until machines have had time to send
+  // heartbeats.
   void on_pause(Ms now, Ms unresponsive_after) {
     next_check_ = std::max(next_check_, now + unresponsive_after);
   }
 
  private:
-  // Probes machines that would be ours, in our own zone if there are any.
+  // Probes machines that could belong to this shard, preferably in this controller's own zone, and
+  // reclaims the shard if they answer.
   void reclaim_shard(Ms now);
   void set_unreachable(bool unreachable);
 
--- a/src/workers/shard_record_writer.cpp
+++ b/src/workers/shard_record_writer.cpp
@@ -11,70 +11,73 @@
 
 namespace {
 
-// Writes that only say which machines were heard may wait at once: placements go before them, and a
-// fleet of thousands has more such records than a second has writes.
-constexpr std::size_t kContactWritesQueued = 4;
-// Milliseconds between checks for entries that stand in the record of another group.
-constexpr std::int64_t kStrayCheckMs = 1000;
+// Maximum number of writes in flight that only record contact with machines. Placements take
+// precedence, and a fleet of thousands of machines has more such records than the state service
+// takes writes per second.
+constexpr std::size_t kMaxContactWritesInFlight = 4;
+// Milliseconds between checks for entries in the record of a group that their machine has left.
+constexpr std::int64_t kMisplacedCheckIntervalMs = 1000;
 
 }  // namespace
 
 void ShardRecordWriter::record_machine_state(Ms now, Machine& machine, wire::MachineState state,
-                                             Ms within) {
+                                             Ms max_delay) {
   const auto group = context_.replica.group_of(machine.id);
   machine.state = std::max(machine.state, state);
-  if (!group) return;  // the fleet leader records it first; then we are asked again
+  if (!group) return;  // the fleet leader records the machine first; the caller retries
   ShardWrite& write = shard_writes_[*group];
-  const wire::ShardRecord::Contact heard{machine.address, machine.incarnation, machine.state,
-                                         machine.owned_since_epoch};
-  auto [at, fresh] = write.pending.try_emplace(machine.id, heard);
-  if (!fresh && at->second == heard && write.due <= now + within) return;
-  at->second = heard;
-  write.due = write.due == 0 ? now + within : std::min(write.due, now + within);
+  const wire::ShardRecord::Contact contact{machine.address, machine.incarnation, machine.state,
+                                           machine.owned_since_epoch};
+  auto [at, inserted] = write.pending.try_emplace(machine.id, contact);
+  if (!inserted && at->second == contact && write.due <= now + max_delay) return;
+  at->second = contact;
+  write.due = write.due == 0 ? now + max_delay : std::min(write.due, now + max_delay);
 }
 
 void ShardRecordWriter::regroup_pending() {
   std::vector<std::pair<std::string, wire::ShardRecord::Contact>> moved;
   for (auto& [group, write] : shard_writes_) {
     if (write.busy) continue;
-    std::erase_if(write.pending, [&, from = group](const auto& entry) {
-      const auto now_in = context_.replica.group_of(entry.first);
-      if (!now_in || *now_in == from) return false;
+    std::erase_if(write.pending, [&, old_group = group](const auto& entry) {
+      const auto current_group = context_.replica.group_of(entry.first);
+      if (!current_group || *current_group == old_group) return false;
       moved.push_back(entry);
       return true;
     });
   }
-  for (const auto& [id, heard] : moved) {
+  for (const auto& [id, contact] : moved) {
     ShardWrite& target = shard_writes_[*context_.replica.group_of(id)];
-    target.pending[id] = heard;
-    target.due = 1;  // at once: it has waited already
+    target.pending[id] = contact;
+    target.due = 1;  // write immediately: the entry has waited before
   }
 }
 
-bool ShardRecordWriter::has_strays(const wire::ShardRecord& record, std::uint32_t group) const {
+bool ShardRecordWriter::has_misplaced_entries(const wire::ShardRecord& record,
+                                              std::uint32_t group) const {
   return std::any_of(record.machines.begin(), record.machines.end(), [&](const auto& entry) {
-    const auto now_in = context_.replica.group_of(entry.first);
-    return now_in && *now_in != group;
+    const auto current_group = context_.replica.group_of(entry.first);
+    return current_group && *current_group != group;
   });
 }
 
-void ShardRecordWriter::move_strays(std::uint32_t group, const wire::ShardRecord& record) {
+void ShardRecordWriter::move_misplaced_entries(std::uint32_t group,
+                                               const wire::ShardRecord& record) {
   std::map<std::uint32_t, wire::ShardRecord> next;
   next[group];
-  const auto most = static_cast<std::size_t>(context_.settings.txn_ops);
-  for (const auto& [id, heard] : record.machines) {
-    const auto now_in = context_.replica.group_of(id);
-    if (!now_in) continue;  // no longer recorded
-    const bool carried = next.contains(*now_in) || next.size() < most;
-    const std::uint32_t target = carried ? *now_in : group;
+  const auto max_records = static_cast<std::size_t>(context_.settings.txn_ops);
+  for (const auto& [id, contact] : record.machines) {
+    const auto current_group = context_.replica.group_of(id);
+    if (!current_group) continue;  // no longer recorded
+    const bool fits = next.contains(*current_group) || next.size() < max_records;
+    const std::uint32_t target = fits ? *current_group : group;
     if (shard_writes_[target].busy) return;
-    auto [to, fresh] = next.try_emplace(target);
-    if (fresh) {
-      if (const auto* old = context_.replica.shard(context_.settings.name, target))
-        to->second = *old;
+    auto [entry, inserted] = next.try_emplace(target);
+    if (inserted) {
+      if (const auto* existing = context_.replica.shard(context_.settings.name, target))
+        entry->second = *existing;
     }
-    // What our record of that group says already is newer.
-    to->second.machines.try_emplace(id, heard);
+    // An existing entry in the target group's record is newer.
+    entry->second.machines.try_emplace(id, contact);
   }
   Transaction transaction;
   transaction.conditions = {context_.view_unchanged()};
@@ -96,18 +99,19 @@
   context_.state_client.submit(std::move(transaction));
 }
 
-void ShardRecordWriter::move_all_strays(Ms now) {
-  if (!context_.services_enabled() || now < next_stray_check_) return;
-  next_stray_check_ = now + kStrayCheckMs;
+void ShardRecordWriter::move_all_misplaced_entries(Ms now) {
+  if (!context_.services_enabled() || now < next_misplaced_check_) return;
+  next_misplaced_check_ = now + kMisplacedCheckIntervalMs;
   for (const auto& [group, record] : context_.replica.shards_of(context_.settings.name)) {
-    if (!shard_writes_[group].busy && has_strays(*record, group)) move_strays(group, *record);
+    if (!shard_writes_[group].busy && has_misplaced_entries(*record, group))
+      move_misplaced_entries(group, *record);
   }
 }
 
 void ShardRecordWriter::write(Ms now) {
   if (!context_.can_write(now)) return;
   regroup_pending();
-  move_all_strays(now);
+  move_all_misplaced_entries(now);
   for (auto& [group, write] : shard_writes_) {
     if (!write.busy && !write.pending.empty() && now >= write.due) write_group(group, write);
   }
@@ -117,8 +121,8 @@
                                                  const wire::FleetRecord& fleet) const {
   wire::ShardRecord next;
   if (const auto* record = context_.replica.shard(context_.settings.name, group)) {
-    // What we knew of machines that are another's now stays until they are forgotten: the new owner
-    // may not have written it yet.
+    // Entries of machines that now belong to other shards stay until the machines are removed from
+    // the fleet: the new owner may not have written its own entry yet.
     for (const auto& [id, contact] : record->machines)
       if (fleet.machines.contains(id)) next.machines[id] = contact;
   }
@@ -128,10 +132,10 @@
 }
 
 void ShardRecordWriter::write_group(std::uint32_t group, ShardWrite& write) {
-  // Guards against dropping what we know of machines that have gone to another group.
-  const auto* mine = context_.replica.shard(context_.settings.name, group);
-  if (mine && has_strays(*mine, group)) return;
-  // States of machines that went to another shard meanwhile are not ours to write.
+  // Guards against dropping entries of machines that have moved to another group.
+  const auto* own_record = context_.replica.shard(context_.settings.name, group);
+  if (own_record && has_misplaced_entries(*own_record, group)) return;
+  // Only the current owner may write the state of a machine that has moved to another shard.
   std::erase_if(write.pending,
                 [this](const auto& entry) { return !machines_.contains(entry.first); });
   const auto fleet = context_.replica.fleet().find(group);
@@ -146,14 +150,15 @@
   };
   const bool changes_state =
       any_state([](wire::MachineState state) { return state != wire::MachineState::ready; });
-  // Guards against a fleet of many groups that keeps placements waiting while it comes up.
-  if (!changes_state && contact_writes_in_flight_ >= kContactWritesQueued) return;
+  // Guards against delaying placements while a fleet of many groups starts up.
+  if (!changes_state && contact_writes_in_flight_ >= kMaxContactWritesInFlight) return;
   const std::string key = wire::shard_key(context_.settings.name, group);
   Transaction transaction;
   transaction.conditions = {context_.view_unchanged(), context_.state_client.unchanged(key)};
   transaction.writes = {{key, encode(next_record(group, write, fleet->second)), std::nullopt}};
-  // Guards against decisions that are lost with the controller that found them, again and again: on
-  // them wait users whose cancelled jobs run on a machine that does not answer.
+  // Lost machines are written urgently. Otherwise each decision may be lost with the controller
+  // that made it and have to be made again, while users wait for cancelled jobs on unresponsive
+  // machines.
   transaction.urgent =
       any_state([](wire::MachineState state) { return state == wire::MachineState::lost; });
   if (!changes_state) ++contact_writes_in_flight_;
@@ -180,9 +185,9 @@
     return;
   }
   context_.state_client.wait_until_settled(now, [this, group](Ms then) {
-    ShardWrite& again = shard_writes_[group];
-    again.busy = false;
-    again.due = then + kRefusedRetryMs;
+    ShardWrite& shard_write = shard_writes_[group];
+    shard_write.busy = false;
+    shard_write.due = then + kRefusedRetryMs;
   });
 }
 
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-// Milliseconds for which commands to a worker that left a direct one unanswered are passed on.
-constexpr std::int64_t kRelayForMs = 15'000;
+// Milliseconds for which commands to a worker are relayed after it left a direct command
+// unanswered.
+constexpr std::int64_t kRelayDurationMs = 15'000;
 
 }  // namespace
 
@@ -21,8 +22,8 @@
   std::map<std::string, std::size_t> reporting;
   for (const auto& [id, machine] : machines_) {
     if (machine.incarnation == 0 || machine.state != wire::MachineState::ready) continue;
-    // Guards against taking machines that are on their way out, or that have not found us yet, for
-    // a sign that we are partitioned.
+    // Machines that are leaving, or that have not reached this controller yet, are not counted as
+    // expected: their silence is no sign of a partition.
     if (machine.recorded && machine.heartbeat_answered) ++reporting[machine.zone];
     const bool silent = now - machine.last_contact > machines_.overdue_after() ||
                         machines_.heartbeats_missing(now, machine) ||
@@ -35,43 +36,43 @@
                                             machines_.probe_after(machine));
   }
   links_.expect_workers(now, reporting);
-  links_.note_census(now, census);
+  links_.record_census(now, census);
   return census;
 }
 
 void WorkerLinks::probe_workers(const std::vector<std::string>& addresses,
                                 const std::function<void(Ms now, bool answered)>& done) {
-  struct Round {
-    std::size_t open = 0;
+  struct ProbeRound {
+    std::size_t pending = 0;
     bool answered = false;
   };
-  auto round = std::make_shared<Round>();
-  round->open = addresses.size();
+  auto round = std::make_shared<ProbeRound>();
+  round->pending = addresses.size();
   for (const auto& address : addresses) {
     context_.call(
         Target::worker, address, "GET", wire::kStatusPath, "", links::kProbeTimeoutMs,
         [this, round, done, pauses = status_.pauses()](Ms at, const HttpResult& http_result) {
-          --round->open;
+          --round->pending;
           const bool answers =
               http_result.status == 200 && wire::parse_heartbeat(http_result.body).has_value();
           if (pauses != status_.pauses() || round->answered) return;
           round->answered = answers;
-          if (answers || round->open == 0) done(at, answers);
+          if (answers || round->pending == 0) done(at, answers);
         });
   }
 }
 
 std::vector<std::string> WorkerLinks::sample_zone(const std::string& zone) {
   std::vector<std::string> sample;
-  std::size_t seen = 0;
+  std::size_t matching = 0;
   for (const auto& [id, machine] : machines_) {
     if (machine.zone != zone || machine.incarnation == 0 || machine.address.empty() ||
         !machine.recorded || machine.state != wire::MachineState::ready)
       continue;
-    ++seen;
-    if (sample.size() < links::kProbedAtOnce) {
+    ++matching;
+    if (sample.size() < links::kProbeSampleSize) {
       sample.push_back(machine.address);
-    } else if (const auto at = probe_random_(static_cast<std::uint32_t>(seen));
+    } else if (const auto at = probe_random_(static_cast<std::uint32_t>(matching));
                at < sample.size()) {
       sample[at] = machine.address;
     }
@@ -81,22 +82,22 @@
 
 void WorkerLinks::probe_zones(Ms now) {
   if (!status_.ready() || status_.resynchronising(now)) return;
-  for (const auto& [zone, known] : links_.zones()) {
-    if (!known.probe_due(now)) continue;
+  for (const auto& [zone, zone_links] : links_.zones()) {
+    if (!zone_links.probe_due(now)) continue;
     const std::vector<std::string> sample = sample_zone(zone);
     links_.zone(zone).probe_sent(now);
     if (sample.empty()) continue;
     probe_workers(sample, [this, zone = zone](Ms at, bool answered) {
       links::ZoneLinks& links = links_.zone(zone);
-      answered ? links.answered(at) : links.sample_unanswered();
+      answered ? links.answered(at) : links.on_sample_unanswered();
     });
   }
 }
 
 std::optional<std::string> WorkerLinks::relay_for(Ms now, const Machine& machine) const {
   if (!context_.settings.relays) return std::nullopt;
-  const bool failed =
-      machine.direct_command_failed_at != 0 && now - machine.direct_command_failed_at < kRelayForMs;
+  const bool failed = machine.direct_command_failed_at != 0 &&
+                      now - machine.direct_command_failed_at < kRelayDurationMs;
   const auto zone = links_.zones().find(machine.zone);
   const bool zone_down =
       zone != links_.zones().end() && zone->second.commands(now) == links::Status::down;
@@ -104,7 +105,7 @@
   return links_.relay_to(status_.moment(now), machine.zone);
 }
 
-bool WorkerLinks::may_be_reached(Ms now, const Machine& machine) const {
+bool WorkerLinks::may_be_reachable_by_relay(Ms now, const Machine& machine) const {
   return !machine.relayed_command_unanswered && relay_for(now, machine).has_value();
 }
 
--- a/src/workers/worker_links.h
+++ b/src/workers/worker_links.h
@@ -1,5 +1,5 @@
-// The links between this controller and its workers: who is heard, who is probed, and which
-// messages are relayed through a peer.
+// Tracks the links between this controller and its workers: counts which workers are in contact,
+// probes them, and chooses which messages are relayed through a peer.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,8 @@
 
 class WorkerLinks {
  public:
-  // `random`: of probes alone, so that they change no other draw.
+  // `random`: generator used only for probes, so that probes don't affect the random numbers of
+  // other modules.
   WorkerLinks(const Context& context, const ControllerStatus& status, const MachineTable& machines,
               links::Monitor& links, Relay& relay, pcg32& random)
       : context_(context),
@@ -28,26 +29,29 @@
         relay_(relay),
         probe_random_(random) {}
 
-  // Counts who is heard, and tells the links how many workers are expected to send heartbeats.
+  // Counts the workers with and without recent contact and passes the counts to the link monitor,
+  // with the number of workers that are expected to send heartbeats.
   links::Census take_census(Ms now);
-  // Asks samples of workers where the links call for it.
+  // Probes a sample of workers in each zone where the link monitor requests it.
   void probe_zones(Ms now);
-  // Asks workers for their status. `done` is told once whether any of them has answered.
+  // Requests the status of the workers. `done` is called once with whether any of them has
+  // answered, unless this process is paused meanwhile.
   void probe_workers(const std::vector<std::string>& addresses,
                      const std::function<void(Ms now, bool answered)>& done);
-  // Which peer is to pass a command on to the machine; none: it is sent directly.
+  // The peer that should relay a command to the machine; none: send it directly.
   [[nodiscard]] std::optional<std::string> relay_for(Ms now, const Machine& machine) const;
-  // A peer may reach the machine, and has not tried yet. Guards against returning a machine that is
-  // there because our own link to it is down: a peer that may reach it is asked first (indirect
-  // probes, after SWIM: Das, Gupta and Motivala, 2002).
-  [[nodiscard]] bool may_be_reached(Ms now, const Machine& machine) const;
-  // A worker of another controller's shard sends its heartbeat here. Most have only not heard of
-  // their owner yet; those that it can't hear are answered for it.
+  // Whether a peer may reach the machine and has not tried yet. Guards against returning a machine
+  // that is alive because this controller's own link to it is down: a peer that may reach the
+  // machine tries first (indirect probes, after SWIM: Das, Gupta and Motivala, 2002).
+  [[nodiscard]] bool may_be_reachable_by_relay(Ms now, const Machine& machine) const;
+  // Handles a heartbeat from a worker of another controller's shard. Most such workers don't know
+  // their owner yet and are redirected to it. If the owner can't be reached from the worker, the
+  // heartbeat is relayed.
   void redirect_heartbeat(Ms now, std::uint64_t request, const std::string& owner,
                           const wire::Heartbeat& heartbeat, const std::string& body);
 
  private:
-  // Up to kProbedAtOnce machines of the zone, drawn at random.
+  // Addresses of up to kProbeSampleSize machines of the zone, drawn at random.
   std::vector<std::string> sample_zone(const std::string& zone);
 
   const Context& context_;
--- a/tests/links_monitor_test.cpp
+++ b/tests/links_monitor_test.cpp
@@ -1,4 +1,4 @@
-// The matrix of links that controllers gossip, and the decisions that follow from it.
+// The link matrix that controllers gossip, and the decisions based on it.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -25,15 +25,16 @@
   EXPECT_EQ(matrix.find("b")->state_up_since, 0);
 }
 
-// Rows that are minutes old are ignored, and not merged.
+// Rows that are minutes old are not used as evidence and not merged.
 TEST(Matrix, StaleRowsAreIgnored) {
   Matrix matrix("a");
   matrix.merge(100, 10'000, row_of("b", 9'900, Status::up));
-  EXPECT_EQ(matrix.fresh(10'000, kRowFreshMs).size(), 1U);
-  EXPECT_TRUE(matrix.fresh(10'000 + 180'000, kRowFreshMs).empty());
+  EXPECT_EQ(matrix.fresh(10'000, kRowMaxAgeMs).size(), 1U);
+  EXPECT_TRUE(matrix.fresh(10'000 + 180'000, kRowMaxAgeMs).empty());
   matrix.merge(200, 300'000, row_of("c", 120'000, Status::up));
   EXPECT_EQ(matrix.find("c"), nullptr);
-  matrix.merge(200, 300'000, row_of("a", 300'000, Status::up));  // its own row, as known to others
+  matrix.merge(200, 300'000,
+               row_of("a", 300'000, Status::up));  // its own row, received from another controller
   EXPECT_EQ(matrix.find("a"), nullptr);
 }
 
@@ -41,7 +42,7 @@
   Matrix matrix("a");
   for (int i = 0; i < 100; ++i)
     matrix.merge(100, 10'000, row_of("n" + std::to_string(i), 9'900, Status::up));
-  EXPECT_EQ(matrix.size(), kMostRows);
+  EXPECT_EQ(matrix.size(), kMaxRows);
 }
 
 class MonitorTest : public testing::Test {
@@ -68,12 +69,12 @@
     return out;
   }
 
-  // Both zones of the shard: no heartbeats since `since`, probes unanswered.
+  // No heartbeats in both zones of the shard since `since`, and unanswered probes.
   void lose_workers(Ms since) {
     for (const char* zone : {"x", "y"}) {
-      monitor_.zone(zone).expect(1000, 20);
+      monitor_.zone(zone).set_expected_workers(1000, 20);
       monitor_.zone(zone).heartbeat_received(since);
-      monitor_.zone(zone).sample_unanswered();
+      monitor_.zone(zone).on_sample_unanswered();
     }
   }
 
@@ -91,7 +92,7 @@
   EXPECT_EQ(decision.reason, Reason::outage);
 }
 
-// The row of c comes through b; there is no link between a and c.
+// The row of c arrives through b; there is no link between a and c.
 TEST_F(MonitorTest, UsersMoveOnIndirectEvidenceOfTheStateService) {
   state_.refused(now_ + 100);
   Decision decision;
@@ -99,16 +100,17 @@
     monitor_.merge(at(t), row("b", Status::down, t - 20));
     monitor_.merge(at(t), row("c", Status::up, t - 60));
     decision = monitor_.may_serve_users(at(t));
-    // Not before it has said so for a while: one controller notices the end of an outage first.
-    EXPECT_EQ(decision.allowed, t - now_ <= 200 + kStateWordMs) << t;
+    // Users stay until c has reported this for a while: when an outage ends, one controller notices
+    // first.
+    EXPECT_EQ(decision.allowed, t - now_ <= 200 + kStateUpConfirmMs) << t;
   }
   EXPECT_EQ(decision.reason, Reason::peer_reaches);
   EXPECT_EQ(decision.through, "c");
 }
 
 TEST_F(MonitorTest, UsersLeaveIsolatedControllers) {
-  EXPECT_TRUE(monitor_.may_serve_users(at(now_ + kSilentMs - 100)).allowed);
-  const Decision decision = monitor_.may_serve_users(at(now_ + kSilentMs + 100));
+  EXPECT_TRUE(monitor_.may_serve_users(at(now_ + kServiceSilentMs - 100)).allowed);
+  const Decision decision = monitor_.may_serve_users(at(now_ + kServiceSilentMs + 100));
   EXPECT_FALSE(decision.allowed);
   EXPECT_EQ(decision.reason, Reason::isolated);
 }
@@ -118,7 +120,7 @@
   const Ms later = now_ + 5000;
   EXPECT_TRUE(monitor_.may_keep_machines(at(now_ + 500), {"b", "c"}).allowed);
   EXPECT_EQ(monitor_.may_keep_machines(at(later), {}).reason, Reason::nobody_else);
-  // Of peers that gossip no row, such as older versions, reachability is assumed.
+  // Peers without a row, such as older versions, are assumed to be reachable.
   EXPECT_FALSE(monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);
   wire::LinkRow b = row("b", Status::up, later - 100);
   wire::LinkRow c = row("c", Status::up, later - 100);
@@ -131,22 +133,22 @@
   EXPECT_EQ(kept.reason, Reason::nobody_reaches);
   c.as_of_ms += 50;
   c.workers["y"].reports = Status::up;
-  // Its last contact with the zone is as old as ours: the same failure, not yet detected there.
+  // The last contact of c with the zone is as old as a's: c has not detected the same failure yet.
   c.workers["y"].heard_ms = static_cast<std::uint64_t>(now_ + 200 + kWallOffset);
   monitor_.merge(at(later), c);
   EXPECT_TRUE(monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);
   c.as_of_ms += 10;
   c.workers["y"].heard_ms = static_cast<std::uint64_t>(later - 100 + kWallOffset);
   monitor_.merge(at(later), c);
-  EXPECT_TRUE(
-      monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);  // not yet for long enough
-  const Ms then = later + kRowSteadyMs;
+  EXPECT_TRUE(monitor_.may_keep_machines(at(later), {"b", "c"})
+                  .allowed);  // c's link has not been up for long enough
+  const Ms then = later + kRowStableMs;
   b.as_of_ms = c.as_of_ms = static_cast<std::uint64_t>(then + kWallOffset);
   monitor_.merge(at(then), b);
   monitor_.merge(at(then), c);
-  const Decision given = monitor_.may_keep_machines(at(then), {"b", "c"});
-  EXPECT_FALSE(given.allowed);
-  EXPECT_EQ(given.through, "c");
+  const Decision handed_over = monitor_.may_keep_machines(at(then), {"b", "c"});
+  EXPECT_FALSE(handed_over.allowed);
+  EXPECT_EQ(handed_over.through, "c");
 }
 
 TEST_F(MonitorTest, OneReachableZoneKeepsTheShard) {
@@ -160,16 +162,16 @@
 TEST_F(MonitorTest, ShardIsReclaimedOnceTheLinkIsStable) {
   monitor_.on_machines_given_up(now_);
   EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 500).allowed);
-  monitor_.probed_while_given_up(now_ + 500, true);
+  monitor_.on_reclaim_probe(now_ + 500, true);
   EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 800).allowed);
-  monitor_.probed_while_given_up(now_ + 1000, true);
+  monitor_.on_reclaim_probe(now_ + 1000, true);
   EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 2000).allowed);
-  EXPECT_TRUE(monitor_.may_reclaim_machines(now_ + 1000 + kSteadyMs).allowed);
-  // It fails again and again.
+  EXPECT_TRUE(monitor_.may_reclaim_machines(now_ + 1000 + kMinStableMs).allowed);
+  // The link flaps.
   for (Ms t = now_ + 4000; t < now_ + 60'000; t += 6000) {
-    monitor_.probed_while_given_up(t, false);
-    monitor_.probed_while_given_up(t + 2000, true);
-    monitor_.probed_while_given_up(t + 4000, true);
+    monitor_.on_reclaim_probe(t, false);
+    monitor_.on_reclaim_probe(t + 2000, true);
+    monitor_.on_reclaim_probe(t + 4000, true);
   }
   EXPECT_FALSE(monitor_.may_reclaim_machines(now_ + 62'000).allowed);
 }
@@ -205,28 +207,29 @@
   const Decision decision = monitor_.may_declare_dead(at(now_), "x", census, 5000);
   EXPECT_FALSE(decision.allowed);
   EXPECT_EQ(decision.through, "b");
-  EXPECT_TRUE(monitor_.may_declare_dead(at(now_), "x", census, kZoneCutPatienceMs + 1).allowed);
+  EXPECT_TRUE(
+      monitor_.may_declare_dead(at(now_), "x", census, kZonePartitionTimeoutMs + 1).allowed);
 }
 
-// As a partition heals, the first workers' heartbeats arrive; the others are still on their way.
+// When a partition heals, the heartbeats of some workers arrive before those of others.
 TEST_F(MonitorTest, NoMachineIsDeclaredDeadRightAfterAPartition) {
-  Census cut;
-  Census back;
+  Census partitioned;
+  Census recovering;
   for (int i = 0; i < 20; ++i) {
-    cut.all.add(i < 12);
-    back.all.add(i < 18);
+    partitioned.all.add(i < 12);
+    recovering.all.add(i < 18);
   }
   for (int i = 0; i < 8; ++i) {
-    cut.zones["x"].add(false);
-    back.zones["x"].add(i < 6);
+    partitioned.zones["x"].add(false);
+    recovering.zones["x"].add(i < 6);
   }
-  EXPECT_TRUE(monitor_.may_declare_dead(at(now_), "x", back, 60'000).allowed);
-  monitor_.note_census(now_, cut);
-  EXPECT_FALSE(monitor_.may_declare_dead(at(now_), "x", cut, 60'000).allowed);
-  monitor_.note_census(now_ + 1000, back);
-  EXPECT_FALSE(monitor_.may_declare_dead(at(now_ + 1000), "x", back, 60'000).allowed);
-  const Ms later = now_ + kBackFromCutMs;
-  EXPECT_TRUE(monitor_.may_declare_dead(at(later), "x", back, 60'000).allowed);
+  EXPECT_TRUE(monitor_.may_declare_dead(at(now_), "x", recovering, 60'000).allowed);
+  monitor_.record_census(now_, partitioned);
+  EXPECT_FALSE(monitor_.may_declare_dead(at(now_), "x", partitioned, 60'000).allowed);
+  monitor_.record_census(now_ + 1000, recovering);
+  EXPECT_FALSE(monitor_.may_declare_dead(at(now_ + 1000), "x", recovering, 60'000).allowed);
+  const Ms later = now_ + kPartitionRecoveryMs;
+  EXPECT_TRUE(monitor_.may_declare_dead(at(later), "x", recovering, 60'000).allowed);
 }
 
 TEST_F(MonitorTest, RelayIsChosenByReachabilityOfBothEnds) {
@@ -240,7 +243,7 @@
   monitor_.merge(at(now_), c);
   EXPECT_EQ(monitor_.relay_to(at(now_), "x"), "c");
   c.as_of_ms += 10;
-  c.heard["a"] = Status::down;  // it doesn't receive our gossip
+  c.heard["a"] = Status::down;  // c doesn't receive a's gossip
   monitor_.merge(at(now_), c);
   EXPECT_FALSE(monitor_.relay_to(at(now_), "x").has_value());
 }
@@ -255,7 +258,7 @@
   monitor_.merge(at(now_), b);
   EXPECT_TRUE(monitor_.should_forward(at(now_), "b", "x"));
   EXPECT_FALSE(monitor_.should_forward(at(now_), "b", "y"));
-  EXPECT_FALSE(monitor_.should_forward(at(now_ + 10'000), "b", "x"));  // no gossip since
+  EXPECT_FALSE(monitor_.should_forward(at(now_ + 10'000), "b", "x"));  // no newer row from b
 }
 
 }  // namespace
--- a/tests/workers_test.cpp
+++ b/tests/workers_test.cpp
@@ -1,4 +1,4 @@
-// The components that look after machines, each without a whole controller.
+// Tests of the components that manage machines, each without a whole controller.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -20,9 +20,9 @@
 
 constexpr const char* kMachine = "n-1";
 constexpr const char* kJob = "req-000001";
-constexpr Ms kLoadMs = 1000;  // in which every record is read
+constexpr Ms kLoadMs = 1000;  // enough time to read all records
 
-// A job of one task that is recorded as placed on the machine, in incarnation 1 of its agent.
+// A job with one task, recorded as placed on the machine in incarnation 1 of its agent.
 class WorkersTest : public ComponentTest {
  protected:
   WorkersTest() {
@@ -55,7 +55,7 @@
 
   Machine& machine() { return machines_.add(now_, kMachine)->second; }
 
-  // What the agent says of itself; it lists no tasks.
+  // A heartbeat of the agent that lists no tasks.
   wire::Heartbeat heartbeat(std::uint64_t incarnation, std::uint64_t sequence) const {
     wire::Heartbeat heartbeat;
     heartbeat.machine = kMachine;
@@ -70,7 +70,7 @@
 
   bool is_released() const { return ranges_.is_released({{kJob, 1}, 0}, 1); }
 
-  std::uint64_t token_ = ClusterView::token(1, 0);  // that the agent shows
+  std::uint64_t token_ = ClusterView::token(1, 0);  // reported by the agent
   PassTrigger pass_trigger_;
   MachineTable machines_{context_};
   RangeTable ranges_{context_, pass_trigger_};
@@ -102,7 +102,7 @@
 TEST_F(WorkersTest, AbsentTaskIsKeptUntilItsMachineHasShownATokenOfItsOwner) {
   record_job(true);
   run(kLoadMs, [](Ms) {});
-  token_ = ClusterView::token(0, 7);  // of a former owner
+  token_ = ClusterView::token(0, 7);  // issued by a former owner
   EXPECT_TRUE(applier_.apply(now_, machine(), heartbeat(1, 1)));
   EXPECT_FALSE(is_released());
 }
@@ -116,13 +116,13 @@
   const Job& job = *replica_.job(kJob);
   cancellations_.apply(now_, {kJob});
   EXPECT_FALSE(cancellations_.is_cancelled(kJob, job));
-  state_client_.on_pause(now_);  // nothing is known of the state service from now on
+  state_client_.on_pause(now_);  // the state service does not count as answering after a pause
   cancellations_.apply(now_, {kJob});
   EXPECT_TRUE(cancellations_.is_cancelled(kJob, job));
   EXPECT_TRUE(reconciler_.must_not_run(machine(), {{kJob, 1}, 0}, {1, kMachine, 1, kName}));
 }
 
-TEST_F(WorkersTest, OlderHeartbeatsSayNothingNew) {
+TEST_F(WorkersTest, OutdatedHeartbeatsAreRejected) {
   EXPECT_TRUE(applier_.apply(now_, machine(), heartbeat(2, 5)));
   EXPECT_FALSE(applier_.apply(now_, machine(), heartbeat(2, 5)));
   EXPECT_FALSE(applier_.apply(now_, machine(), heartbeat(2, 4)));
@@ -152,16 +152,17 @@
 
 TEST_F(WorkersTest, FailuresOfSeveralJobsQuarantineTheMachineInItsRecord) {
   failures_.failed(now_, kMachine, "req-000002");
-  wire::Heartbeat failed = heartbeat(1, 1);
-  failed.tasks.push_back({{kJob, 0}, 1, wire::TaskState::exited, wire::ExitCause::error, false});
-  applier_.apply(now_, machine(), failed);
+  wire::Heartbeat failure_report = heartbeat(1, 1);
+  failure_report.tasks.push_back(
+      {{kJob, 0}, 1, wire::TaskState::exited, wire::ExitCause::error, false});
+  applier_.apply(now_, machine(), failure_report);
   EXPECT_TRUE(is_released());
   EXPECT_EQ(machine().state, wire::MachineState::quarantined);
   run(kLoadMs, [this](Ms now) { shard_records_.write(now); });
   EXPECT_EQ(replica_.machine(kMachine)->state, wire::MachineState::quarantined);
 }
 
-TEST_F(WorkersTest, RunTimeIsThatOfTheAttemptAskedFor) {
+TEST_F(WorkersTest, RunTimeIsThatOfTheGivenAttempt) {
   wire::Heartbeat running = heartbeat(1, 1);
   running.tasks.push_back({{kJob, 0}, 1, wire::TaskState::running, wire::ExitCause::none, false});
   applier_.apply(now_, machine(), running);
