--- a/src/base/capacity.h
+++ b/src/base/capacity.h
@@ -1,5 +1,5 @@
-// How much one controller may hold or have under way at once, from the platform's settings. Every
-// bound that would otherwise be a fixed number below what a large fleet needs is computed here.
+// Limits on what one controller keeps in memory or has in progress at once, computed from the
+// settings. Limits that a large fleet would exceed if they were fixed numbers are computed here.
 #pragma once
 
 #include <cstddef>
@@ -12,31 +12,32 @@
 namespace scheduler {
 
 struct Capacity {
-  // Unfinished jobs held in memory. Beyond it submissions are answered 429 with `Retry-After`.
+  // Unfinished jobs in memory. Submissions over the limit receive 429 with `Retry-After`.
   std::size_t live_jobs = 0;
-  // Requests of users that may wait for the state service. Beyond it they are answered 429.
+  // User requests that wait for the state service. Requests over the limit receive 429.
   std::size_t waiting_requests = 0;
-  // Direct messages under way, each on a socket of its own: to machines that answer, and to those
-  // that do not. Beyond it a message waits for its turn.
+  // Direct messages in progress, each on its own socket: `direct_messages` to machines that answer,
+  // and `probes` to machines that do not. Messages over the limit are queued.
   int direct_messages = 0;
   int probes = 0;
-  // Rental requests under way. Beyond it they wait for their turn.
+  // Scale-out requests in progress. Requests over the limit are queued.
   std::size_t scale_out_requests = 0;
-  // Groups of machines in one transaction of the fleet leader; the rest go with the
-  // next.
+  // Machine groups that the fleet leader writes in one transaction. It writes further groups in the
+  // next transaction.
   std::size_t machine_groups_at_once = 0;
-  // Bytes of one response that is taken in. A longer answer of a watch counts as a watch that fell
-  // behind: the state is read again in pages, which are short.
+  // Maximum size of an accepted response, in bytes. If the reply to a watch is longer, the
+  // controller treats the watch as having fallen behind and reads the state again in pages, which
+  // are shorter.
   std::size_t response_bytes = 0;
 };
 
 Capacity capacity_of(const Settings& settings);
 
-// What is wrong with the settings for the fleet that they name, one line each; empty: nothing. Each
-// line names the setting and what is needed.
+// Checks whether the process limits in the settings suffice for the expected number of machines.
+// Returns one line per problem, which names the setting and the required value.
 std::vector<std::string> capacity_problems(const Settings& settings);
 
-// Sockets and megabytes that a controller needs if it has to look after so many machines.
+// Sockets, and megabytes of memory, that a controller needs for managing this number of machines.
 int sockets_needed(int machines);
 double memory_needed_mb(int machines);
 
--- a/src/base/log_event.h
+++ b/src/base/log_event.h
@@ -1,4 +1,4 @@
-// Log lines that programs can read: one event a line, `event=NAME key=value ...`.
+// Machine-readable log lines with one event per line: `event=NAME key=value ...`.
 #pragma once
 
 #include <concepts>
@@ -7,8 +7,8 @@
 
 namespace scheduler {
 
-// Builds one line. Values are printed as they are, so they must not contain spaces; names of jobs,
-// machines and controllers do not.
+// Builds one log line. Values are not escaped and must not contain spaces; names of jobs, machines
+// and controllers contain none.
 class LogEvent {
  public:
   explicit LogEvent(std::string_view name) : text_("event=") { text_ += name; }
--- a/src/base/resources.h
+++ b/src/base/resources.h
@@ -8,7 +8,8 @@
 
 namespace scheduler {
 
-// Amounts are decimal numbers; sums of tenths must not miss a fit by rounding. CPUs, GPUs, GB.
+// Tolerance of comparisons, in CPUs, GPUs or GB. Sums of decimal fractions have rounding errors,
+// which must not make a task appear too large.
 constexpr double kAmountSlack = 1e-6;
 
 struct Resources {
@@ -31,39 +32,40 @@
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
 
-  // With this much free, whether so much can be taken.
+  // Whether `demand` fits if this is the amount of free resources.
   [[nodiscard]] bool fits(const Resources& demand) const {
     return cpus + kAmountSlack >= demand.cpus && gpus + kAmountSlack >= demand.gpus &&
            memory_gb + kAmountSlack >= demand.memory_gb;
   }
-  // At least as much of each.
+  // Whether this has at least as much of each resource as `other`, without tolerance.
   [[nodiscard]] bool covers(const Resources& other) const {
     return cpus >= other.cpus && gpus >= other.gpus && memory_gb >= other.memory_gb;
   }
-  // Nothing but rounding.
+  // Whether each amount is zero up to rounding errors.
   [[nodiscard]] bool negligible() const {
     return cpus <= kAmountSlack && gpus <= kAmountSlack && memory_gb <= kAmountSlack;
   }
-  // The same, with nothing below zero.
+  // Returns a copy in which negative amounts are replaced by zero.
   [[nodiscard]] Resources not_negative() const {
     return {std::max(0.0, cpus), std::max(0.0, gpus), std::max(0.0, memory_gb)};
   }
 };
 
-// What one task of the job takes.
+// Resources that one task of the job requires.
 inline Resources resources_of(const wire::JobSpec& job) {
   return {job.cpus, job.gpus, job.memory_gb};
 }
 
-// What a machine of the type has.
+// Resources of a machine of this type.
 inline Resources resources_of(const wire::MachineType& type) {
   return {type.cpus, type.gpus, type.memory_gb};
 }
 
-// Tasks of that demand that can be taken at once with this much free; many if they need nothing.
+// Number of tasks with this demand that fit into the free resources at the same time. Returns a
+// large number if the demand is zero.
 inline double fit_count(const Resources& demand, const Resources& free) {
-  constexpr double kMany = 1e6;
-  double tasks = kMany;
+  constexpr double kUnlimitedTasks = 1e6;
+  double tasks = kUnlimitedTasks;
   if (demand.cpus > 0)
     tasks = std::min(tasks, std::floor((free.cpus + kAmountSlack) / demand.cpus));
   if (demand.gpus > 0)
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -1,4 +1,4 @@
-// What goes into the core and what comes out of it.
+// Inputs and outputs of the scheduler core: settings, requests, replies, outbound calls, log lines.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +10,30 @@
 
 namespace scheduler {
 
-// Seconds in which a job without any objective should be through.
+// Seconds within which a job without a deadline or objective should complete.
 constexpr double kDefaultHorizonS = 600.0;
-// Seconds named in Retry-After.
+// Seconds in the Retry-After header; kRetryAfterOutageS applies where the cause may last longer.
 constexpr int kRetryAfterS = 1;
 constexpr int kRetryAfterOutageS = 2;
 
-using Ms = std::int64_t;  // milliseconds of the steady clock, unless named otherwise
+using Ms = std::int64_t;  // milliseconds, of the steady clock unless the name says otherwise
 constexpr Ms to_ms(double seconds) { return static_cast<Ms>(seconds * 1000.0); }
 
 struct Team {
   std::string name;
-  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // 0: none
+  // CPUs and GPUs that are guaranteed to the team, and its limits (*_max). 0: none.
+  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
 };
 
 enum class ObjectiveKind : std::uint8_t {
-  deadline,  // jobs done by their deadline, times a factor
-  finished,  // jobs done within a time
-  wait,      // tasks started within a time
-  up         // replica time served from a time on
+  deadline,  // jobs complete within their deadline multiplied by `times`
+  finished,  // jobs complete within `within_s`
+  wait,      // tasks start within `within_s`
+  up         // replicas of services run; replica time counts from `within_s` on
 };
 
-// What is expected of a class of jobs.
+// A service-level objective of a job class: the fraction `share` of its jobs, tasks or replica time
+// meets the target.
 struct Objective {
   ObjectiveKind kind = ObjectiveKind::deadline;
   std::string job_class;
@@ -45,46 +47,54 @@
 struct Settings {
   std::string name, zone;
   std::vector<Peer> peers;
-  std::vector<std::string> zones;  // that machines may be in
+  std::vector<std::string> zones;  // zones in which machines may be rented
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   int controllers = 1;
+  // Timing of workers, in seconds: the heartbeat interval, the lease, how long a gang's task waits
+  // for the other tasks to start, how long it runs on after losing one of them, and how long a
+  // cancelled task may run after the reply to the user.
   double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
-  // Limits of the state service. Where the settings announce lower ones for later, these are the
-  // lower ones, since the change comes without notice.
+  // Limits of the state service: requests and writes per second, KB per value, operations per
+  // transaction. If the settings announce lower limits, these are the lower ones, because the
+  // change takes effect without notice.
   double state_rps = 0, state_write_rps = 0, value_kb = 0;
   int txn_ops = 0;
-  // What a stored value may take today; the production version still writes that much.
+  // The current limit on the size of a stored value, before an announced reduction. The production
+  // version still writes values of up to this size.
   double stored_value_kb = 0;
-  // The newest format of records that this controller reads and writes (wire/records.h).
+  // The newest record format that this controller reads and writes (wire/records.h).
   std::uint32_t record_format = wire::kServiceFormat;
+  // Limit on requests per second to the cloud, and seconds by which its machine list may lag.
   double cloud_rps = 0, list_lag_s = 0;
-  // What this process may hold (`machine_limits`): megabytes of memory and open sockets. 0: not
-  // stated, as in tests of single components.
+  // Limits of this process (`machine_limits`): megabytes of memory and open sockets. 0: not set, as
+  // in tests of single components.
   double memory_mb = 0;
   int sockets = 0;
-  // Machines that the operators expect at most; 0: not stated. Only checks of the settings use it.
+  // Maximum number of machines that the operators expect; 0: not set. Only the checks of the
+  // settings use it.
   int expected_machines = 0;
-  // Whether this controller passes commands and heartbeats on for others, and has its own passed on
-  // (workers/relay.h).
+  // Whether this controller relays commands and heartbeats for other controllers, and sends its own
+  // through them where it has no direct link (workers/relay.h).
   bool relays = false;
-  // Whether lines of level debug are wanted; building them costs time.
+  // Whether to build debug log lines; building them takes processor time.
   bool log_debug = true;
 };
 
 enum class Target : std::uint8_t { state, cloud, worker };
 
-// A request that the core wants sent. Its outcome comes back with the same number.
+// An outbound request of the core. Its result is returned to the core under the same id.
 struct Call {
   std::uint64_t id = 0;
   Target target = Target::state;
-  std::string address;  // workers only
+  std::string address;  // set for workers only
   std::string method, path, body;
   Ms timeout = 0;
 };
 
-// Statuses of an Outcome besides those of HTTP. No answer: the request may have been executed or
-// may still be. Too large: it was answered, by more than is taken in (base/capacity.h).
+// Values of HttpResult::status besides HTTP statuses. kNoReply: no reply was received, and the
+// request may have been executed or may still be executed. kReplyTooLarge: the reply exceeded
+// Capacity::response_bytes.
 constexpr int kNoReply = 0;
 constexpr int kReplyTooLarge = -1;
 
@@ -102,7 +112,7 @@
   std::uint64_t request = 0;
   int status = 0;
   std::string body;
-  int retry_after_s = 0;  // 0: none
+  int retry_after_s = 0;  // 0: no Retry-After header
 };
 
 enum class LogLevel : std::uint8_t { debug, info, error };
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -6,7 +6,7 @@
 
 bool add(cbor_item_t* map, std::string_view key, const Item& value) {
   const Item name = text(key);
-  // The map takes references of its own.
+  // cbor_map_add adds references to the key and the value; both Items keep theirs.
   return value && cbor_map_add(map, {name.get(), value.get()});
 }
 
@@ -14,7 +14,7 @@
   return value && cbor_array_push(array, value.get());
 }
 
-std::string bytes_of(const Item& item) {
+std::string serialize(const Item& item) {
   unsigned char* data = nullptr;
   std::size_t capacity = 0;
   const std::size_t size = cbor_serialize_alloc(item.get(), &data, &capacity);
@@ -79,7 +79,7 @@
   return std::isfinite(out);
 }
 
-bool each_entry(
+bool for_each_entry(
     const cbor_item_t* map, std::string_view key,
     const std::function<bool(const std::string& name, const cbor_item_t* value)>& entry) {
   const cbor_item_t* inner = find(map, key);
@@ -93,8 +93,8 @@
   return true;
 }
 
-bool each_element(const cbor_item_t* map, std::string_view key,
-                  const std::function<bool(const cbor_item_t* value)>& element) {
+bool for_each_element(const cbor_item_t* map, std::string_view key,
+                      const std::function<bool(const cbor_item_t* value)>& element) {
   const cbor_item_t* inner = find(map, key);
   if (!inner) return true;
   if (!cbor_isa_array(inner)) return false;
--- a/src/wire/cbor.h
+++ b/src/wire/cbor.h
@@ -1,4 +1,4 @@
-// Helpers for messages in CBOR, over libcbor. Used by the messages between controllers.
+// Helpers over libcbor for encoding and decoding the CBOR messages between controllers.
 #pragma once
 
 #include <cbor.h>
@@ -13,39 +13,43 @@
 
 namespace scheduler::wire::cbor {
 
-// Gives up the reference that an Item holds.
-struct Release {
+// Deleter that releases one reference to a libcbor item.
+struct ItemDeleter {
   void operator()(cbor_item_t* item) const { cbor_decref(&item); }
 };
-// An item of libcbor, with one reference of its own.
-using Item = std::unique_ptr<cbor_item_t, Release>;
+// Owns one reference to a libcbor item.
+using Item = std::unique_ptr<cbor_item_t, ItemDeleter>;
 
 Item text(std::string_view value);
-// Adds an entry to a map, or an element to an array; false if it is full.
+// Adds an entry to a map or an element to an array. Returns false if the value is null or the
+// container is full.
 bool add(cbor_item_t* map, std::string_view key, const Item& value);
 bool append(cbor_item_t* array, const Item& value);
-// The bytes of an item; empty if they can't be had.
-std::string bytes_of(const Item& item);
+// Returns the CBOR encoding of an item, or an empty string if libcbor can't serialize it.
+std::string serialize(const Item& item);
 
-// A map from bytes; null if they are no map, or a part of one. What follows the map is ignored.
+// Parses a CBOR map. Returns null if the bytes are not a map or are truncated; bytes after the map
+// are ignored.
 Item parse_map(std::string_view bytes);
-// The value of a key, or null.
+// Returns the value of a key, or null if the map has no such key.
 const cbor_item_t* find(const cbor_item_t* map, std::string_view key);
-// Of a value of that type; none otherwise.
+// Converts an item. Returns nullopt if the item is null or has another type.
 std::optional<std::string> as_text(const cbor_item_t* item);
 std::optional<std::uint64_t> as_number(const cbor_item_t* item);
-// Reads the value of a key; false if it is missing or of another type. A double must be finite.
+// Reads the value of a key into `out`. Returns false if the key is missing, if its value has
+// another type, or if a double is not finite.
 bool read(const cbor_item_t* map, std::string_view key, std::string& out);
 bool read(const cbor_item_t* map, std::string_view key, std::uint64_t& out);
 bool read(const cbor_item_t* map, std::string_view key, bool& out);
 bool read(const cbor_item_t* map, std::string_view key, double& out);
-// Calls `entry` for each entry of a map, or each element of an array, until it returns false. False
-// if it did, if the key's value is no map or array, or if a name in the map is no text; a missing
-// key is an empty one.
-bool each_entry(
+// Calls the callback for each entry of the map (or element of the array) that is the value of
+// `key`, until the callback returns false. Returns false if the callback did, if the value is not a
+// map (or array), or if a key of the inner map is not a string. A missing key counts as an empty
+// container.
+bool for_each_entry(
     const cbor_item_t* map, std::string_view key,
     const std::function<bool(const std::string& name, const cbor_item_t* value)>& entry);
-bool each_element(const cbor_item_t* map, std::string_view key,
-                  const std::function<bool(const cbor_item_t* value)>& element);
+bool for_each_element(const cbor_item_t* map, std::string_view key,
+                      const std::function<bool(const cbor_item_t* value)>& element);
 
 }  // namespace scheduler::wire::cbor
--- a/src/wire/decode_error.h
+++ b/src/wire/decode_error.h
@@ -1,8 +1,8 @@
-// Why a message or a record could not be read.
+// Errors of the decoders for messages and records.
 //
-// How decoders are named, in all of this package: parse_NAME(text) reads a message of users,
-// workers or the cloud, or a key or name; decode<Type>(text) reads a stored record or a message
-// between controllers. Both return the value, or the first field that is wrong.
+// Naming of the decoders in src/wire: parse_NAME(text) reads a message from a user, a worker or the
+// cloud, or a key or name; decode<Type>(text) reads a stored record or a message between
+// controllers. Both return the value or an error that names the first invalid field.
 #pragma once
 
 #include <cstdint>
@@ -13,32 +13,35 @@
 
 namespace scheduler::wire {
 
-// Names the first field that is wrong and what was expected of it.
+// The first invalid field and what the decoder expected there.
 struct DecodeError {
-  std::string field;     // as the format names it, with its path: loads[2].status; empty: the text
-  std::string expected;  // "a JSON object", "a number that is not negative"
+  // Path of the field in the format's own names, such as loads[2].status; empty if the whole text
+  // is invalid.
+  std::string field;
+  std::string expected;  // such as "a JSON object" or "a number that is not negative"
 
-  // One line for the log.
+  // Formats the error as one line for the log.
   [[nodiscard]] std::string message() const {
     return (field.empty() ? std::string() : field + ": ") + "expected " + expected;
   }
 
-  // The same error, of a value that is itself the field or element `path` of a larger one.
+  // Returns this error with `path` prepended, where `path` is the field or array element of the
+  // enclosing value that was being decoded.
   [[nodiscard]] DecodeError within(const std::string& path) const {
     return {field.empty() ? path : path + "." + field, expected};
   }
 };
 
-// A value that was read, or the error.
+// The decoded value or the error.
 template <typename Value>
 using Decoded = tl::expected<Value, DecodeError>;
 
-// The error of a decoder, to be returned from it.
+// Creates an error that a decoder can return directly.
 inline tl::unexpected<DecodeError> decode_error(std::string field, std::string expected) {
   return tl::unexpected(DecodeError{std::move(field), std::move(expected)});
 }
 
-// What is expected of a field that is read into a value of that type.
+// Returns the `expected` text of errors for a field of this C++ type.
 inline const char* expected_for(const std::string& /*out*/) { return "a text"; }
 inline const char* expected_for(bool /*out*/) { return "true or false"; }
 inline const char* expected_for(std::uint64_t /*out*/) {
@@ -49,8 +52,8 @@
 }
 inline const char* expected_for(double /*out*/) { return "a finite number"; }
 
-// Reads a stored record or a message between controllers. Each such type has a specialisation,
-// declared beside the type; fields that it doesn't know are ignored.
+// Decodes a stored record or a message between controllers. Each type has a specialization that is
+// declared next to it. Unknown fields are ignored.
 template <typename Value>
 Decoded<Value> decode(std::string_view text) = delete;
 
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -5,7 +5,7 @@
 namespace scheduler::wire {
 
 bool parse_object(std::string_view text, rapidjson::Document& document) {
-  // Iterative parsing: hostile nesting must not exhaust the stack.
+  // Iterative parsing keeps deeply nested input from overflowing the stack.
   document.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(
       text.data(), text.size());
   return !document.HasParseError() && document.IsObject();
@@ -64,7 +64,7 @@
 
 FieldReader& FieldReader::name(const char* field, std::string& out) {
   const bool is_name =
-      !failed() && read(object_, field, out) && !out.empty() && out.size() <= kMaxNameLength;
+      !failed() && read(object_, field, out) && !out.empty() && out.size() <= kMaxNameBytes;
   return require(is_name, field, "a text of 1 to 128 bytes");
 }
 
--- a/src/wire/link_row.h
+++ b/src/wire/link_row.h
@@ -1,4 +1,4 @@
-// What one controller knows of its own links, as controllers tell one another.
+// The state of one controller's links, as controllers exchange it by gossip.
 #pragma once
 
 #include <cstdint>
@@ -7,25 +7,27 @@
 
 namespace scheduler::wire {
 
-// Whether messages arrive.
+// Whether messages get through on a link.
 enum class LinkStatus : std::uint8_t { unknown, up, down };
 
-// Links between a controller and the workers of one zone, in both directions.
+// State of the links between a controller and the workers of one zone, for each direction.
 struct ZoneLinkStatus {
-  LinkStatus reports = LinkStatus::unknown;   // heartbeats, from workers
-  LinkStatus commands = LinkStatus::unknown;  // to workers
-  std::uint64_t heard_ms = 0;  // time of day of the last heartbeat, milliseconds; 0: none
+  LinkStatus reports = LinkStatus::unknown;   // workers to controller: heartbeats
+  LinkStatus commands = LinkStatus::unknown;  // controller to workers
+  // Time of day at which the controller received the last heartbeat from the zone, in milliseconds;
+  // 0 if none.
+  std::uint64_t heard_ms = 0;
 };
 
-// The links of one controller, as of its own clock.
+// One controller's row of the link matrix: the state of its links at one point in time.
 struct LinkRow {
   std::string controller;
-  std::uint64_t as_of_ms = 0;              // time of day of that controller, milliseconds
-  LinkStatus state = LinkStatus::unknown;  // to the state service
-  LinkStatus cloud = LinkStatus::unknown;
-  std::map<std::string, LinkStatus> heard;        // by peer: whether its messages arrive
+  std::uint64_t as_of_ms = 0;               // time of day by that controller's clock, milliseconds
+  LinkStatus state = LinkStatus::unknown;   // link to the state service
+  LinkStatus cloud = LinkStatus::unknown;   // link to the cloud
+  std::map<std::string, LinkStatus> heard;  // by peer: link from the peer to the controller
   std::map<std::string, ZoneLinkStatus> workers;  // by zone
-  bool relays = false;  // it relays commands and heartbeats for others (workers/relay.h)
+  bool relays = false;  // relays commands and heartbeats for other controllers (workers/relay.h)
 };
 
 }  // namespace scheduler::wire
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -6,71 +6,71 @@
 namespace scheduler::wire {
 namespace {
 
-constexpr std::string_view kJobPrefix = "req-";
-constexpr std::size_t kMinIdDigits = 6;
-constexpr std::size_t kMaxIdDigits = 18;
+constexpr std::string_view kJobIdPrefix = "req-";
+constexpr std::size_t kMinJobIdDigits = 6;
+constexpr std::size_t kMaxJobIdDigits = 18;
 
-// A value and the name that the protocol has for it.
+// An enum value and its name in the protocol.
 template <typename Enum>
-using Named = std::pair<std::string_view, Enum>;
+using EnumName = std::pair<std::string_view, Enum>;
 
-constexpr Named<Priority> kPriorities[] = {{"production", Priority::production},
-                                           {"high", Priority::high},
-                                           {"standard", Priority::normal},
-                                           {"low", Priority::low}};
-constexpr Named<JobShape> kShapes[] = {
+constexpr EnumName<Priority> kPriorities[] = {{"production", Priority::production},
+                                              {"high", Priority::high},
+                                              {"standard", Priority::normal},
+                                              {"low", Priority::low}};
+constexpr EnumName<JobShape> kShapes[] = {
     {"batch", JobShape::array}, {"ensemble", JobShape::gang}, {"daemon", JobShape::service}};
-constexpr Named<JobState> kJobStates[] = {{"pending", JobState::queued},
-                                          {"running", JobState::running},
-                                          {"done", JobState::done},
-                                          {"withdrawn", JobState::cancelled}};
-constexpr Named<TaskState> kTaskStates[] = {{"fetching", TaskState::fetching},
-                                            {"gathering", TaskState::waiting},
-                                            {"running", TaskState::running},
-                                            {"saving", TaskState::checkpointing},
-                                            {"exited", TaskState::exited}};
-constexpr Named<ExitCause> kCauses[] = {
+constexpr EnumName<JobState> kJobStates[] = {{"pending", JobState::queued},
+                                             {"running", JobState::running},
+                                             {"done", JobState::done},
+                                             {"withdrawn", JobState::cancelled}};
+constexpr EnumName<TaskState> kTaskStates[] = {{"fetching", TaskState::fetching},
+                                               {"gathering", TaskState::waiting},
+                                               {"running", TaskState::running},
+                                               {"saving", TaskState::checkpointing},
+                                               {"exited", TaskState::exited}};
+constexpr EnumName<ExitCause> kCauses[] = {
     {"done", ExitCause::done},   {"stopped", ExitCause::stopped}, {"peers", ExitCause::peers},
     {"alone", ExitCause::alone}, {"error", ExitCause::error},     {"no_room", ExitCause::no_room},
     {"busy", ExitCause::busy},   {"no_such", ExitCause::unknown}};
-constexpr Named<CloudState> kCloudStates[] = {{"starting", CloudState::booting},
-                                              {"running", CloudState::running},
-                                              {"failed", CloudState::failed}};
+constexpr EnumName<CloudState> kCloudStates[] = {{"starting", CloudState::booting},
+                                                 {"running", CloudState::running},
+                                                 {"failed", CloudState::failed}};
 
 template <typename Enum, std::size_t Size>
-std::string_view name_of(const Named<Enum> (&table)[Size], Enum value) {
-  for (const auto& [name, named] : table) {
-    if (named == value) return name;
+std::string_view name_of(const EnumName<Enum> (&table)[Size], Enum value) {
+  for (const auto& [name, enum_value] : table) {
+    if (enum_value == value) return name;
   }
   return "";
 }
 
 template <typename Enum, std::size_t Size>
-std::optional<Enum> find_in_table(const Named<Enum> (&table)[Size], std::string_view text) {
+std::optional<Enum> enum_of(const EnumName<Enum> (&table)[Size], std::string_view text) {
   for (const auto& [name, value] : table) {
     if (name == text) return value;
   }
   return std::nullopt;
 }
 
-// "one of a, b, c", for errors.
+// Returns "one of a, b, c" for error messages.
 template <typename Enum, std::size_t Size>
-std::string one_of(const Named<Enum> (&table)[Size]) {
+std::string one_of(const EnumName<Enum> (&table)[Size]) {
   std::string names;
   for (const auto& [name, value] : table)
     names.append(names.empty() ? "one of " : ", ").append(name);
   return names;
 }
 
-// Reads a required field whose value is one of the table's names.
+// Reads a required field whose value must be one of the names in the table.
 template <typename Enum, std::size_t Size>
 void read_enum(FieldReader& fields, const Json& object, const char* field,
-               const Named<Enum> (&table)[Size], Enum& out) {
+               const EnumName<Enum> (&table)[Size], Enum& out) {
   if (fields.failed()) return;
   const Json* text = member(object, field);
   std::optional<Enum> value;
   if (text && text->IsString())
-    value = find_in_table(table, {text->GetString(), text->GetStringLength()});
+    value = enum_of(table, {text->GetString(), text->GetStringLength()});
   if (value) {
     out = *value;
   } else {
@@ -78,14 +78,14 @@
   }
 }
 
-// Parses a message; what is no JSON object is its error.
+// Parses a message. Returns an error if the body is not a JSON object.
 std::optional<DecodeError> parse_message(std::string_view body, rapidjson::Document& document) {
   if (parse_object(body, document)) return std::nullopt;
   return DecodeError{"", "a JSON object"};
 }
 
-// The texts of an array, which is the member `field` of an object.
-Decoded<std::vector<std::string>> read_texts(const Json& object, const char* field) {
+// Reads the member `field`, an array of strings.
+Decoded<std::vector<std::string>> read_string_array(const Json& object, const char* field) {
   const Json* texts = member(object, field);
   if (!texts || !texts->IsArray()) return decode_error(field, "a list of texts");
   std::vector<std::string> read;
@@ -120,14 +120,15 @@
   return tl::unexpected(JobSpecError{std::move(field), std::move(reason)});
 }
 
-// The machine types that a job may run on; none: any.
+// Reads the machine types that a job may run on; an empty list allows any type. Returns nullopt if
+// the field is invalid.
 std::optional<std::vector<std::string>> read_job_types(const Json& object) {
   std::vector<std::string> types;
   const Json* names = member(object, "fleets");
   if (!names) return types;
   if (!names->IsArray() || names->Empty()) return std::nullopt;
   for (const Json& name : names->GetArray()) {
-    if (!name.IsString() || name.GetStringLength() == 0 || name.GetStringLength() > kMaxNameLength)
+    if (!name.IsString() || name.GetStringLength() == 0 || name.GetStringLength() > kMaxNameBytes)
       return std::nullopt;
     types.emplace_back(name.GetString(), name.GetStringLength());
   }
@@ -137,9 +138,9 @@
 }  // namespace
 
 bool valid_job_id(std::string_view id) {
-  if (!id.starts_with(kJobPrefix)) return false;
-  id.remove_prefix(kJobPrefix.size());
-  if (id.size() < kMinIdDigits || id.size() > kMaxIdDigits) return false;
+  if (!id.starts_with(kJobIdPrefix)) return false;
+  id.remove_prefix(kJobIdPrefix.size());
+  if (id.size() < kMinJobIdDigits || id.size() > kMaxJobIdDigits) return false;
   return std::all_of(id.begin(), id.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
@@ -149,7 +150,7 @@
   return parse_job(static_cast<const Json&>(document));
 }
 
-// The order of the checks decides which of several errors the user is told.
+// If several fields are invalid, the first failed check determines which error the user sees.
 tl::expected<JobSpec, JobSpecError> parse_job(const Json& object) {
   JobSpec job;
   FieldReader fields(object);
@@ -161,7 +162,7 @@
   read_enum(fields, object, "shape", kShapes, job.shape);
   read_enum(fields, object, "rank", kPriorities, job.priority);
   fields.required("loads", job.tasks)
-      .require(job.tasks > 0 && job.tasks <= kMaxTasks, "loads", "a number of tasks")
+      .require(job.tasks > 0 && job.tasks <= kMaxTasksPerJob, "loads", "a number of tasks")
       .amount("cpus", job.cpus)
       .amount("gpus", job.gpus)
       .amount("memGb", job.memory_gb)
@@ -333,7 +334,7 @@
   read_amount(object, "rate", type.price);
   read_amount(object, "marketPrice", type.spot_price);
   read_amount(object, "readyS", type.boot_s);
-  auto zones = read_texts(object, "yards");
+  auto zones = read_string_array(object, "yards");
   if (!zones) return tl::unexpected(zones.error());
   type.zones = std::move(*zones);
   return type;
@@ -393,7 +394,7 @@
 Decoded<std::vector<std::string>> parse_scale_out_reply(std::string_view body) {
   rapidjson::Document document;
   if (auto error = parse_message(body, document)) return tl::unexpected(std::move(*error));
-  return read_texts(document, "rigs");
+  return read_string_array(document, "rigs");
 }
 
 std::string scale_in_body(const std::vector<std::string>& machines) {
@@ -405,8 +406,8 @@
   });
 }
 
-std::string machine_list_path(std::string_view after, std::uint32_t most) {
-  return "/hosts?after=" + std::string(after) + "&most=" + std::to_string(most);
+std::string machine_list_path(std::string_view after, std::uint32_t limit) {
+  return "/hosts?after=" + std::string(after) + "&most=" + std::to_string(limit);
 }
 
 namespace {
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,5 +1,6 @@
-// The JSON messages of users, workers and the cloud as checked structs. Only this package knows the
-// protocol's own names; the rest of the program uses the field's terms. Where the two differ:
+// JSON messages of users, workers and the cloud, decoded into validated structs. Only src/wire uses
+// the field names of the protocol; the rest of the code uses the usual terms. Where they differ
+// (protocol name: term in the code):
 //
 //   jobs       queue: class; crew: team; rank: priority; loads: number of tasks; kit: container
 //              image; pullGb: its size; fleets: machine types; yard: zone; together: in one zone;
@@ -31,17 +32,17 @@
 
 // ---- jobs ----
 
-// Order is preemption order: a larger value may preempt a smaller one.
+// Numeric order is preemption order: a job may preempt jobs of smaller values.
 enum class Priority : std::uint8_t { low = 0, normal = 1, high = 2, production = 3 };
 
-// How the tasks of a job belong together.
+// How the tasks of a job depend on each other.
 enum class JobShape : std::uint8_t {
   array,   // independent tasks; each runs to completion
-  gang,    // all tasks run at the same time or none does
-  service  // independent replicas that run until the job is cancelled
+  gang,    // all tasks run at the same time, or none of them runs
+  service  // independent replicas; they run until the job is cancelled
 };
 
-// What a user submits.
+// A job as the user submits it.
 struct JobSpec {
   std::string id;
   std::string job_class;
@@ -49,190 +50,198 @@
   JobShape shape = JobShape::array;
   Priority priority = Priority::normal;
   std::uint32_t tasks = 0;
-  double cpus = 0, gpus = 0, memory_gb = 0;  // of one task
+  double cpus = 0, gpus = 0, memory_gb = 0;  // per task
   std::string image;
   double image_gb = 0;
-  std::vector<std::string> types;    // of machines; empty: any
-  std::string zone;                  // empty: any
-  bool one_zone = false;             // all tasks in one zone
-  bool spread = false;               // tasks over several zones
-  bool spot = false;                 // spot machines will do
-  double estimate_s = 0;             // seconds that a task is expected to run; 0 for services
-  double checkpoint_interval_s = 0;  // seconds between checkpoints; 0: none
-  double checkpoint_write_s = 0;     // seconds that writing one takes
-  std::optional<double> deadline_s;  // seconds from submission; none: no deadline
+  std::vector<std::string> types;    // allowed machine types; empty: any
+  std::string zone;                  // required zone; empty: any
+  bool one_zone = false;             // all tasks must run in one zone
+  bool spread = false;               // tasks must be spread over several zones
+  bool spot = false;                 // spot machines are allowed
+  double estimate_s = 0;             // expected run time of a task, seconds; 0 for services
+  double checkpoint_interval_s = 0;  // seconds between checkpoints; 0: no checkpoints
+  double checkpoint_write_s = 0;     // seconds that writing a checkpoint takes
+  std::optional<double> deadline_s;  // seconds after submission; nullopt: no deadline
 
   [[nodiscard]] bool is_gang() const { return shape == JobShape::gang; }
   [[nodiscard]] bool is_service() const { return shape == JobShape::service; }
 };
 
-constexpr std::uint32_t kMaxTasks = 100'000;  // tasks; PROTOCOL, POST /v1/jobs
+// Largest number of tasks in one job that the protocol allows (PROTOCOL, POST /v1/jobs).
+constexpr std::uint32_t kMaxTasksPerJob = 100'000;
 
-// Why a job specification is refused. Users see its text.
+// Why a job specification is refused. The reply to the user contains text().
 struct JobSpecError {
-  std::string field;   // as the protocol names it; "body": the message as a whole
-  std::string reason;  // "is missing or invalid"
+  std::string field;   // protocol name of the field, or "body" for the whole message
+  std::string reason;  // such as "is missing or invalid"
 
-  // "shape is missing or invalid": the text of the reply to the user.
+  // Returns the text of the reply to the user, such as "shape is missing or invalid".
   [[nodiscard]] std::string text() const { return field + " " + reason; }
 };
 
-// Whether `id` is req- and 6 to 18 digits.
+// Whether `id` consists of "req-" and 6 to 18 digits.
 bool valid_job_id(std::string_view id);
-// Reads the body of a submission. Every field is checked by itself: ids and names for their form,
-// amounts (CPUs, GPUs, GB, seconds) for being finite and not negative, tasks for 1 to kMaxTasks,
-// and that a service has no estimate. Whether the cluster can run the job is for admission to say.
+// Parses the body of a submission. Checks the form of ids and names, that amounts (CPUs, GPUs, GB,
+// seconds) are finite and not negative, that there are 1 to kMaxTasksPerJob tasks, and that a
+// service has no estimate. Admission checks later whether the cluster can run the job.
 tl::expected<JobSpec, JobSpecError> parse_job(std::string_view body);
-// The same of a JSON value that was parsed before.
+// Reads a job specification, with the checks of a submission, from a JSON value that is already
+// parsed.
 tl::expected<JobSpec, JobSpecError> parse_job(const Json& object);
-// Writes the fields that parse_job reads into the object that `writer` is in.
+// Writes the fields that parse_job reads into the object that `writer` has open.
 void write_job_fields(Writer& writer, const JobSpec& job);
 
-// What users are told of a job.
+// State of a job as reported to users.
 enum class JobState : std::uint8_t { queued, running, done, cancelled };
 // Body of the reply to a submission or cancellation.
 std::string job_state_body(std::string_view id, JobState state);
-// Body of the reply to a poll; `done` and `running` count tasks.
+// Body of the reply to a status request; `done` and `running` are numbers of tasks.
 std::string job_status_body(std::string_view id, JobState state, std::uint64_t done,
                             std::uint64_t running);
 
 // ---- workers ----
 
-// One task of a job.
+// Identifies one task of a job.
 struct TaskId {
   std::string job;
   std::uint32_t index = 0;
   auto operator<=>(const TaskId&) const = default;
 };
-// JOB/INDEX, as workers name tasks.
+// Returns JOB/INDEX, the name of the task in messages to and from workers.
 std::string task_name(std::string_view job, std::uint32_t index);
-// Reads what task_name writes: a valid job id and an index of 32 bits.
+// Parses the result of task_name. Requires a valid job id and a 32-bit index.
 Decoded<TaskId> parse_task_name(std::string_view text);
 
-// What a task on a worker is doing.
+// State of a task on a worker.
 enum class TaskState : std::uint8_t { fetching, waiting, running, checkpointing, exited };
-// Why a task has exited, or was refused.
+// Why a task exited, or why the worker refused to start it.
 enum class ExitCause : std::uint8_t {
-  none,     // it has not
-  done,     // it is complete
-  stopped,  // it was told to stop
-  peers,    // because of other tasks of its gang
-  alone,    // of a gang whose other tasks did not start in time
+  none,     // it has not exited
+  done,     // it completed
+  stopped,  // a stop command ended it
+  peers,    // it ended because of other tasks of its gang
+  alone,    // the other tasks of its gang did not start in time
   error,    // it failed
   no_room,  // the machine has too few free resources
-  busy,     // the machine can't take it now
-  unknown   // the worker does not know what it needs
+  busy,     // the machine can't accept the task now
+  unknown   // the worker does not know the requirements of the task
 };
 
-// A task as its worker last saw it.
+// Status of a task as its worker last reported it.
 struct TaskStatus {
   TaskId task;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
-  ExitCause cause = ExitCause::none;  // of an exited task
-  bool checkpointed = false;          // it wrote a checkpoint before it exited
+  ExitCause cause = ExitCause::none;  // set if the task has exited
+  bool checkpointed = false;          // the task wrote a checkpoint before it exited
 };
 
-// What a worker says of itself, in its heartbeats and in its replies to commands and probes.
+// A worker's report of its machine and tasks. Workers send it as a heartbeat and as the reply to
+// commands and probes.
 struct Heartbeat {
   std::string machine;
-  std::string address;  // for commands: 10.0.0.1:9000
+  std::string address;  // where the worker receives commands, such as 10.0.0.1:9000
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t incarnation = 0;  // of the agent; another one knows nothing of tasks before it
-  std::uint64_t sequence = 0;     // grows with each heartbeat of an incarnation
-  std::uint64_t token = 0;        // newest fencing token that the worker has seen
+  // Changes when the worker's agent restarts; a new incarnation has no knowledge of earlier tasks.
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence = 0;                 // increases with each heartbeat of one incarnation
+  std::uint64_t token = 0;                    // newest fencing token that the worker has received
   std::optional<double> preemption_notice_s;  // seconds until the cloud takes the machine back
   std::vector<TaskStatus> tasks;
 };
-// Reads a worker's message. Names have 1 to 128 bytes; counters are whole and not negative; a
-// notice is any finite number of seconds, a negative one counts as 0; an exited task needs its
-// cause. No "loads" means no tasks. Errors of a task have its path: loads[2].status.
+// Parses a worker's message. Names must have 1 to 128 bytes, counters must be non-negative
+// integers, and an exited task must have a cause. A preemption notice is any finite number of
+// seconds; a negative one counts as 0. A missing "loads" means that there are no tasks. Errors in a
+// task name its path, such as loads[2].status.
 Decoded<Heartbeat> parse_heartbeat(std::string_view body);
 
 enum class CommandKind : std::uint8_t {
   start,
   stop,
-  forget  // of an exited task: its status is recorded and need not be sent again
+  forget  // drop an exited task: its status is recorded, so the worker can stop reporting it
 };
-// What a worker is to do with one attempt of a task.
+// A command to a worker for one attempt of a task.
 struct Command {
   CommandKind kind = CommandKind::start;
   TaskId task;
   std::uint64_t attempt = 0;
-  double grace_s = 0;  // seconds in which a stopped task may write a checkpoint
+  double grace_s = 0;  // stop only: seconds that the task has for writing a checkpoint
 };
-// Body of the reply to a heartbeat; it renews the worker's lease.
+// Body of the reply to a heartbeat. The reply renews the worker's lease.
 std::string heartbeat_reply(std::uint64_t token, const std::vector<Command>& commands);
-// Body of a message of commands to the given incarnation of a worker's agent.
+// Body of a request that sends commands to the given incarnation of a worker's agent.
 std::string commands_body(std::uint64_t token, std::uint64_t incarnation,
                           const std::vector<Command>& commands);
-// Body of the reply that sends a worker to the controller that owns its machine.
+// Body of the reply that redirects a worker to the controller that owns its machine.
 std::string redirect_body(std::string_view controller);
 
 // ---- the cloud ----
 
-// An entry of the cloud's catalog.
+// A machine type in the cloud's catalog.
 struct MachineType {
   std::string name;
   double cpus = 0, gpus = 0, memory_gb = 0, cache_gb = 0, fetch_gb_per_s = 0;
-  double price = 0, spot_price = 0;  // 0: not stated
+  double price = 0, spot_price = 0;  // 0 if the catalog has none
   double boot_s = 0;                 // seconds until a new machine is ready
   std::vector<std::string> zones;
 };
-// Reads the catalog. Each type needs a name, its CPUs and memory (finite, not negative) and a list
-// of zones; its other amounts stay 0 where they are absent, and are not checked for their sign.
+// Parses the catalog. Each type requires a name, CPUs and memory (finite, not negative) and a list
+// of zones. Other amounts stay 0 if they are absent; their sign is not checked.
 Decoded<std::vector<MachineType>> parse_catalog(std::string_view body);
-// The catalog as the cloud sends it; also the form in which it is stored.
+// Serializes the catalog in the format that the cloud sends. It is stored in this format, too.
 std::string catalog_body(const std::vector<MachineType>& types);
 
-// A request to the cloud for machines. It may be sent again under its name, which rents nothing
-// twice.
+// A request to the cloud for machines. It is idempotent: a retry under the same name does not rent
+// more machines.
 struct ScaleOutRequest {
-  std::string name;  // never reused
+  std::string name;  // unique; no later request uses it again
   std::string type;
   std::string zone;
   bool spot = false;
   std::uint32_t count = 0;
 };
-// Body of the request.
+// Body of a scale-out request.
 std::string scale_out_body(const ScaleOutRequest& request);
-// Reads the reply to it: names of the rented machines, of which there may be fewer than asked for.
+// Parses the reply to a scale-out request: the names of the rented machines. There may be fewer
+// machines than requested.
 Decoded<std::vector<std::string>> parse_scale_out_reply(std::string_view body);
 // Body of a request that returns machines.
 std::string scale_in_body(const std::vector<std::string>& machines);
 
 enum class CloudState : std::uint8_t { booting, running, failed };
-// A machine as the cloud lists it.
+// A machine in the cloud's list of rented machines.
 struct CloudMachine {
-  std::string id, address, type, zone;  // the address is empty until the machine has one
+  std::string id, address, type, zone;  // the address is empty until the cloud assigns one
   bool spot = false;
   CloudState state = CloudState::booting;
-  double held_s = 0;  // seconds since it was rented
+  double held_s = 0;  // seconds since the machine was rented
 };
-// A page of the cloud's list of machines, as far as it can be read.
+// One page of the cloud's list of machines, up to the first entry that can't be decoded.
 struct MachineListPage {
-  std::vector<CloudMachine> machines;     // those before the first that can't be read
-  bool more = false;                      // pages follow
-  std::optional<DecodeError> unreadable;  // what is wrong with the machine after these
+  std::vector<CloudMachine> machines;     // entries before the first invalid one
+  bool more = false;                      // more pages follow
+  std::optional<DecodeError> unreadable;  // error of the first invalid entry, if there is one
 };
-// Reads a page: whether there are more, and a list whose machines need id, type, zone, whether they
-// are spot, and a known state. It is an error only if there is no list.
+// Parses a page. Each machine requires an id, type, zone, spot flag and known state; the first
+// invalid machine ends the page and is reported in `unreadable`. The whole page is an error only if
+// it has no list of machines or no flag that tells whether more pages follow.
 Decoded<MachineListPage> parse_machine_list(std::string_view body);
 
 // ---- paths ----
 
-// Requests to the cloud.
+// Paths of requests to the cloud.
 constexpr const char* kCatalogPath = "/catalog";
 constexpr const char* kScaleOutPath = "/hosts";
 constexpr const char* kScaleInPath = "/hosts/return";
-// Of the page of at most `most` machines that follows the machine `after` (empty: the first page).
-std::string machine_list_path(std::string_view after, std::uint32_t most);
-// Requests to workers.
+// Path of the page with up to `limit` machines that follow the machine `after`; an empty `after`
+// requests the first page.
+std::string machine_list_path(std::string_view after, std::uint32_t limit);
+// Paths of requests to workers.
 constexpr const char* kCommandsPath = "/orders";
 constexpr const char* kStatusPath = "/status";
-// Requests to controllers.
+// Paths of requests to controllers.
 constexpr const char* kHeartbeatPath = "/hello";
 constexpr const char* kJobsPath = "/v1/jobs";
 constexpr const char* kHealthPath = "/healthz";
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -11,18 +11,19 @@
 
 using cbor::Item;
 
-// Keys of the messages: a format between versions.
-constexpr std::string_view kRelayKey = "relay";  // of relayed messages only
-constexpr std::uint64_t kRelayReplyTag = 0xff;   // of kRelayKey; requests have their kind
-constexpr std::string_view kRowsKey = "links";
+// Keys of the message format. Other versions read them, so they must not change.
+constexpr std::string_view kRelayKey = "relay";  // present in relay requests and replies only
+// Value of kRelayKey in a relay reply. In a relay request it is the RelayKind.
+constexpr std::uint64_t kRelayReplyTag = 0xff;
+constexpr std::string_view kLinksKey = "links";
 constexpr std::string_view kCancelledKey = "cancelled";
-// Rows of a gossip message, and entries of a row, that are taken in; the rest of a longer list is
-// ignored.
-constexpr std::size_t kMostRows = 16;
-constexpr std::size_t kMostEntries = 16;
-constexpr std::size_t kMostCancelled = 64;
-constexpr std::size_t kZoneParts =
-    3;  // of a zone in a row: both directions, and the last heartbeat
+// Limits on the rows and cancelled jobs of a gossip message and on the entries of a row. The
+// decoder ignores the rest of a longer list.
+constexpr std::size_t kMaxLinkRows = 16;
+constexpr std::size_t kMaxRowEntries = 16;
+constexpr std::size_t kMaxCancelledJobs = 64;
+// Elements of a zone in a row: the link in both directions, and the time of the last heartbeat.
+constexpr std::size_t kZoneElements = 3;
 
 Item number(std::uint64_t value) { return Item(cbor_build_uint64(value)); }
 Item status(LinkStatus value) { return number(static_cast<std::uint64_t>(value)); }
@@ -40,11 +41,11 @@
   for (const auto& [peer, link] : row.heard) cbor::add(heard.get(), peer, status(link));
   Item workers(cbor_new_definite_map(row.workers.size()));
   for (const auto& [zone, links] : row.workers) {
-    Item parts(cbor_new_definite_array(kZoneParts));
-    cbor::append(parts.get(), status(links.reports));
-    cbor::append(parts.get(), status(links.commands));
-    cbor::append(parts.get(), number(links.heard_ms));
-    cbor::add(workers.get(), zone, parts);
+    Item elements(cbor_new_definite_array(kZoneElements));
+    cbor::append(elements.get(), status(links.reports));
+    cbor::append(elements.get(), status(links.commands));
+    cbor::append(elements.get(), number(links.heard_ms));
+    cbor::add(workers.get(), zone, elements);
   }
   cbor::add(map.get(), "name", cbor::text(row.controller));
   cbor::add(map.get(), "at", number(row.as_of_ms));
@@ -56,8 +57,8 @@
   return map;
 }
 
-// Reads the required entries of one map, one after the other. The first that is wrong is the error;
-// entries asked for after it are left alone.
+// Reads the required entries of one map. Keeps the error of the first invalid entry and skips all
+// later reads.
 class EntryReader {
  public:
   explicit EntryReader(const cbor_item_t* map) : map_(map) {}
@@ -69,7 +70,7 @@
     return *this;
   }
   [[nodiscard]] bool failed() const { return error_.has_value(); }
-  // Only if `failed()`.
+  // Requires failed().
   [[nodiscard]] const DecodeError& error() const { return *error_; }
 
  private:
@@ -77,7 +78,7 @@
   std::optional<DecodeError> error_;
 };
 
-// None if its name, its time or a list is not what it should be.
+// Returns nullopt if the name, the time or one of the maps of links is invalid.
 std::optional<LinkRow> decode_row(const cbor_item_t* map) {
   LinkRow row;
   if (!cbor_isa_map(map) || !cbor::read(map, "name", row.controller) ||
@@ -86,19 +87,21 @@
   row.state = status_of(cbor::find(map, "state"));
   row.cloud = status_of(cbor::find(map, "cloud"));
   cbor::read(map, "relays", row.relays);
-  const bool heard = cbor::each_entry(map, "heard", [&](const auto& peer, const auto* link) {
-    if (row.heard.size() < kMostEntries) row.heard[peer] = status_of(link);
-    return true;
-  });
-  const bool workers = cbor::each_entry(map, "workers", [&](const auto& zone, const auto* parts) {
-    if (!cbor_isa_array(parts) || cbor_array_size(parts) < kZoneParts) return false;
-    cbor_item_t* const* part = cbor_array_handle(parts);
-    if (row.workers.size() < kMostEntries)
-      row.workers[zone] = {status_of(part[0]), status_of(part[1]),
-                           cbor::as_number(part[2]).value_or(0)};
-    return true;
-  });
-  if (!heard || !workers) return std::nullopt;
+  const bool heard_valid =
+      cbor::for_each_entry(map, "heard", [&](const auto& peer, const auto* link) {
+        if (row.heard.size() < kMaxRowEntries) row.heard[peer] = status_of(link);
+        return true;
+      });
+  const bool workers_valid =
+      cbor::for_each_entry(map, "workers", [&](const auto& zone, const auto* elements) {
+        if (!cbor_isa_array(elements) || cbor_array_size(elements) < kZoneElements) return false;
+        cbor_item_t* const* values = cbor_array_handle(elements);
+        if (row.workers.size() < kMaxRowEntries)
+          row.workers[zone] = {status_of(values[0]), status_of(values[1]),
+                               cbor::as_number(values[2]).value_or(0)};
+        return true;
+      });
+  if (!heard_valid || !workers_valid) return std::nullopt;
   return row;
 }
 
@@ -106,7 +109,7 @@
   if (!gossip_message.links.empty()) {
     Item rows(cbor_new_definite_array(gossip_message.links.size()));
     for (const auto& row : gossip_message.links) cbor::append(rows.get(), encode_row(row));
-    cbor::add(map, kRowsKey, rows);
+    cbor::add(map, kLinksKey, rows);
   }
   if (!gossip_message.cancelled.empty()) {
     Item jobs(cbor_new_definite_array(gossip_message.cancelled.size()));
@@ -115,18 +118,18 @@
   }
 }
 
-// What can't be read of these is left out: the rest of the gossip message is as good without.
+// Drops entries that can't be decoded: the rest of the gossip message is usable without them.
 void read_links(const cbor_item_t* map, GossipMessage& gossip_message) {
-  const bool rows = cbor::each_element(map, kRowsKey, [&](const cbor_item_t* element) {
+  const bool rows_valid = cbor::for_each_element(map, kLinksKey, [&](const cbor_item_t* element) {
     auto row = decode_row(element);
-    if (row && gossip_message.links.size() < kMostRows)
+    if (row && gossip_message.links.size() < kMaxLinkRows)
       gossip_message.links.push_back(std::move(*row));
     return row.has_value();
   });
-  if (!rows) gossip_message.links.clear();
-  cbor::each_element(map, kCancelledKey, [&](const cbor_item_t* element) {
+  if (!rows_valid) gossip_message.links.clear();
+  cbor::for_each_element(map, kCancelledKey, [&](const cbor_item_t* element) {
     auto job = cbor::as_text(element);
-    if (job && gossip_message.cancelled.size() < kMostCancelled)
+    if (job && gossip_message.cancelled.size() < kMaxCancelledJobs)
       gossip_message.cancelled.push_back(std::move(*job));
     return job.has_value();
   });
@@ -188,7 +191,7 @@
   ok = ok && cbor::add(map.get(), "sent", number(gossip_message.sent_ms));
   if (!ok) return {};
   add_links(map.get(), gossip_message);
-  return cbor::bytes_of(map);
+  return cbor::serialize(map);
 }
 
 std::string encode(const RelayRequest& request) {
@@ -200,7 +203,7 @@
   cbor::add(map.get(), "sent", number(request.sent_ms));
   cbor::add(map.get(), "address", cbor::text(request.address));
   cbor::add(map.get(), "body", cbor::text(request.body));
-  return cbor::bytes_of(map);
+  return cbor::serialize(map);
 }
 
 std::string encode(const RelayReply& reply) {
@@ -211,7 +214,7 @@
   cbor::add(map.get(), "id", number(reply.id));
   cbor::add(map.get(), "status", number(reply.status));
   cbor::add(map.get(), "body", cbor::text(reply.body));
-  return cbor::bytes_of(map);
+  return cbor::serialize(map);
 }
 
 template <>
--- a/src/wire/record_keys.cpp
+++ b/src/wire/record_keys.cpp
@@ -9,8 +9,8 @@
 namespace scheduler::wire {
 namespace {
 
-// The whole text as a decimal number of 32 bits.
-std::optional<std::uint32_t> number_of(std::string_view text) {
+// Parses the whole text as a 32-bit decimal number.
+std::optional<std::uint32_t> parse_number(std::string_view text) {
   std::uint32_t number = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
@@ -43,7 +43,7 @@
 
 Decoded<std::uint32_t> parse_fleet_key(std::string_view key) {
   std::optional<std::uint32_t> group;
-  if (key.starts_with(kFleetPrefix)) group = number_of(key.substr(kFleetPrefix.size()));
+  if (key.starts_with(kFleetPrefix)) group = parse_number(key.substr(kFleetPrefix.size()));
   if (!group) return decode_error("key", "fleet/GROUP");
   return *group;
 }
@@ -52,7 +52,7 @@
   const auto malformed = [] { return decode_error("key", "part/CONTROLLER/GROUP"); };
   const auto slash = key.rfind('/');
   if (!key.starts_with(kShardPrefix) || slash < kShardPrefix.size()) return malformed();
-  const auto group = number_of(key.substr(slash + 1));
+  const auto group = parse_number(key.substr(slash + 1));
   if (!group) return malformed();
   const auto controller = key.substr(kShardPrefix.size(), slash - kShardPrefix.size());
   return ShardKey{std::string(controller), *group};
@@ -61,7 +61,7 @@
 Decoded<RangeKey> parse_range_key(std::string_view key) {
   const auto malformed = [] { return decode_error("key", "range/JOB/NUMBER"); };
   if (!key.starts_with(kRangePrefix)) return malformed();
-  // It has the form of a task's name.
+  // JOB/NUMBER has the form of a task's name.
   auto range = parse_task_name(key.substr(kRangePrefix.size()));
   if (!range) return malformed();
   return RangeKey{std::move(range->job), range->index};
--- a/src/wire/record_keys.h
+++ b/src/wire/record_keys.h
@@ -1,26 +1,25 @@
-// Keys of the records that controllers keep in the state service. Versions that serve side by side
-// read each other's: the keys are a format and stay as they are. Some are older than the terms used
-// here: "part" is a shard, "claim" a shard write guard, "hire" a scale-out request and "over" a
-// final state; the permits that the state service attaches keys to are session leases.
+// Keys of the records that controllers keep in the state service. Different versions run side by
+// side and read each other's records, so the keys must not change. Some key names differ from the
+// terms in the code: "part" is a shard, "claim" a shard write guard, "hire" a scale-out request and
+// "over" a final state. A key may be attached to a session lease, which the state service calls a
+// permit.
 //
 // view              the cluster view: the live controllers and the epoch
-// live/NAME         a controller's session: its incarnation and the epoch that it acts on; attached
-//                   to its session lease
-// job/ID            an accepted job without a final state, and how its tasks were first divided
-// range/ID/N        a range of a job's tasks: bitmap of those done, and placements; written when
-// one
-//                   of them is first placed
-// fleet/G           the rented machines of group G; written by the fleet's leader alone
-// part/NAME/G       the shard of controller NAME: what it has heard from machines of group G, and
-//                   decided on them
-// claim/NAME        the write guard of NAME's shard, stamped whenever another controller places
-// tasks
-//                   on its machines
-// hire/NAME         a scale-out request that may be under way
-// quota/TEAM        quota leases: shares of a team's limit, held by controllers
+// live/NAME         a controller's session: its incarnation and the epoch of the view that it acts
+//                   on; attached to its session lease
+// job/ID            an accepted job without a final state, and the initial ranges of its tasks
+// range/ID/N        a range of a job's tasks: bitmap of finished tasks, and placements; written
+//                   when a task of the range is first placed
+// fleet/G           the rented machines of group G; only the fleet leader writes it
+// part/NAME/G       the shard of controller NAME in group G: the address and incarnation that each
+//                   machine last reported, and the state that the controller decided on
+// claim/NAME        the write guard of NAME's shard; written whenever another controller places
+//                   tasks on machines of that shard
+// hire/NAME         a scale-out request that may be in progress
+// quota/TEAM        quota leases: the parts of a team's limit that controllers hold
 // catalog           the machine types as last read from the cloud
-// formats           the format of records that all controllers read; written once all announce it
-// over/ID           the final state of a job, kept for ever
+// formats           the record format that all controllers read; written once all announce it
+// over/ID           the final state of a job; never deleted
 #pragma once
 
 #include <cstdint>
@@ -49,26 +48,26 @@
 std::string scale_out_key(std::string_view name);
 std::string shard_guard_key(std::string_view controller);
 
-// What the key of a range says.
+// The parts of a range record's key.
 struct RangeKey {
   std::string job;
-  std::uint32_t number = 0;  // of the range within its job
+  std::uint32_t number = 0;  // number of the range within the job
 };
 std::string range_key(std::string_view job, std::uint32_t number);
-// Needs a valid job id and a number of 32 bits.
+// Requires a valid job id and a 32-bit number.
 Decoded<RangeKey> parse_range_key(std::string_view key);
 
 std::string fleet_key(std::uint32_t group);
-// The group of machines; needs a number of 32 bits.
+// Returns the number of the machine group. Requires a 32-bit number.
 Decoded<std::uint32_t> parse_fleet_key(std::string_view key);
 
-// What the key of a shard's record says.
+// The parts of a shard record's key.
 struct ShardKey {
-  std::string controller;  // whose shard it is
+  std::string controller;  // the owner of the shard
   std::uint32_t group = 0;
 };
 std::string shard_key(std::string_view controller, std::uint32_t group);
-// The controller is what stands before the last slash; needs a group of 32 bits after it.
+// The last slash separates the controller's name from the group, which must be a 32-bit number.
 Decoded<ShardKey> parse_shard_key(std::string_view key);
 
 }  // namespace scheduler::wire
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -8,7 +8,8 @@
 namespace scheduler::wire {
 namespace {
 
-void put_map(Writer& writer, const char* name, const std::map<std::string, std::string>& texts) {
+void put_string_map(Writer& writer, const char* name,
+                    const std::map<std::string, std::string>& texts) {
   writer.Key(name);
   writer.StartObject();
   for (const auto& [key, text] : texts) put(writer, key.c_str(), text);
@@ -19,8 +20,8 @@
   return {field.name.GetString(), field.name.GetStringLength()};
 }
 
-// The required member `field` of an object, which is an object of texts.
-Decoded<std::map<std::string, std::string>> read_map(const Json& object, const char* field) {
+// Reads the required member `field`, an object whose values are strings.
+Decoded<std::map<std::string, std::string>> read_string_map(const Json& object, const char* field) {
   const Json* texts = member(object, field);
   if (!texts || !texts->IsObject()) return decode_error(field, "an object of texts");
   std::map<std::string, std::string> read;
@@ -32,13 +33,13 @@
   return read;
 }
 
-// Parses a record; what is no JSON object is its error.
+// Parses a record. Returns an error if the text is not a JSON object.
 std::optional<DecodeError> parse_record(std::string_view text, rapidjson::Document& document) {
   if (parse_object(text, document)) return std::nullopt;
   return DecodeError{"", "a JSON object"};
 }
 
-// Four tasks a digit, the first in its lowest bit.
+// Encodes a bitmap with four bits per hexadecimal digit; the first of them is the lowest bit.
 std::string hex_of(const std::vector<bool>& bits) {
   static constexpr char digits[] = "0123456789abcdef";
   std::string out((bits.size() + 3) / 4, '0');
@@ -51,7 +52,8 @@
   return out;
 }
 
-// What hex_of writes of `count` bits; none if it is of another length or has another character.
+// Decodes the result of hex_of for `count` bits. Returns nullopt if the length is wrong or a
+// character is not a hexadecimal digit.
 std::optional<std::vector<bool>> bits_of(std::string_view hex, std::size_t count) {
   if (hex.size() != (count + 3) / 4) return std::nullopt;
   std::vector<bool> bits(count, false);
@@ -69,8 +71,8 @@
 std::string encode(const ViewRecord& record) {
   return object([&](Writer& writer) {
     put(writer, "epoch", record.epoch);
-    put_map(writer, "live", record.live);
-    put_map(writer, "departed", record.departing);
+    put_string_map(writer, "live", record.live);
+    put_string_map(writer, "departed", record.departing);
     writer.Key("deaf");
     writer.StartArray();
     for (const auto& name : record.unreachable) put_text(writer, name);
@@ -85,10 +87,10 @@
   ViewRecord record;
   FieldReader fields(document);
   if (fields.required("epoch", record.epoch).failed()) return tl::unexpected(fields.error());
-  auto live = read_map(document, "live");
+  auto live = read_string_map(document, "live");
   if (!live) return tl::unexpected(live.error());
   record.live = std::move(*live);
-  auto departing = read_map(document, "departed");
+  auto departing = read_string_map(document, "departed");
   if (!departing) return tl::unexpected(departing.error());
   record.departing = std::move(*departing);
   const Json* deaf = member(document, "deaf");
@@ -143,12 +145,12 @@
     put_bool(writer, "cancelled", record.cancelled);
     writer.Key("shares");
     writer.StartArray();
-    for (const auto& share : record.shares) {
+    for (const auto& range : record.shares) {
       writer.StartArray();
-      writer.Uint(share.number);
-      writer.Uint(share.begin);
-      writer.Uint(share.end);
-      put_text(writer, share.owner);
+      writer.Uint(range.number);
+      writer.Uint(range.begin);
+      writer.Uint(range.end);
+      put_text(writer, range.owner);
       writer.EndArray();
     }
     writer.EndArray();
@@ -157,15 +159,16 @@
 
 namespace {
 
-// [number, begin, end, owner] of a job of `tasks` tasks.
-std::optional<JobRecord::Share> share_of(const Json& value, std::uint32_t tasks) {
+// Reads [number, begin, end, owner] for a job that has `tasks` tasks. Returns nullopt if it is
+// invalid.
+std::optional<JobRecord::Share> initial_range_of(const Json& value, std::uint32_t tasks) {
   if (!value.IsArray() || value.Size() != 4 || !value[0].IsUint() || !value[1].IsUint() ||
       !value[2].IsUint() || !value[3].IsString())
     return std::nullopt;
-  JobRecord::Share share{value[0].GetUint(), value[1].GetUint(), value[2].GetUint(),
+  JobRecord::Share range{value[0].GetUint(), value[1].GetUint(), value[2].GetUint(),
                          value[3].GetString()};
-  if (share.begin >= share.end || share.end > tasks) return std::nullopt;
-  return share;
+  if (range.begin >= range.end || range.end > tasks) return std::nullopt;
+  return range;
 }
 
 }  // namespace
@@ -184,11 +187,11 @@
   if (const Json* shares = member(document, "shares")) {
     if (!shares->IsArray()) return decode_error("shares", "a list of shares");
     for (const Json& value : shares->GetArray()) {
-      auto share = share_of(value, record.spec.tasks);
-      if (!share)
+      auto range = initial_range_of(value, record.spec.tasks);
+      if (!range)
         return decode_error(element_path("shares", record.shares.size()),
                             "[number, begin, end, owner] of tasks of the job");
-      record.shares.push_back(std::move(*share));
+      record.shares.push_back(std::move(*range));
     }
   }
   FieldReader fields(document);
@@ -209,8 +212,8 @@
     put(writer, "d", hex_of(record.done));
     put(writer, "n", record.next_attempt);
     if (record.stopping) put_bool(writer, "s", true);
-    // Placements by machine, incarnation and holder of the quota lease (none: the owner), so that a
-    // value holds hundreds.
+    // Placements are grouped by machine, incarnation and quota holder (empty: the range's owner),
+    // so that one value has room for hundreds of them.
     std::map<std::tuple<std::string, std::uint64_t, std::string>,
              std::vector<std::pair<std::uint32_t, std::uint64_t>>>
         groups;
@@ -220,11 +223,11 @@
           .emplace_back(task, placement.attempt);
     writer.Key("p");
     writer.StartArray();
-    for (const auto& [where, tasks] : groups) {
+    for (const auto& [group, tasks] : groups) {
       writer.StartArray();
-      put_text(writer, std::get<0>(where));
-      writer.Uint64(std::get<1>(where));
-      put_text(writer, std::get<2>(where));
+      put_text(writer, std::get<0>(group));
+      writer.Uint64(std::get<1>(group));
+      put_text(writer, std::get<2>(group));
       for (const auto& [task, attempt] : tasks) {
         writer.Uint(task);
         writer.Uint64(attempt);
@@ -237,8 +240,8 @@
 
 namespace {
 
-// Reads a group of placements into the record: [machine, incarnation, holder of the quota lease
-// (empty: the owner), task, attempt, task, attempt...]. False if it is none.
+// Reads a group of placements into the record: [machine, incarnation, quota holder (empty: the
+// range's owner), task, attempt, task, attempt...]. Returns false if the group is invalid.
 bool read_placements(const Json& group, RangeRecord& record) {
   if (!group.IsArray() || group.Size() < 3 || group.Size() % 2 == 0 || !group[0].IsString() ||
       !group[1].IsUint64() || !group[2].IsString())
@@ -289,7 +292,7 @@
 }
 
 namespace {
-// {"m":{ID:[...],...}}: a machine takes some 60 bytes.
+// Returns {"m":{ID:[...],...}}. A machine takes about 60 bytes.
 template <typename Record, typename Fill>
 std::string machines_body(const Record& record, Fill&& fill) {
   return object([&](Writer& writer) {
@@ -305,7 +308,8 @@
   });
 }
 
-// Reads what machines_body writes. `machine_of(value)` is the machine in an array, or none.
+// Decodes the result of machines_body. `machine_of(value)` converts the array of one machine, or
+// returns nullopt if it is invalid.
 template <typename Record, typename MachineOf>
 Decoded<Record> decode_machines(std::string_view text, const char* expected,
                                 MachineOf&& machine_of) {
@@ -388,8 +392,8 @@
   return decode_machines<ShardRecord>(text, "[address, incarnation, state, epoch]", contact_of);
 }
 
-std::string shard_guard_body(std::string_view by) {
-  return object([&](Writer& writer) { put(writer, "by", by); });
+std::string shard_guard_body(std::string_view controller) {
+  return object([&](Writer& writer) { put(writer, "by", controller); });
 }
 
 std::string encode(const ScaleOutRequest& request) {
--- a/src/wire/state_service.cpp
+++ b/src/wire/state_service.cpp
@@ -12,16 +12,16 @@
 constexpr const char* kExpectedText = "a text";
 constexpr const char* kExpectedArray = "an array";
 
-// The number in a field of a reply that holds nothing else of interest.
+// Parses a reply of which only one numeric field is used.
 Decoded<std::uint64_t> parse_number(std::string_view body, const char* field) {
-  rapidjson::Document doc;
-  if (!parse_object(body, doc)) return decode_error("", kExpectedObject);
+  rapidjson::Document document;
+  if (!parse_object(body, document)) return decode_error("", kExpectedObject);
   std::uint64_t number = 0;
-  if (!read(doc, field, number)) return decode_error(field, kExpectedNumber);
+  if (!read(document, field, number)) return decode_error(field, kExpectedNumber);
   return number;
 }
 
-// An item whose key stands in `key_field`.
+// Reads an item whose key is in the field `key_field`.
 Decoded<StoredItem> read_item(const Json& object, const char* key_field) {
   StoredItem item;
   const Json* value = member(object, "v");
@@ -44,31 +44,31 @@
 
 std::string transaction_body(const std::vector<Compare>& conditions,
                              const std::vector<Write>& writes) {
-  return object([&](Writer& w) {
-    w.Key("guards");
-    w.StartArray();
+  return object([&](Writer& writer) {
+    writer.Key("guards");
+    writer.StartArray();
     for (const Compare& condition : conditions) {
-      w.StartObject();
-      put(w, "k", condition.key);
-      put(w, "stamp", condition.version);
-      w.EndObject();
+      writer.StartObject();
+      put(writer, "k", condition.key);
+      put(writer, "stamp", condition.version);
+      writer.EndObject();
     }
-    w.EndArray();
-    w.Key("writes");
-    w.StartArray();
+    writer.EndArray();
+    writer.Key("writes");
+    writer.StartArray();
     for (const Write& write : writes) {
-      w.StartObject();
+      writer.StartObject();
       if (write.value) {
-        put(w, "write", write.key);
-        w.Key("v");
-        w.RawValue(write.value->data(), write.value->size(), rapidjson::kObjectType);
-        if (write.lease_id) put(w, "permit", *write.lease_id);
+        put(writer, "write", write.key);
+        writer.Key("v");
+        writer.RawValue(write.value->data(), write.value->size(), rapidjson::kObjectType);
+        if (write.lease_id) put(writer, "permit", *write.lease_id);
       } else {
-        put(w, "remove", write.key);
+        put(writer, "remove", write.key);
       }
-      w.EndObject();
+      writer.EndObject();
     }
-    w.EndArray();
+    writer.EndArray();
   });
 }
 
@@ -77,11 +77,11 @@
 }
 
 Decoded<Conflict> parse_conflict(std::string_view body) {
-  rapidjson::Document doc;
-  if (!parse_object(body, doc)) return decode_error("", kExpectedObject);
+  rapidjson::Document document;
+  if (!parse_object(body, document)) return decode_error("", kExpectedObject);
   Conflict conflict;
-  if (!read(doc, "ledger", conflict.revision)) return decode_error("ledger", kExpectedNumber);
-  const Json* failed = member(doc, "failed");
+  if (!read(document, "ledger", conflict.revision)) return decode_error("ledger", kExpectedNumber);
+  const Json* failed = member(document, "failed");
   if (!failed || !failed->IsArray()) return decode_error("failed", kExpectedArray);
   for (const Json& key : failed->GetArray()) {
     if (!key.IsString()) return decode_error("failed", "keys");
@@ -94,23 +94,23 @@
   return parse_number(body, "permit");
 }
 
-std::string lease_body(std::uint64_t life_ms) {
-  return object([&](Writer& w) { put(w, "lifeMs", life_ms); });
+std::string lease_body(std::uint64_t ttl_ms) {
+  return object([&](Writer& writer) { put(writer, "lifeMs", ttl_ms); });
 }
 
 Decoded<StoredItem> parse_item(std::string_view body) {
-  rapidjson::Document doc;
-  if (!parse_object(body, doc)) return decode_error("", kExpectedObject);
-  return read_item(doc, "k");
+  rapidjson::Document document;
+  if (!parse_object(body, document)) return decode_error("", kExpectedObject);
+  return read_item(document, "k");
 }
 
 Decoded<Page> parse_page(std::string_view body) {
-  rapidjson::Document doc;
-  if (!parse_object(body, doc)) return decode_error("", kExpectedObject);
+  rapidjson::Document document;
+  if (!parse_object(body, document)) return decode_error("", kExpectedObject);
   Page page;
-  if (!read(doc, "hasNext", page.more)) return decode_error("hasNext", "true or false");
-  if (!read(doc, "ledger", page.revision)) return decode_error("ledger", kExpectedNumber);
-  const Json* pairs = member(doc, "pairs");
+  if (!read(document, "hasNext", page.more)) return decode_error("hasNext", "true or false");
+  if (!read(document, "ledger", page.revision)) return decode_error("ledger", kExpectedNumber);
+  const Json* pairs = member(document, "pairs");
   if (!pairs || !pairs->IsArray()) return decode_error("pairs", kExpectedArray);
   for (const Json& pair : pairs->GetArray()) {
     Decoded<StoredItem> item = read_item(pair, "k");
@@ -121,11 +121,11 @@
 }
 
 Decoded<WatchEvents> parse_events(std::string_view body) {
-  rapidjson::Document doc;
-  if (!parse_object(body, doc)) return decode_error("", kExpectedObject);
+  rapidjson::Document document;
+  if (!parse_object(body, document)) return decode_error("", kExpectedObject);
   WatchEvents events;
-  if (!read(doc, "ledger", events.revision)) return decode_error("ledger", kExpectedNumber);
-  const Json* list = member(doc, "events");
+  if (!read(document, "ledger", events.revision)) return decode_error("ledger", kExpectedNumber);
+  const Json* list = member(document, "events");
   if (!list) return events;  // nothing has changed
   if (!list->IsArray()) return decode_error("events", kExpectedArray);
   for (const Json& event : list->GetArray()) {
@@ -138,8 +138,8 @@
 
 std::string item_path(std::string_view key) { return "/store/" + std::string(key); }
 
-std::string page_path(std::string_view prefix, std::string_view after, std::uint32_t most) {
-  std::string path = "/store?starts=" + std::string(prefix) + "&most=" + std::to_string(most);
+std::string page_path(std::string_view prefix, std::string_view after, std::uint32_t limit) {
+  std::string path = "/store?starts=" + std::string(prefix) + "&most=" + std::to_string(limit);
   if (!after.empty()) path += "&after=" + std::string(after);
   return path;
 }
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,4 +1,4 @@
-// Bounds that follow from the settings.
+// Limits that are computed from the settings.
 #include "base/capacity.h"
 
 #include <gtest/gtest.h>
@@ -30,12 +30,13 @@
   EXPECT_GT(large.direct_messages, small.direct_messages);
   EXPECT_GT(large.probes, small.probes);
   EXPECT_GT(large.response_bytes, small.response_bytes);
-  // A page of the state service is always taken in.
+  // A page of the state service, of up to 512 KiB, is always accepted.
   EXPECT_GT(small.response_bytes, 512U * 1024U);
 }
 
-// A transaction of the fleet's coordinator that is over a limit would be refused for ever.
-TEST(Capacity, GroupsOfMachinesFitIntoOneTransaction) {
+// If a transaction of the fleet coordinator exceeded a limit of the state service, every retry
+// would be refused.
+TEST(Capacity, MachineGroupsFitIntoOneTransaction) {
   for (const double value_kb : {1.0, 2.0, 8.0, 16.0, 60.0}) {
     for (const int txn_ops : {4, 8, 16, 24}) {
       Settings settings = large_deployment();
@@ -52,9 +53,9 @@
   }
 }
 
-TEST(Capacity, UndersizedSettingsAreNamed) {
+TEST(Capacity, ProblemsNameTheUndersizedSettings) {
   Settings settings = large_deployment();
-  EXPECT_TRUE(capacity_problems(settings).empty());  // no fleet is named
+  EXPECT_TRUE(capacity_problems(settings).empty());  // expected_machines is not set
   settings.expected_machines = 6000;
   EXPECT_TRUE(capacity_problems(settings).empty());
   settings.sockets = 200;
--- a/tests/peer_messages_test.cpp
+++ b/tests/peer_messages_test.cpp
@@ -1,4 +1,5 @@
-// Messages between controllers: what is encoded is decoded again, and nothing shorter is.
+// Messages between controllers: an encoded message decodes to an equal one, and a truncated message
+// is refused.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,7 +12,7 @@
 namespace scheduler::links {
 namespace {
 
-TEST(PeerMessages, RowsAndCancelledJobsRoundTrip) {
+TEST(PeerMessages, LinkRowsAndCancelledJobsRoundTrip) {
   wire::GossipMessage gossip;
   gossip.from = "a";
   gossip.incarnation = "7";
@@ -34,7 +35,7 @@
     EXPECT_FALSE(wire::decode<wire::PeerMessage>(std::string_view(bytes).substr(0, n)));
 }
 
-TEST(PeerMessages, RelayedMessagesRoundTripAndAreNotGossip) {
+TEST(PeerMessages, RelayMessagesRoundTripAndAreNotDecodedAsGossip) {
   const wire::RelayRequest request{"a", 7, 99, wire::RelayKind::heartbeat, "w:1", R"({"rig":"n"})"};
   const auto message = wire::decode<wire::PeerMessage>(encode(request));
   ASSERT_TRUE(message) << message.error().message();
--- a/tests/record_split_test.cpp
+++ b/tests/record_split_test.cpp
@@ -1,4 +1,4 @@
-// Records that are larger than the state service's limits: ranges and groups of machines are split.
+// Splitting of range records and machine groups that are larger than the state service's limits.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -32,7 +32,7 @@
   return range;
 }
 
-TEST(RangeSplit, EveryTaskIsInJustOnePieceThatFits) {
+TEST(RangeSplit, EveryTaskIsInExactlyOnePieceThatFits) {
   constexpr std::size_t kLimitBytes = 2048;
   for (const std::uint32_t placed : {0U, 1U, 60U, 260U, 400U}) {
     const wire::RangeRecord range = large_range(8192, placed);
@@ -60,13 +60,13 @@
   const auto pieces = split_to_fit(range, 2048);
   ASSERT_EQ(pieces.size(), 1U);
   EXPECT_EQ(encode(pieces[0]), encode(range));
-  EXPECT_EQ(split_to_fit(large_range(1, 1), 10).size(), 1U);  // nothing to split
+  EXPECT_EQ(split_to_fit(large_range(1, 1), 10).size(), 1U);  // a single task can't be split
 }
 
-TEST(RangeSplit, TheLargestJobHasFewEnoughRanges) {
+TEST(RangeSplit, TheLargestJobHasAtMost28Ranges) {
   for (const std::size_t kilobytes : {2, 4, 8, 16}) {
     const std::uint32_t tasks = tasks_per_range(kilobytes * 1024);
-    EXPECT_LE((wire::kMaxTasks + tasks - 1) / tasks, 28U) << kilobytes;
+    EXPECT_LE((wire::kMaxTasksPerJob + tasks - 1) / tasks, 28U) << kilobytes;
     EXPECT_LE(encode(large_range(tasks, 0)).size(), kilobytes * 1024) << kilobytes;
   }
 }
@@ -82,7 +82,7 @@
   return fleet;
 }
 
-TEST(MachineGroups, EveryMachineIsInJustOneGroupThatFits) {
+TEST(MachineGroups, EveryMachineIsInExactlyOneGroupThatFits) {
   GroupLimits limits;
   limits.machines = 18;
   limits.value_bytes = 2048;
@@ -105,24 +105,26 @@
   }
   EXPECT_FALSE(split_group(fleet_of(18), 3, limits));
   EXPECT_FALSE(split_group(fleet_of(18), 9, limits));
-  // More than one transaction carries: left as it is, not half written.
+  // The pieces would not fit into one transaction: the group is not split, so that no part of a
+  // split can be missing.
   EXPECT_FALSE(split_group(fleet_of(400), 3, limits));
 }
 
-// While a group is split, its machines' last contacts are in records of the former group, and the
-// two changes may be read in either order.
-TEST(MachineGroups, ContactsFollowTheirMachinesInEitherOrder) {
-  const wire::ShardRecord::Contact heard{"n-1:1", 5, wire::MachineState::quarantined, 9};
+// While a group is being split, the shard's record of a moved machine still belongs to the former
+// group. A controller may read the removal from the former group and the addition to the new group
+// in either order; the replica must keep the machine's incarnation and state in both cases.
+TEST(MachineGroups, MovedMachineKeepsItsContactInEitherOrder) {
+  const wire::ShardRecord::Contact contact{"n-1:1", 5, wire::MachineState::quarantined, 9};
   wire::FleetRecord fleet;
   fleet.machines["n-1"] = {"n-1:1", "g", "a", false};
-  wire::ShardRecord part;
-  part.machines["n-1"] = heard;
+  wire::ShardRecord shard;
+  shard.machines["n-1"] = contact;
   const wire::FleetRecord no_machines;
-  const wire::ShardRecord nothing_heard;
+  const wire::ShardRecord no_contacts;
   for (const bool removal_first : {true, false}) {
     Replica replica;
     replica.apply({wire::fleet_key(3), encode(fleet), 1});
-    replica.apply({wire::shard_key("puffin-0", 3), encode(part), 2});
+    replica.apply({wire::shard_key("puffin-0", 3), encode(shard), 2});
     auto change = [&](const std::string& from, const std::string& to, const std::string& left,
                       const std::string& moved, std::uint64_t version) {
       if (removal_first) replica.apply({from, left, version});
@@ -138,14 +140,14 @@
     change(wire::fleet_key(3), wire::fleet_key(7), encode(no_machines), encode(fleet), 3);
     EXPECT_EQ(replica.group_of("n-1"), 7U);
     check();
-    change(wire::shard_key("puffin-0", 3), wire::shard_key("puffin-0", 7), encode(nothing_heard),
-           encode(part), 4);
+    change(wire::shard_key("puffin-0", 3), wire::shard_key("puffin-0", 7), encode(no_contacts),
+           encode(shard), 4);
     check();
   }
 }
 
-// Large records that the former version has stored are split once all controllers read the format,
-// and the limits may drop at any moment after that.
+// Once all controllers read the new format, they split the large records that the former version
+// stored, because the limits of the state service may drop at any time after that.
 TEST_F(SingleControllerJobs, OversizedRecordsAreSplitBeforeLimitsDrop) {
   Settings lower = settings_;
   lower.stored_value_kb = 8;
@@ -157,15 +159,15 @@
   start_anew(former);
   wire::FleetRecord fleet = fleet_of(70).at(3);
   fleet.machines["n-1"] = {"n-1:1", "g", "a", false};
-  wire::ShardRecord part;
+  wire::ShardRecord shard;
   for (const auto& [id, machine] : fleet.machines)
-    part.machines[id] = {machine.address, 4, wire::MachineState::ready, 1};
-  part.machines["n-100033"].state = wire::MachineState::quarantined;
+    shard.machines[id] = {machine.address, 4, wire::MachineState::ready, 1};
+  shard.machines["n-100033"].state = wire::MachineState::quarantined;
   ASSERT_GT(encode(fleet).size(), 2048U);
-  ASSERT_GT(encode(part).size(), 2048U);
+  ASSERT_GT(encode(shard).size(), 2048U);
   state_.transact(now_,
                   R"({"guards":[],"writes":[{"write":"fleet/0","v":)" + encode(fleet) +
-                      R"(},{"write":"part/puffin-0/0","v":)" + encode(part) + "}]}",
+                      R"(},{"write":"part/puffin-0/0","v":)" + encode(shard) + "}]}",
                   [](int status, const std::string&) { ASSERT_EQ(status, 200); });
   run(500);
   settings_ = lower;
@@ -188,8 +190,9 @@
   EXPECT_EQ(machine->incarnation, 4U);
 }
 
-// More ranges than one transaction has conditions for: their job still ends, and all are removed.
-TEST_F(SingleControllerJobs, AJobOfManyRangesEndsUnderLowLimits) {
+// A job with more ranges than one transaction allows conditions still reaches its final state, and
+// all its range records are removed.
+TEST_F(SingleControllerJobs, JobWithManyRangesEndsUnderLowLimits) {
   Settings low = settings_;
   low.value_kb = 2;
   low.txn_ops = 8;
@@ -214,7 +217,7 @@
     }
     job.cancelled = cancelled;
     writes += R"({"write":")" + wire::job_key(job.spec.id) + R"(","v":)" + encode(job) + "}";
-    // As an earlier version left it, under higher limits.
+    // Stores the records directly, as an earlier version did under higher limits.
     state_.revision++;
     rapidjson::Document doc;
     ASSERT_TRUE(wire::parse_object(R"({"writes":[)" + writes + "]}", doc));
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -1,5 +1,5 @@
-// Formats that the production version and its successors share during a rolling upgrade. The
-// fixtures were written by the production version itself (fixtures/production/README.md).
+// Compatibility of the formats between the production version and this version during a rolling
+// upgrade. The production version wrote the fixtures (fixtures/production/README.md).
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -39,7 +39,7 @@
   return bytes;
 }
 
-// Reads a record of the production version and checks that it is written again as it was.
+// Decodes a record of the production version and checks that encoding it restores the text.
 template <typename Record>
 Record read_fixture(const std::string& name) {
   const std::string text = fixture(name);
@@ -64,24 +64,25 @@
   return "n-" + std::string(6 - digits.size(), '0') + digits;
 }
 
-// The machines of the fixtures `fleet*` and `part*`, by their place in the record.
-std::string machine_address(std::uint32_t place) {
-  if (place % 9 == 8) return "";
-  return "10.1." + std::to_string(place / 200) + "." + std::to_string(place % 200 + 1) + ":9000";
+// Address of the machine at a position in the fixtures `fleet*` and `part*`.
+std::string machine_address(std::uint32_t position) {
+  if (position % 9 == 8) return "";
+  return "10.1." + std::to_string(position / 200) + "." + std::to_string(position % 200 + 1) +
+         ":9000";
 }
 
-MachineRecord machine_at(std::uint32_t place) {
+MachineRecord machine_at(std::uint32_t position) {
   MachineRecord machine;
-  machine.address = machine_address(place);
-  machine.type = place % 4 == 0 ? "g8" : "c16";
-  machine.zone = std::string(1, static_cast<char>('a' + place % 3));
-  machine.spot = place % 5 == 0;
-  machine.state = static_cast<MachineState>(place % 5);
+  machine.address = machine_address(position);
+  machine.type = position % 4 == 0 ? "g8" : "c16";
+  machine.zone = std::string(1, static_cast<char>('a' + position % 3));
+  machine.spot = position % 5 == 0;
+  machine.state = static_cast<MachineState>(position % 5);
   return machine;
 }
 
-// The text with a field that no version knows, at the start and at the end of the object.
-std::vector<std::string> with_unknown_field(const std::string& text) {
+// Returns two copies of the object with an unknown field: at its start and at its end.
+std::vector<std::string> add_unknown_field(const std::string& text) {
   const std::string field = R"("futureField":{"formats":[1,2.5,null],"text":"\u00e9"})";
   return {"{" + field + "," + text.substr(1), text.substr(0, text.size() - 1) + "," + field + "}"};
 }
@@ -89,14 +90,14 @@
 template <typename Record>
 void expect_unknown_field_ignored(const std::string& name) {
   const std::string text = fixture(name);
-  for (const std::string& extended : with_unknown_field(text)) {
+  for (const std::string& extended : add_unknown_field(text)) {
     const auto record = decode<Record>(extended);
     ASSERT_TRUE(record) << extended << ": " << record.error().message();
     EXPECT_EQ(encode(*record), text);
   }
 }
 
-// ---- every fixture, value by value ----
+// ---- values of every fixture ----
 
 TEST(UpgradeFormat, View) {
   const auto first = read_fixture<ViewRecord>("view_first.json");
@@ -217,7 +218,7 @@
   EXPECT_EQ(job.shares[0].owner, "puffin-1");
 }
 
-TEST(UpgradeFormat, JobWithManyShares) {
+TEST(UpgradeFormat, JobWithManyInitialRanges) {
   const auto job = read_fixture<JobRecord>("job_many_shares.json");
   EXPECT_EQ(job.spec.id, "req-999999");
   EXPECT_EQ(job.spec.job_class, "sweep");
@@ -298,7 +299,7 @@
 TEST(UpgradeFormat, RangeWithHundredsOfPlacements) {
   constexpr std::uint32_t kBegin = 64'000;
   constexpr std::uint32_t kFirstPlaced = 64'700;
-  constexpr std::uint32_t kPlaced = 260;
+  constexpr std::uint32_t kPlacedCount = 260;
   EXPECT_GT(fixture("range_260_placements.json").size(), 7U * 1024);
   const auto range = read_fixture<RangeRecord>("range_260_placements.json");
   EXPECT_EQ(range.owner, "puffin-1");
@@ -306,8 +307,8 @@
   EXPECT_EQ(range.end, kBegin + 1024);
   ASSERT_EQ(range.done.size(), 1024U);
   for (std::uint32_t i = 0; i < 1024; ++i) EXPECT_EQ(range.done[i], i < 700 && i % 3 == 0) << i;
-  ASSERT_EQ(range.placed.size(), kPlaced);
-  for (std::uint32_t i = 0; i < kPlaced; ++i) {
+  ASSERT_EQ(range.placed.size(), kPlacedCount);
+  for (std::uint32_t i = 0; i < kPlacedCount; ++i) {
     const Placement expected{10 + i % 3, machine_name(200 + i), 1 + i % 2,
                              i % 10 == 0 ? "puffin-0" : "puffin-1"};
     EXPECT_EQ(range.placed.at(kFirstPlaced + i), expected) << i;
@@ -332,13 +333,13 @@
     EXPECT_EQ(full.machines.at(machine_name(1000 + i)), machine_at(i)) << i;
 }
 
-TEST(UpgradeFormat, Part) {
-  const auto part = read_fixture<ShardRecord>("part.json");
-  ASSERT_EQ(part.machines.size(), 5U);
+TEST(UpgradeFormat, Shard) {
+  const auto shard = read_fixture<ShardRecord>("part.json");
+  ASSERT_EQ(shard.machines.size(), 5U);
   for (std::uint32_t i = 0; i < 5; ++i) {
     const ShardRecord::Contact expected{machine_address(i), i == 4 ? kLargest : i,
                                         static_cast<MachineState>(i), 400 + i};
-    EXPECT_EQ(part.machines.at(machine_name(i)), expected) << i;
+    EXPECT_EQ(shard.machines.at(machine_name(i)), expected) << i;
   }
   const auto full = read_fixture<ShardRecord>("part_70_machines.json");
   ASSERT_EQ(full.machines.size(), 70U);
@@ -351,13 +352,13 @@
 
 TEST(UpgradeFormat, ShardGuard) { EXPECT_EQ(shard_guard_body("puffin-2"), fixture("claim.json")); }
 
-TEST(UpgradeFormat, Hire) {
-  const auto scale_out_name = read_fixture<ScaleOutRequest>("hire.json");
-  EXPECT_EQ(scale_out_name.name, "");  // it is in the key
-  EXPECT_EQ(scale_out_name.type, "c16");
-  EXPECT_EQ(scale_out_name.zone, "c");
-  EXPECT_TRUE(scale_out_name.spot);
-  EXPECT_EQ(scale_out_name.count, 50U);
+TEST(UpgradeFormat, ScaleOut) {
+  const auto scale_out = read_fixture<ScaleOutRequest>("hire.json");
+  EXPECT_EQ(scale_out.name, "");  // the key has the name
+  EXPECT_EQ(scale_out.type, "c16");
+  EXPECT_EQ(scale_out.zone, "c");
+  EXPECT_TRUE(scale_out.spot);
+  EXPECT_EQ(scale_out.count, 50U);
 }
 
 TEST(UpgradeFormat, Quota) {
@@ -379,8 +380,9 @@
   EXPECT_TRUE(empty.demand.empty());
 }
 
-// Sums of decimals have no short text. The production version reads them to within the last digits
-// and writes those; a record is the same from its second writing on.
+// A sum of decimal fractions may have no short decimal text. The production version reads such a
+// number with an error in the last digits and writes the result, so the text changes when the
+// record is first rewritten, and not after that.
 TEST(UpgradeFormat, QuotaOfSumsIsRewrittenAsTheProductionVersionDoes) {
   const auto decoded = decode<QuotaRecord>(fixture("quota_sums.json"));
   ASSERT_TRUE(decoded) << decoded.error().message();
@@ -393,7 +395,7 @@
   EXPECT_DOUBLE_EQ(rewritten.demand.at("puffin-1").cpus, 1.1 * 3);
 }
 
-TEST(UpgradeFormat, Over) {
+TEST(UpgradeFormat, FinalState) {
   const auto done = read_fixture<FinalStateRecord>("over_done.json");
   EXPECT_TRUE(done.done);
   EXPECT_EQ(done.tasks, 1000U);
@@ -450,7 +452,7 @@
   EXPECT_EQ(encode(*silent), silent_bytes);
 }
 
-TEST(UpgradeFormat, EveryFixtureIsOfAKnownType) {
+TEST(UpgradeFormat, FixtureDirectoryHasExactlyTheExpectedFiles) {
   std::set<std::string> found;
   for (const auto& entry : std::filesystem::directory_iterator(
            std::filesystem::path(SCHEDULER_FIXTURES) / "production"))
@@ -486,7 +488,7 @@
   EXPECT_EQ(found, expected);
 }
 
-// ---- what a later version adds ----
+// ---- additions of later versions ----
 
 TEST(UpgradeFormat, UnknownFieldsAreIgnored) {
   expect_unknown_field_ignored<ViewRecord>("view_full.json");
@@ -499,14 +501,14 @@
   expect_unknown_field_ignored<ScaleOutRequest>("hire.json");
   expect_unknown_field_ignored<QuotaRecord>("quota.json");
   expect_unknown_field_ignored<FinalStateRecord>("over_done.json");
-  for (const std::string& extended : with_unknown_field(fixture("catalog.json"))) {
+  for (const std::string& extended : add_unknown_field(fixture("catalog.json"))) {
     const auto types = parse_catalog(extended);
     ASSERT_TRUE(types) << types.error().message();
     EXPECT_EQ(catalog_body(*types), fixture("catalog.json"));
   }
 }
 
-TEST(UpgradeFormat, LiveRecordThatNamesItsFormatsIsRead) {
+TEST(UpgradeFormat, LiveRecordWithARecordFormatIsRead) {
   const auto live =
       decode<LiveRecord>(R"({"incarnation":"7f3a9c0000000001","epoch":418,"formats":2})");
   ASSERT_TRUE(live) << live.error().message();
@@ -514,12 +516,12 @@
   EXPECT_EQ(live->epoch, 418U);
 }
 
-TEST(UpgradeFormat, PeerHintWithAnAdditionalEntryIsRead) {
+TEST(UpgradeFormat, GossipMessageWithAnAdditionalEntryIsRead) {
   const std::string bytes = hex_fixture("peer_hint.hex");
   constexpr char kMapOfSix = '\xa6';
   constexpr char kMapOfSeven = '\xa7';
   ASSERT_EQ(bytes[0], kMapOfSix);
-  // "formats": 2, and "formats": {"a": [1]}.
+  // The additional entries are "formats": 2 and "formats": {"a": [1]}.
   for (const std::string entry : {"\x67"
                                   "formats"
                                   "\x02",
@@ -555,7 +557,7 @@
 
 // ---- unreadable records are ignored ----
 
-// All that a replica holds of the records that fill() gives it, as text.
+// Returns the contents of a replica as text, as far as the records of filled_replica() affect them.
 std::string contents(const Replica& replica) {
   std::string out = "view " + encode(replica.view());
   for (const auto& [name, live] : replica.live()) out += "\nlive " + name + encode(live);
@@ -571,7 +573,7 @@
   }
   for (const auto& [group, fleet] : replica.fleet()) {
     out += "\nfleet " + std::to_string(group) + encode(fleet);
-    if (const auto* part = replica.shard("puffin-0", group)) out += " part " + encode(*part);
+    if (const auto* shard = replica.shard("puffin-0", group)) out += " part " + encode(*shard);
   }
   wire::FleetRecord merged;
   merged.machines = replica.machines();
@@ -580,40 +582,42 @@
     out += "\nmachine " + id + " session " + std::to_string(machine.incarnation) + " tasks " +
            std::to_string(replica.placed_on(id).size());
   for (const auto& id : replica.unrecorded_machines()) out += "\nunrecorded " + id;
-  for (const auto& [name, scale_out_name] : replica.scale_out_requests())
-    out += "\nhire " + name + encode(scale_out_name);
+  for (const auto& [name, scale_out] : replica.scale_out_requests())
+    out += "\nhire " + name + encode(scale_out);
   for (const auto& [team, quota] : replica.quotas()) out += "\nquota " + team + encode(quota);
   for (const std::string team : {"vision", "speech", "ops", ""}) {
     const Usage usage = replica.usage(team);
     out += "\nusage " + team + " " + std::to_string(usage.cpus) + " " + std::to_string(usage.gpus);
   }
   out += "\ncatalog " + catalog_body(replica.catalog());
-  if (const auto* over = replica.final_state("req-000001")) out += "\nover " + encode(*over);
+  if (const auto* final_state = replica.final_state("req-000001"))
+    out += "\nover " + encode(*final_state);
   return out;
 }
 
-// The key of a record of each type and the fixture that fills it.
-const std::pair<std::string, std::string> kFilled[] = {{"view", "view_full.json"},
-                                                       {"catalog", "catalog.json"},
-                                                       {"live/puffin-1", "live.json"},
-                                                       {"fleet/0", "fleet.json"},
-                                                       {"part/puffin-0/0", "part.json"},
-                                                       {"job/req-000412", "job_array.json"},
-                                                       {"range/req-000412/9", "range_placed.json"},
-                                                       {"hire/puffin-0-1", "hire.json"},
-                                                       {"quota/vision", "quota.json"},
-                                                       {"over/req-000001", "over_done.json"}};
-
-Replica fill() {
+// One key of each record type, with the fixture that filled_replica() stores under it.
+const std::pair<std::string, std::string> kRecordFixtures[] = {
+    {"view", "view_full.json"},
+    {"catalog", "catalog.json"},
+    {"live/puffin-1", "live.json"},
+    {"fleet/0", "fleet.json"},
+    {"part/puffin-0/0", "part.json"},
+    {"job/req-000412", "job_array.json"},
+    {"range/req-000412/9", "range_placed.json"},
+    {"hire/puffin-0-1", "hire.json"},
+    {"quota/vision", "quota.json"},
+    {"over/req-000001", "over_done.json"}};
+
+Replica filled_replica() {
   Replica replica;
   std::uint64_t version = 0;
-  for (const auto& [key, name] : kFilled)
+  for (const auto& [key, name] : kRecordFixtures)
     EXPECT_TRUE(replica.apply({key, fixture(name), ++version})) << key;
   EXPECT_TRUE(replica.apply({"claim/puffin-0", fixture("claim.json"), ++version}));
   return replica;
 }
 
-std::vector<std::string> garbage() {
+std::vector<std::string> undecodable_texts() {
   return {"",
           "{",
           "{}",
@@ -648,11 +652,11 @@
 }
 
 TEST(UpgradeFormat, UnreadableRecordsChangeNothing) {
-  Replica replica = fill();
+  Replica replica = filled_replica();
   const std::string before = contents(replica);
   std::uint64_t version = 1000;
-  for (const auto& [key, name] : kFilled) {
-    for (const std::string& text : garbage()) {
+  for (const auto& [key, name] : kRecordFixtures) {
+    for (const std::string& text : undecodable_texts()) {
       EXPECT_FALSE(replica.apply({key, text, ++version})) << key << " " << text.substr(0, 80);
       ASSERT_EQ(contents(replica), before) << key << " " << text.substr(0, 80);
     }
@@ -660,10 +664,10 @@
 }
 
 TEST(UpgradeFormat, TruncatedRecordsChangeNothing) {
-  Replica replica = fill();
+  Replica replica = filled_replica();
   const std::string before = contents(replica);
   std::uint64_t version = 1000;
-  for (const auto& [key, name] : kFilled) {
+  for (const auto& [key, name] : kRecordFixtures) {
     const std::string text = fixture(name);
     for (std::size_t n = 0; n < text.size(); ++n)
       EXPECT_FALSE(replica.apply({key, text.substr(0, n), ++version})) << key << " " << n;
@@ -671,13 +675,13 @@
   }
 }
 
-// A record whose first version is unreadable is not known at all.
+// A record whose first value can't be decoded is not added to the replica.
 TEST(UpgradeFormat, UnreadableRecordsAreNotAdded) {
   Replica replica;
   const std::string before = contents(replica);
   std::uint64_t version = 0;
-  for (const auto& [key, name] : kFilled) {
-    for (const std::string& text : garbage())
+  for (const auto& [key, name] : kRecordFixtures) {
+    for (const std::string& text : undecodable_texts())
       EXPECT_FALSE(replica.apply({key, text, ++version})) << key << " " << text.substr(0, 80);
     ASSERT_EQ(contents(replica), before) << key;
   }
@@ -685,7 +689,7 @@
 }
 
 TEST(UpgradeFormat, UnknownKeysChangeNothing) {
-  Replica replica = fill();
+  Replica replica = filled_replica();
   const std::string before = contents(replica);
   std::uint64_t version = 1000;
   for (const std::string key : {"",
@@ -715,23 +719,23 @@
                                 "part/7",
                                 "part/puffin-0/",
                                 "part/puffin-0/x"}) {
-    for (const auto& [known, name] : kFilled)
+    for (const auto& [known, name] : kRecordFixtures)
       EXPECT_FALSE(replica.apply({key, fixture(name), ++version})) << key << " " << name;
     EXPECT_FALSE(replica.apply({key, R"({"futureField":1})", ++version})) << key;
     EXPECT_FALSE(replica.apply({key, std::nullopt, ++version})) << key;
     ASSERT_EQ(contents(replica), before) << key;
   }
-  for (const std::string& text : garbage())
+  for (const std::string& text : undecodable_texts())
     EXPECT_FALSE(replica.apply({"formats", text, ++version}));
   EXPECT_EQ(contents(replica), before);
 }
 
-// Only the stamp of a claim matters.
-TEST(UpgradeFormat, ClaimsAreNotRead) {
-  Replica replica = fill();
+// Controllers use only the version of a shard write guard, so any value is accepted.
+TEST(UpgradeFormat, ShardGuardValuesAreNotDecoded) {
+  Replica replica = filled_replica();
   const std::string before = contents(replica);
   std::uint64_t version = 1000;
-  for (const std::string& text : garbage())
+  for (const std::string& text : undecodable_texts())
     EXPECT_TRUE(replica.apply({"claim/puffin-0", text, ++version}));
   EXPECT_EQ(contents(replica), before);
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// Wire formats: round trips, and bad input refused with a reason.
+// Wire formats: encoded values decode to equal values, and invalid input is refused with a reason.
 #include <gtest/gtest.h>
 
 #include "wire/messages.h"
@@ -10,17 +10,17 @@
 namespace {
 
 std::string job_text(const std::string& replace = "", const std::string& with = "") {
-  std::string t =
+  std::string text =
       R"({"id":"req-000412","queue":"train","crew":"vision","shape":"ensemble","rank":"high",)"
       R"("loads":16,"cpus":8.0,"gpus":1.0,"memGb":64.0,"kit":"img-07","pullGb":6.2,)"
       R"("fleets":["g8"],"yard":null,"together":true,"scatter":false,"standby":true,)"
       R"("haulS":240.0,"tipS":30.0,"stowS":4.0,"dueS":900.0,"unknown":[1,{"x":2}]})";
   if (!replace.empty()) {
-    const auto at = t.find(replace);
+    const auto at = text.find(replace);
     EXPECT_NE(at, std::string::npos) << replace;
-    t.replace(at, replace.size(), with);
+    text.replace(at, replace.size(), with);
   }
-  return t;
+  return text;
 }
 
 TEST(Wire, JobIsReadWithUnknownFieldsIgnored) {
@@ -100,7 +100,7 @@
   EXPECT_TRUE(read->cancelled);
 }
 
-TEST(Wire, HeartbeatIsCheckedThroughout) {
+TEST(Wire, HeartbeatWithAnInvalidFieldIsRefused) {
   const std::string good =
       R"({"rig":"n-000231","endpoint":"10.1.0.232:9000","fleet":"g8","yard":"a","standby":true,)"
       R"("shift":1,"tally":88,"baton":41,"warningS":null,"loads":[)"
@@ -112,35 +112,35 @@
   EXPECT_EQ(heartbeat->tasks[0].task.index, 3U);
   EXPECT_TRUE(heartbeat->tasks[1].checkpointed);
   EXPECT_EQ(heartbeat->tasks[1].cause, ExitCause::stopped);
-  for (const char* word : {"rig", "shift", "tally", "baton", "try", "load\"", "cause"}) {
+  for (const char* field_name : {"rig", "shift", "tally", "baton", "try", "load\"", "cause"}) {
     std::string bad = good;
-    bad.replace(bad.rfind(word), 1, "X");
+    bad.replace(bad.rfind(field_name), 1, "X");
     EXPECT_FALSE(parse_heartbeat(bad)) << bad;
   }
 }
 
 TEST(Wire, RangeRecordRoundTripAndSize) {
-  RangeRecord a;
-  a.owner = "puffin-0";
-  a.begin = 100;
-  a.end = 107;
-  a.done = {true, false, true, false, false, false, true};
-  a.placed[101] = {3, "n-000001", 2, "puffin-0"};
-  a.placed[103] = {4, "n-000001", 2, "puffin-0"};
-  a.placed[104] = {4, "n-000002", 1, "puffin-1"};
-  a.next_attempt = 5;
-  a.stopping = true;
-  const auto b = decode<RangeRecord>(encode(a));
-  ASSERT_TRUE(b) << b.error().message();
-  EXPECT_EQ(encode(a), encode(*b));
-  EXPECT_EQ(b->done, a.done);
-  EXPECT_EQ(b->placed.at(104).quota_holder, "puffin-1");
+  RangeRecord written;
+  written.owner = "puffin-0";
+  written.begin = 100;
+  written.end = 107;
+  written.done = {true, false, true, false, false, false, true};
+  written.placed[101] = {3, "n-000001", 2, "puffin-0"};
+  written.placed[103] = {4, "n-000001", 2, "puffin-0"};
+  written.placed[104] = {4, "n-000002", 1, "puffin-1"};
+  written.next_attempt = 5;
+  written.stopping = true;
+  const auto read = decode<RangeRecord>(encode(written));
+  ASSERT_TRUE(read) << read.error().message();
+  EXPECT_EQ(encode(written), encode(*read));
+  EXPECT_EQ(read->done, written.done);
+  EXPECT_EQ(read->placed.at(104).quota_holder, "puffin-1");
   EXPECT_FALSE(decode<RangeRecord>(R"({"o":"x","b":3,"e":3,"d":"","n":1,"p":[]})"));
   EXPECT_FALSE(decode<RangeRecord>(R"({"o":"x","b":0,"e":4,"d":"z","n":1,"p":[]})"));
   EXPECT_FALSE(decode<RangeRecord>(R"({"o":"x","b":0,"e":4,"d":"0","n":1,"p":[["m",1,"g",9,1]]})"));
 }
 
-TEST(Wire, StateMessages) {
+TEST(Wire, StateServiceMessages) {
   const Decoded<WatchEvents> events = parse_events(
       R"({"ledger":433,"events":[{"write":"c/9","v":{"a":[1]},"stamp":433},{"remove":"c/d","stamp":432}]})");
   ASSERT_TRUE(events);
@@ -162,28 +162,28 @@
 
 TEST(Wire, OtherRecordsRoundTrip) {
   const ViewRecord view{7, {{"a", "1"}, {"b", "2"}}, {{"c", "3"}}, {"b"}};
-  const auto view2 = decode<ViewRecord>(encode(view));
-  ASSERT_TRUE(view2) << view2.error().message();
-  EXPECT_EQ(encode(view), encode(*view2));
+  const auto view_read = decode<ViewRecord>(encode(view));
+  ASSERT_TRUE(view_read) << view_read.error().message();
+  EXPECT_EQ(encode(view), encode(*view_read));
   QuotaRecord quota;
   quota.leases["a"] = {1.5, 2};
   quota.demand["b"] = {0, 1};
-  const auto quota2 = decode<QuotaRecord>(encode(quota));
-  ASSERT_TRUE(quota2) << quota2.error().message();
-  EXPECT_EQ(encode(quota), encode(*quota2));
+  const auto quota_read = decode<QuotaRecord>(encode(quota));
+  ASSERT_TRUE(quota_read) << quota_read.error().message();
+  EXPECT_EQ(encode(quota), encode(*quota_read));
   FleetRecord fleet;
   fleet.machines["n-1"] = {"1.2.3.4:5", "t", "z", true, MachineState::quarantined, 0};
   fleet.machines["n-2"] = {"", "t", "y", false, MachineState::terminated, 0};
-  const auto fleet2 = decode<FleetRecord>(encode(fleet));
-  ASSERT_TRUE(fleet2) << fleet2.error().message();
-  EXPECT_EQ(fleet.machines, fleet2->machines);
+  const auto fleet_read = decode<FleetRecord>(encode(fleet));
+  ASSERT_TRUE(fleet_read) << fleet_read.error().message();
+  EXPECT_EQ(fleet.machines, fleet_read->machines);
   EXPECT_FALSE(decode<FleetRecord>(R"({"m":{"n-1":["","t","z",1,5]}})"));
   EXPECT_FALSE(decode<FleetRecord>(R"({"m":{"n-1":["","t"]}})"));
   ShardRecord shard;
   shard.machines["n-1"] = {"1.2.3.4:5", 9, MachineState::lost, 4};
-  const auto shard2 = decode<ShardRecord>(encode(shard));
-  ASSERT_TRUE(shard2) << shard2.error().message();
-  EXPECT_EQ(shard.machines, shard2->machines);
+  const auto shard_read = decode<ShardRecord>(encode(shard));
+  ASSERT_TRUE(shard_read) << shard_read.error().message();
+  EXPECT_EQ(shard.machines, shard_read->machines);
   EXPECT_FALSE(decode<ShardRecord>(R"({"m":{"n-1":["",-1,0,1]}})"));
   const auto key = parse_shard_key(shard_key("puffin-0", 7));
   ASSERT_TRUE(key) << key.error().message();
@@ -193,7 +193,7 @@
   EXPECT_FALSE(parse_fleet_key("fleet/x"));
 }
 
-TEST(Wire, GossipMessageRoundTripAndGarbage) {
+TEST(Wire, GossipMessageRoundTripAndTruncation) {
   const std::string bytes = encode(GossipMessage{"puffin-0", "abc", 12, true, 3.5, 9, {}, {}});
   const auto read = decode<GossipMessage>(bytes);
   ASSERT_TRUE(read) << read.error().message();
@@ -204,9 +204,9 @@
   EXPECT_FALSE(decode<GossipMessage>("garbage"));
 }
 
-// ---- errors name the field that is wrong ----
+// ---- errors name the invalid field ----
 
-// What is wrong with a text that must not be readable: "field: expected ...".
+// Checks that decoding failed and returns the error, "field: expected ...".
 template <typename Value>
 std::string error_of(const Decoded<Value>& decoded) {
   EXPECT_FALSE(decoded);
@@ -254,8 +254,8 @@
   EXPECT_EQ(error_of(parse_machine_list(R"({"rigs":[]})")), "hasNext: expected true or false");
 }
 
-// The machines before one that can't be read are of use: the list is read on from there.
-TEST(Wire, MachineListIsReadAsFarAsItCanBe) {
+// The machines before an invalid entry are usable, and reading continues after the last of them.
+TEST(Wire, MachineListIsReadUpToTheFirstInvalidEntry) {
   const auto page = parse_machine_list(
       R"({"hasNext":true,"rigs":[{"id":"n-1","fleet":"g8","yard":"a","standby":false,)"
       R"("status":"starting"},{"id":"n-2","fleet":"g8","yard":"a","standby":false,)"
