--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -342,12 +342,12 @@
 
 void Controller::on_view(Ms now) {
   const auto& view = replica_.view();
-  if (cluster_view_.known() && view.epoch == cluster_view_.epoch()) return;
+  if (cluster_view_.has_view() && view.epoch == cluster_view_.epoch()) return;
   const bool views_skipped = view.epoch != cluster_view_.epoch() + 1;
   candidate_cache_.forget_all_remote();
   planner_.on_view_changed();
   cluster_view_.update(view);
-  state_client_.set_rate_sharers(static_cast<int>(std::max<std::size_t>(1, view.live.size())));
+  state_client_.set_live_controllers(static_cast<int>(std::max<std::size_t>(1, view.live.size())));
   log_view(views_skipped);
   update_shard(now, views_skipped);
   worker_links_.take_census(now);  // the shard of this controller has changed
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -122,7 +122,7 @@
   // The epoch of a view and a cancellation stay valid however old the message is. The link rows
   // describe the time of sending only, so a message that is delivered late must not be taken
   // for the peer's present state.
-  status_.see_epoch(message.epoch);
+  status_.record_epoch(message.epoch);
   cancellations_.apply(now, message.cancelled);
   const links::Moment moment_of_receipt = status_.moment(now);
   if (moment_of_receipt.wall - static_cast<Ms>(message.sent_ms) > links::kStateWordFreshMs) return;
--- a/src/fleet/cloud_inventory.cpp
+++ b/src/fleet/cloud_inventory.cpp
@@ -51,11 +51,11 @@
 }
 
 void CloudInventory::read_page(Ms /*now*/, const std::string& after) {
-  context_.call(Target::cloud, "", "GET", wire::machine_list_path(after, kMaxMachinesPerPage), "",
-                kCloudTimeoutMs,
-                [this, generation = generation_](Ms now, const HttpResult& http_result) {
-                  on_page(now, generation, http_result);
-                });
+  context_.send_request(Target::cloud, "", "GET",
+                        wire::machine_list_path(after, kMaxMachinesPerPage), "", kCloudTimeoutMs,
+                        [this, generation = generation_](Ms now, const HttpResult& http_result) {
+                          on_page(now, generation, http_result);
+                        });
 }
 
 void CloudInventory::on_page(Ms now, std::uint64_t generation, const HttpResult& http_result) {
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -123,8 +123,9 @@
 void FleetCoordinator::read_catalog(Ms now) {
   reading_catalog_ = true;
   next_catalog_read_ = now + kCatalogIntervalMs;
-  context_.call(Target::cloud, "", "GET", wire::kCatalogPath, "", kCloudTimeoutMs,
-                [this](Ms at, const HttpResult& http_result) { on_catalog(at, http_result); });
+  context_.send_request(
+      Target::cloud, "", "GET", wire::kCatalogPath, "", kCloudTimeoutMs,
+      [this](Ms at, const HttpResult& http_result) { on_catalog(at, http_result); });
 }
 
 void FleetCoordinator::on_catalog(Ms now, const HttpResult& http_result) {
@@ -327,10 +328,10 @@
   if (ids.size() > kMaxMachinesPerScaleIn) ids.resize(kMaxMachinesPerScaleIn);
   return_in_flight_ = true;
   const std::string body = wire::scale_in_body(ids);
-  context_.call(Target::cloud, "", "POST", wire::kScaleInPath, body, kCloudTimeoutMs,
-                [this, ids = std::move(ids)](Ms at, const HttpResult& http_result) {
-                  on_returned(at, ids, http_result);
-                });
+  context_.send_request(Target::cloud, "", "POST", wire::kScaleInPath, body, kCloudTimeoutMs,
+                        [this, ids = std::move(ids)](Ms at, const HttpResult& http_result) {
+                          on_returned(at, ids, http_result);
+                        });
 }
 
 void FleetCoordinator::on_returned(Ms now, const std::vector<std::string>& ids,
--- a/src/fleet/fleet_record_writer.cpp
+++ b/src/fleet/fleet_record_writer.cpp
@@ -166,7 +166,7 @@
       after_write(now);
       return;
     }
-    context_.state_client.wait_until_settled(now, after_write);
+    context_.state_client.barrier_read_with_retries(now, after_write);
   };
   context_.state_client.submit(std::move(transaction));
 }
--- a/src/fleet/scale_out_requests.cpp
+++ b/src/fleet/scale_out_requests.cpp
@@ -38,7 +38,7 @@
     const auto finish_recording = [this](Ms) { --being_recorded_count_; };
     result == TxnResult::committed
         ? finish_recording(now)
-        : context_.state_client.wait_until_settled(now, finish_recording);
+        : context_.state_client.barrier_read_with_retries(now, finish_recording);
   };
   context_.state_client.submit(std::move(transaction));
 }
@@ -59,11 +59,12 @@
 
 void ScaleOutRequests::send(const wire::ScaleOutRequest& request) {
   ++unanswered_count_;
-  context_.call(Target::cloud, "", "POST", wire::kScaleOutPath, wire::scale_out_body(request),
-                kCloudTimeoutMs, [this, request](Ms now, const HttpResult& http_result) {
-                  --unanswered_count_;
-                  on_result(now, request, http_result);
-                });
+  context_.send_request(Target::cloud, "", "POST", wire::kScaleOutPath,
+                        wire::scale_out_body(request), kCloudTimeoutMs,
+                        [this, request](Ms now, const HttpResult& http_result) {
+                          --unanswered_count_;
+                          on_result(now, request, http_result);
+                        });
 }
 
 void ScaleOutRequests::on_result(Ms now, const wire::ScaleOutRequest& request,
--- a/src/jobs/job_completion.cpp
+++ b/src/jobs/job_completion.cpp
@@ -6,7 +6,7 @@
 namespace scheduler {
 
 bool JobCompletion::has_ended(const Job& job) {
-  if (job.placed_tasks() != 0 || !job.whole()) return false;
+  if (job.placed_tasks() != 0 || !job.covers_all_tasks()) return false;
   if (job.record.cancelled) return true;
   return std::all_of(job.ranges.begin(), job.ranges.end(),
                      [](const auto& range) { return range.second.complete(); });
@@ -80,7 +80,7 @@
       jobs_to_check_.insert(id);
       return;
     }
-    context_.state_client.wait_until_settled(at, [this, id](Ms) {
+    context_.state_client.barrier_read_with_retries(at, [this, id](Ms) {
       final_state_writes_.erase(id);
       jobs_to_check_.insert(id);
     });
--- a/src/jobs/job_reader.cpp
+++ b/src/jobs/job_reader.cpp
@@ -130,7 +130,7 @@
 }
 
 wire::JobState JobReader::state_of(const Job& job) {
-  if (job.record.cancelled && job.whole() && job.placed_tasks() == 0)
+  if (job.record.cancelled && job.covers_all_tasks() && job.placed_tasks() == 0)
     return wire::JobState::cancelled;
   return job.placed_tasks() > 0 ? wire::JobState::running : wire::JobState::queued;
 }
--- a/src/membership/cluster_view.cpp
+++ b/src/membership/cluster_view.cpp
@@ -36,8 +36,9 @@
 }
 }  // namespace
 
-std::string rendezvous(std::string_view key, const std::vector<std::string>& candidates,
-                       const std::vector<double>& shares) {
+std::string pick_by_rendezvous_hash(std::string_view key,
+                                    const std::vector<std::string>& candidates,
+                                    const std::vector<double>& shares) {
   const std::string* best = nullptr;
   double best_score = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
@@ -108,14 +109,15 @@
                                               const std::string& zone) const {
   if (auto it = owner_cache_.find(machine); it != owner_cache_.end()) return it->second;
   auto local = by_zone_.find(zone);
-  return owner_cache_[machine] = local == by_zone_.end() ? rendezvous(machine, owners_, shares_)
-                                                         : rendezvous(machine, local->second);
+  return owner_cache_[machine] = local == by_zone_.end()
+                                     ? pick_by_rendezvous_hash(machine, owners_, shares_)
+                                     : pick_by_rendezvous_hash(machine, local->second);
 }
 
 std::string ClusterView::range_owner(const std::string& key, const std::string& recorded) const {
   return std::find(owners_.begin(), owners_.end(), recorded) != owners_.end()
              ? recorded
-             : rendezvous(key, owners_);
+             : pick_by_rendezvous_hash(key, owners_);
 }
 
 std::uint64_t ClusterView::token(std::uint64_t epoch, std::uint64_t fence) {
--- a/src/membership/cluster_view.h
+++ b/src/membership/cluster_view.h
@@ -18,8 +18,9 @@
 // or an empty string if there is none. With `shares`, each candidate gets keys in proportion to its
 // share. `shares` is empty, or has one entry for each candidate of which at least one is above
 // zero.
-std::string rendezvous(std::string_view key, const std::vector<std::string>& candidates,
-                       const std::vector<double>& shares = {});
+std::string pick_by_rendezvous_hash(std::string_view key,
+                                    const std::vector<std::string>& candidates,
+                                    const std::vector<double>& shares = {});
 
 class ClusterView {
  public:
@@ -27,7 +28,7 @@
 
   void update(const wire::ViewRecord& view);
   // Whether any view has been read.
-  bool known() const { return known_; }
+  bool has_view() const { return known_; }
   std::uint64_t epoch() const { return epoch_; }
   const std::vector<std::string>& live() const { return live_; }
   // Live controllers that may own machines and ranges.
@@ -41,7 +42,9 @@
   const std::string& machine_owner(const std::string& machine, const std::string& zone) const;
   // A range stays with the recorded controller as long as that one may own ranges.
   std::string range_owner(const std::string& key, const std::string& recorded) const;
-  std::string leader_of(std::string_view duty) const { return rendezvous(duty, live_); }
+  std::string leader_of(std::string_view duty) const {
+    return pick_by_rendezvous_hash(duty, live_);
+  }
 
   static std::uint64_t token(std::uint64_t epoch, std::uint64_t fence);
   static std::uint64_t epoch_of(std::uint64_t token);
--- a/src/membership/context.h
+++ b/src/membership/context.h
@@ -31,7 +31,7 @@
   const ClusterView& cluster_view;
   // Identifies this run of the program; unique among all runs of all controllers.
   const std::string& incarnation;
-  StateClient::Send call;
+  StateClient::Send send_request;
   StateClient::Log log;
   // Whether transactions may be submitted: this controller is in the view, is resynchronised after
   // a process pause, and the state service answers.
--- a/src/membership/controller_status.cpp
+++ b/src/membership/controller_status.cpp
@@ -21,7 +21,7 @@
 }
 
 bool ControllerStatus::ready() const {
-  return context_.state_client.loaded() && context_.cluster_view.known() && context_.is_member();
+  return context_.state_client.loaded() && context_.cluster_view.has_view() && context_.is_member();
 }
 
 bool ControllerStatus::deposed(Ms now) const {
--- a/src/membership/controller_status.h
+++ b/src/membership/controller_status.h
@@ -61,7 +61,9 @@
 
   // ---- epochs ----
   // Records an epoch named in a heartbeat or a gossip message.
-  void see_epoch(std::uint64_t epoch) { newest_epoch_seen_ = std::max(newest_epoch_seen_, epoch); }
+  void record_epoch(std::uint64_t epoch) {
+    newest_epoch_seen_ = std::max(newest_epoch_seen_, epoch);
+  }
   [[nodiscard]] std::uint64_t newest_epoch_seen() const { return newest_epoch_seen_; }
 
  private:
--- a/src/membership/format_switch.cpp
+++ b/src/membership/format_switch.cpp
@@ -62,7 +62,7 @@
                                        "; services are accepted");
       return;
     }
-    context_.state_client.wait_until_settled(at, [this](Ms) { write_in_flight_ = false; });
+    context_.state_client.barrier_read_with_retries(at, [this](Ms) { write_in_flight_ = false; });
   };
   context_.state_client.submit(std::move(*transaction));
 }
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -83,7 +83,7 @@
       on_joined_(at);
       return;
     }
-    context_.state_client.wait_until_settled(at, [this](Ms) { joining_ = false; });
+    context_.state_client.barrier_read_with_retries(at, [this](Ms) { joining_ = false; });
   };
   state_client.submit(std::move(transaction));
 }
@@ -108,7 +108,7 @@
       acknowledging_ = false;
       return;
     }
-    context_.state_client.wait_until_settled(at, [this](Ms) { acknowledging_ = false; });
+    context_.state_client.barrier_read_with_retries(at, [this](Ms) { acknowledging_ = false; });
   };
   state_client.submit(std::move(transaction));
 }
@@ -155,7 +155,7 @@
   transaction.writes = {{std::string(wire::kViewKey), encode(next_view), std::nullopt}};
   transaction.urgent = true;
   transaction.done = [this](Ms at, TxnResult, const auto&) {
-    context_.state_client.wait_until_settled(at, [this](Ms) { removing_ = false; });
+    context_.state_client.barrier_read_with_retries(at, [this](Ms) { removing_ = false; });
   };
   context_.state_client.submit(std::move(transaction));
 }
--- a/src/quota/quota_manager.cpp
+++ b/src/quota/quota_manager.cpp
@@ -142,7 +142,7 @@
     // the lease until the record has been written again.
     const bool may_be_applied =
         result == TxnResult::unknown || (result == TxnResult::refused && was_uncertain);
-    context_.state_client.wait_until_settled(at, [this, team, may_be_applied](Ms) {
+    context_.state_client.barrier_read_with_retries(at, [this, team, may_be_applied](Ms) {
       if (may_be_applied) {
         uncertain_writes_.insert(team);
       } else {
--- a/src/scheduling/range_planner.cpp
+++ b/src/scheduling/range_planner.cpp
@@ -115,7 +115,7 @@
   ShardCapacities shards = shard_capacities(spec);
   const bool keep_whole = spec.is_gang() || spec.one_zone || spec.spread;
   const std::string preferred_owner =
-      rendezvous(wire::job_key(spec.id), context_.cluster_view.owners());
+      pick_by_rendezvous_hash(wire::job_key(spec.id), context_.cluster_view.owners());
   // A step is several tasks, because every shard that gets tasks of the job writes records for as
   // long as they run.
   double fleet_capacity = 0;
--- a/src/scheduling/range_writer.cpp
+++ b/src/scheduling/range_writer.cpp
@@ -207,7 +207,7 @@
     context_.log(LogLevel::info, key + " does not fit the state service's limits yet");
     candidate_cache_.clear_pending_placements(state);
     state.stop_requested = stop;
-    state.retry_at = status_.last_input_at() + kRejectedPauseMs;
+    state.retry_at = status_.last_input_at() + kRejectedRetryDelayMs;
     return;
   }
   context_.log(LogLevel::debug, "writing " + key + " stamp " +
@@ -242,10 +242,10 @@
   }
   if (not_executed) {
     state.write_in_progress = false;
-    state.retry_at = now + kRefusedRetryMs;
+    state.retry_at = now + kRefusedRetryDelayMs;
     return;
   }
-  context_.state_client.wait_until_settled(now, [this, id, result](Ms) {
+  context_.state_client.barrier_read_with_retries(now, [this, id, result](Ms) {
     auto current = ranges_.find(id);
     if (current != ranges_.end()) {
       // Guards against a conflict caused by a retry of this write after its first attempt was
--- a/src/scheduling/work_stealing.cpp
+++ b/src/scheduling/work_stealing.cpp
@@ -21,7 +21,7 @@
 bool WorkStealing::may_steal(Ms now, const std::string& id, const Job& job) const {
   const wire::JobSpec& spec = job.record.spec;
   return job.known && !job.record.cancelled && !spec.is_gang() && !spec.one_zone && !spec.spread &&
-         job.done_tasks() + job.placed_tasks() < spec.tasks && job.whole() &&
+         job.done_tasks() + job.placed_tasks() < spec.tasks && job.covers_all_tasks() &&
          failure_tracker_.next_attempt_at(id) <= now;
 }
 
@@ -138,7 +138,7 @@
     if (result == TxnResult::committed) {
       release(at);
     } else {
-      context_.state_client.wait_until_settled(at, release);
+      context_.state_client.barrier_read_with_retries(at, release);
     }
   };
   context_.state_client.submit(std::move(transaction));
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-bool Job::whole() const {
+bool Job::covers_all_tasks() const {
   if (!known) return false;
   std::uint64_t covered_tasks = 0;
   for (const auto& [number, r] : ranges) covered_tasks += r.end - r.begin;
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -33,7 +33,7 @@
   [[nodiscard]] std::uint64_t done_tasks() const { return done; }
   [[nodiscard]] std::uint64_t placed_tasks() const { return placed; }
   // Whether the job's record is known and its ranges in the replica cover every task.
-  [[nodiscard]] bool whole() const;
+  [[nodiscard]] bool covers_all_tasks() const;
 };
 
 // This controller's replica of the stored records. It changes only by apply(), one record at a time
--- a/src/state/state_client.h
+++ b/src/state/state_client.h
@@ -82,7 +82,7 @@
   // Whether no transaction waits and enough of the write rate is left for background writes.
   bool has_write_headroom(Ms now) const { return transactions_.has_write_headroom(now); }
   // Sets the number of live controllers, which share the service's rates.
-  void set_rate_sharers(int controllers) { rates_.set_live_controllers(controllers); }
+  void set_live_controllers(int controllers) { rates_.set_live_controllers(controllers); }
 
   // Barrier read: calls `done` with true once the replica holds everything written before this
   // call, or with false if it fails or at `deadline` (0: no deadline).
@@ -91,7 +91,7 @@
   }
   // To be called after a write that did not succeed: calls `done` once the replica holds everything
   // written before this call, including what was written instead. Retries without a limit.
-  void wait_until_settled(Ms now, std::function<void(Ms now)> done) {
+  void barrier_read_with_retries(Ms now, std::function<void(Ms now)> done) {
     barriers_.read_with_retries(now, std::move(done));
   }
   // Calls `done` with true once the replica holds every change up to the revision, or with false at
--- a/src/state/transaction.h
+++ b/src/state/transaction.h
@@ -13,10 +13,10 @@
 
 // Milliseconds before a refused write is retried. Outages of the service are either over within a
 // moment or last long.
-constexpr std::int64_t kRefusedRetryMs = 250;
+constexpr std::int64_t kRefusedRetryDelayMs = 250;
 // Milliseconds before a rejection for size is reported to the submitter, and before a change that
 // is too large is retried. A retry can only succeed once the change has become smaller.
-constexpr std::int64_t kRejectedPauseMs = 5000;
+constexpr std::int64_t kRejectedRetryDelayMs = 5000;
 
 enum class TxnResult : std::uint8_t {
   committed,
--- a/src/state/transaction_queue.cpp
+++ b/src/state/transaction_queue.cpp
@@ -261,7 +261,7 @@
     transaction.done(now, TxnResult::rejected, {});
     return;
   }
-  rejected_.push_back({now + kRejectedPauseMs, std::move(transaction)});
+  rejected_.push_back({now + kRejectedRetryDelayMs, std::move(transaction)});
 }
 
 void TransactionQueue::release_rejected(Ms now) {
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -219,10 +219,11 @@
       return;
     sent.relayed = false;
   }
-  context_.call(Target::worker, machine.address, "POST", wire::kCommandsPath, std::move(body),
-                kCommandTimeoutMs, [this, sent](Ms at, const HttpResult& http_result) {
-                  on_command_result(at, sent, http_result);
-                });
+  context_.send_request(Target::worker, machine.address, "POST", wire::kCommandsPath,
+                        std::move(body), kCommandTimeoutMs,
+                        [this, sent](Ms at, const HttpResult& http_result) {
+                          on_command_result(at, sent, http_result);
+                        });
 }
 
 void CommandDispatcher::on_command_result(Ms now, const SentCommands& sent,
--- a/src/workers/heartbeat_endpoint.cpp
+++ b/src/workers/heartbeat_endpoint.cpp
@@ -8,14 +8,14 @@
 
 bool HeartbeatEndpoint::accepts(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat,
                                 const std::string& body) {
-  if (!context_.state_client.loaded() || !context_.cluster_view.known() || status_.deposed(now) ||
-      status_.resynchronising(now)) {
+  if (!context_.state_client.loaded() || !context_.cluster_view.has_view() ||
+      status_.deposed(now) || status_.resynchronising(now)) {
     context_.reply_unavailable(request, kRetryAfterS);
     return false;
   }
   if (ClusterView::epoch_of(heartbeat.token) > context_.cluster_view.epoch()) {
     // Some controller acts on a newer view than this one has read.
-    status_.see_epoch(ClusterView::epoch_of(heartbeat.token));
+    status_.record_epoch(ClusterView::epoch_of(heartbeat.token));
     context_.reply_unavailable(request, kRetryAfterS);
     return false;
   }
--- a/src/workers/relay.cpp
+++ b/src/workers/relay.cpp
@@ -108,14 +108,14 @@
 void Relay::relay_command(const wire::RelayRequest& request) {
   if (commands_in_flight_ >= context_.capacity.direct_messages) return;
   ++commands_in_flight_;
-  context_.call(Target::worker, request.address, "POST", wire::kCommandsPath, request.body,
-                kRelayedWorkerTimeoutMs,
-                [this, peer_request = PeerRequest{request.from, request.id}](
-                    Ms, const HttpResult& http_result) {
-                  --commands_in_flight_;
-                  if (http_result.status != kNoReply)
-                    reply_to_peer(peer_request, http_result.status, http_result.body);
-                });
+  context_.send_request(Target::worker, request.address, "POST", wire::kCommandsPath, request.body,
+                        kRelayedWorkerTimeoutMs,
+                        [this, peer_request = PeerRequest{request.from, request.id}](
+                            Ms, const HttpResult& http_result) {
+                          --commands_in_flight_;
+                          if (http_result.status != kNoReply)
+                            reply_to_peer(peer_request, http_result.status, http_result.body);
+                        });
 }
 
 void Relay::reply_to_peer(const PeerRequest& peer_request, int status, std::string body) {
--- a/src/workers/shard_reachability.cpp
+++ b/src/workers/shard_reachability.cpp
@@ -78,7 +78,7 @@
   transaction.writes = {{std::string(wire::kViewKey), encode(next), std::nullopt}};
   transaction.urgent = true;
   transaction.done = [this](Ms at, TxnResult, const auto&) {
-    context_.state_client.wait_until_settled(at, [this](Ms) { write_in_flight_ = false; });
+    context_.state_client.barrier_read_with_retries(at, [this](Ms) { write_in_flight_ = false; });
   };
   context_.state_client.submit(std::move(transaction));
 }
--- a/src/workers/shard_record_writer.cpp
+++ b/src/workers/shard_record_writer.cpp
@@ -94,7 +94,7 @@
   };
   transaction.done = [this, release](Ms at, TxnResult result, const auto&) {
     result == TxnResult::committed ? release(at)
-                                   : context_.state_client.wait_until_settled(at, release);
+                                   : context_.state_client.barrier_read_with_retries(at, release);
   };
   context_.state_client.submit(std::move(transaction));
 }
@@ -184,10 +184,10 @@
     if (!write.pending.empty() && write.due == 0) write.due = now + kContactWriteDelayMs;
     return;
   }
-  context_.state_client.wait_until_settled(now, [this, group](Ms then) {
+  context_.state_client.barrier_read_with_retries(now, [this, group](Ms then) {
     ShardWrite& shard_write = shard_writes_[group];
     shard_write.busy = false;
-    shard_write.due = then + kRefusedRetryMs;
+    shard_write.due = then + kRefusedRetryDelayMs;
   });
 }
 
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -49,7 +49,7 @@
   auto round = std::make_shared<ProbeRound>();
   round->pending = addresses.size();
   for (const auto& address : addresses) {
-    context_.call(
+    context_.send_request(
         Target::worker, address, "GET", wire::kStatusPath, "", links::kProbeTimeoutMs,
         [this, round, done, pauses = status_.pauses()](Ms at, const HttpResult& http_result) {
           --round->pending;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -60,7 +60,7 @@
 
 TEST_F(ControllerStatusTest, IsDeposedByANewerEpochWhoseViewItCantRead) {
   run(1000, [](Ms) {});
-  status_.see_epoch(2);
+  status_.record_epoch(2);
   EXPECT_FALSE(status_.deposed(now_)) << "the watch will bring the view";
   state_client_.on_pause(now_);
   EXPECT_TRUE(status_.deposed(now_));
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -362,7 +362,7 @@
   run(1000);
   replies_are_lost_ = true;
   bool settled = false;
-  client_.wait_until_settled(now_, [&](Ms) { settled = true; });
+  client_.barrier_read_with_retries(now_, [&](Ms) { settled = true; });
   run(5000);
   EXPECT_FALSE(settled);
   replies_are_lost_ = false;
@@ -442,7 +442,7 @@
   client_.submit(write("job/a"));
   run(100);
   EXPECT_EQ(result("job/a"), TxnResult::committed);
-  run(kRejectedPauseMs - 300);
+  run(kRejectedRetryDelayMs - 300);
   EXPECT_EQ(result("job/large"), std::nullopt);
   run(600);
   EXPECT_EQ(result("job/large"), TxnResult::rejected);
@@ -466,7 +466,7 @@
   EXPECT_EQ(result("job/a"), TxnResult::committed);
   EXPECT_EQ(result("job/large"), std::nullopt);
   EXPECT_EQ(client_.rejections(), 2U);  // once for the group, once for the transaction alone
-  run(kRejectedPauseMs);
+  run(kRejectedRetryDelayMs);
   EXPECT_EQ(result("job/large"), TxnResult::rejected);
 }
 
