--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -159,7 +159,7 @@
   return sum;
 }
 
-bool YieldMemory::leave_to_collector(bool yields, const std::string& collector) {
+bool YieldTracker::leave_to_collector(bool yields, const std::string& collector) {
   if (yields) {
     yielded_to_ = collector;
     return false;
@@ -187,8 +187,8 @@
 
 bool has_quota_limit(const Team& team) { return team.cpus_max > 0 || team.gpus_max > 0; }
 
-bool within_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
-                  const wire::QuotaRecord::Amount& used, double cpus, double gpus) {
+bool fits_in_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
+                   const wire::QuotaRecord::Amount& used, double cpus, double gpus) {
   auto it = record.leases.find(self);
   const Amount lease_size = it == record.leases.end() ? Amount{} : it->second;
   if (team.cpus_max > 0 && used.cpus + cpus > lease_size.cpus + kAmountSlack) return false;
--- a/src/quota/quota_leases.h
+++ b/src/quota/quota_leases.h
@@ -13,12 +13,12 @@
 namespace scheduler {
 
 // Milliseconds between checks of the quota leases.
-constexpr std::int64_t kQuotaCheckMs = 100;
-// kQuotaStuckMs: milliseconds for which the unused part of a shard's lease must have been too small
-// for any of its waiting work before the shard gives that part up to the controller whose turn it
-// is to collect. kQuotaTurnMs: milliseconds of a turn, long enough to collect leases and start the
-// work.
-constexpr std::int64_t kQuotaStuckMs = 2000;
+constexpr std::int64_t kQuotaCheckIntervalMs = 100;
+// kQuotaYieldDelayMs: milliseconds for which the unused part of a shard's lease must have been too
+// small for any of its waiting work before the shard gives that part up to the controller whose
+// turn it is to collect. kQuotaTurnMs: milliseconds of a turn, long enough to collect leases and
+// start the work.
+constexpr std::int64_t kQuotaYieldDelayMs = 2000;
 constexpr std::int64_t kQuotaTurnMs = 8000;
 
 struct QuotaLeaseInput {
@@ -40,7 +40,7 @@
 };
 
 // Remembers the controller for which the unused part of a lease was given up.
-class YieldMemory {
+class YieldTracker {
  public:
   // Called at each check of the leases. `yields`: the lease is given up now; `collector`: the
   // controller whose turn it is. Returns true while capacity that was given up before must be left
@@ -57,8 +57,8 @@
                             Ms wall);
 bool has_quota_limit(const Team& team);
 // True if the lease of `self` has capacity for the additional cpus and gpus.
-bool within_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
-                  const wire::QuotaRecord::Amount& used, double cpus, double gpus);
+bool fits_in_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
+                   const wire::QuotaRecord::Amount& used, double cpus, double gpus);
 // Returns what the services of other live controllers lack; this goes before all other work of the
 // team.
 wire::QuotaRecord::Amount service_demand_of_others(const wire::QuotaRecord& record,
--- a/src/quota/quota_manager.cpp
+++ b/src/quota/quota_manager.cpp
@@ -29,8 +29,8 @@
     used_or_reserved.cpus += reserve.cpus + others_services.cpus;
     used_or_reserved.gpus += reserve.gpus + others_services.gpus;
   }
-  return within_lease(*team, record->second, context_.settings.name, used_or_reserved, spec.cpus,
-                      spec.gpus);
+  return fits_in_lease(*team, record->second, context_.settings.name, used_or_reserved, spec.cpus,
+                       spec.gpus);
 }
 
 void QuotaManager::add_demand(const wire::JobSpec& spec, std::uint32_t tasks) {
@@ -52,7 +52,7 @@
 
 void QuotaManager::tick(Ms now) {
   if (!context_.can_write(now) || now < next_check_) return;
-  next_check_ = now + kQuotaCheckMs;
+  next_check_ = now + kQuotaCheckIntervalMs;
   for (const Team& team : context_.settings.teams) {
     const bool settled = !write_in_flight(team.name) || uncertain_writes_.contains(team.name);
     if (has_quota_limit(team) && settled) update_team(now, team);
@@ -72,7 +72,7 @@
   Ms& since = stuck_since_[team];
   if (!stuck) since = 0;
   if (stuck && since == 0) since = now;
-  return stuck && now - since > kQuotaStuckMs && !collector.empty() &&
+  return stuck && now - since > kQuotaYieldDelayMs && !collector.empty() &&
          collector != context_.settings.name;
 }
 
@@ -99,7 +99,7 @@
                       lease->second.gpus > used.gpus + kAmountSlack);
   const std::string collector = quota_collector(record, input.live, status_.wall(now));
   input.yield = must_yield(now, team.name, stuck, collector);
-  input.leave_to_collector = yield_memory_[team.name].leave_to_collector(input.yield, collector);
+  input.leave_to_collector = yield_trackers_[team.name].leave_to_collector(input.yield, collector);
   if (!input.yield) {
     // Guards against giving up capacity that this shard's services need for restarts. While
     // yielding, the reserve is given up as well: the remainder is too small for any of the
--- a/src/quota/quota_manager.h
+++ b/src/quota/quota_manager.h
@@ -67,7 +67,7 @@
   std::set<std::string> uncertain_writes_;  // in flight until written again
   std::map<std::string, wire::QuotaRecord::Amount> demand_;
   std::map<std::string, Ms> stuck_since_;  // lease too small for any waiting work
-  std::map<std::string, YieldMemory> yield_memory_;
+  std::map<std::string, YieldTracker> yield_trackers_;
 };
 
 }  // namespace scheduler
--- a/src/scheduling/candidate_cache.h
+++ b/src/scheduling/candidate_cache.h
@@ -27,8 +27,8 @@
   // need them.
   void add_remote_candidates(SchedulingPass& pass);
   // Drops the cached candidate of another shard's machine after its state has changed.
-  void forget_remote(const std::string& machine) { remote_candidates_.erase(machine); }
-  void forget_all_remote() { remote_candidates_.clear(); }
+  void drop_remote_candidate(const std::string& machine) { remote_candidates_.erase(machine); }
+  void drop_all_remote_candidates() { remote_candidates_.clear(); }
 
   // Reserves or releases resources on a machine for a placement whose record is being written.
   void reserve(const std::string& machine, const Resources& resources);
--- a/src/scheduling/pending_order.cpp
+++ b/src/scheduling/pending_order.cpp
@@ -23,7 +23,7 @@
         objective_(jobs.size(), 0),
         slot_(jobs.size(), 0) {
     for (std::size_t job = 0; job < jobs.size(); ++job)
-      if (jobs[job].latest_starts.empty()) timeliness_[job] = Timeliness::misses_every_objective;
+      if (jobs[job].latest_starts_s.empty()) timeliness_[job] = Timeliness::misses_every_objective;
   }
 
   std::vector<std::size_t> positions() {
@@ -47,7 +47,7 @@
 
   // Seconds from now by which the job's tasks must have started to meet its current objective.
   [[nodiscard]] double due_s(std::size_t job) const {
-    return jobs_[job].latest_starts[objective_[job]];
+    return jobs_[job].latest_starts_s[objective_[job]];
   }
 
   [[nodiscard]] std::vector<std::size_t> jobs_in_time() const {
@@ -93,7 +93,7 @@
   }
 
   void defer(std::size_t job) {
-    if (++objective_[job] < jobs_[job].latest_starts.size()) return;
+    if (++objective_[job] < jobs_[job].latest_starts_s.size()) return;
     objective_[job] = 0;
     timeliness_[job] = Timeliness::late;
   }
@@ -138,7 +138,7 @@
     const bool y_misses = timeliness_[b] == Timeliness::misses_every_objective;
     if (x_misses != y_misses) return y_misses;
     if (x.priority != y.priority) return x.priority > y.priority;
-    if (x_misses) return x.age != y.age ? x.age > y.age : a < b;
+    if (x_misses) return x.age_s != y.age_s ? x.age_s > y.age_s : a < b;
     if (timeliness_[a] != timeliness_[b]) return timeliness_[a] < timeliness_[b];
     if (timeliness_[a] == Timeliness::in_time) return slot_[a] < slot_[b];
     return x.work != y.work ? x.work < y.work : a < b;
@@ -154,7 +154,7 @@
 }  // namespace
 
 std::vector<std::size_t> order_by_deadline(const std::vector<PendingJob>& jobs, double cpus) {
-  return DeadlineOrder(jobs, std::max(cpus * kForecastShare, 1.0)).positions();
+  return DeadlineOrder(jobs, std::max(cpus * kForecastCpuShare, 1.0)).positions();
 }
 
 }  // namespace scheduler
--- a/src/scheduling/pending_order.h
+++ b/src/scheduling/pending_order.h
@@ -9,16 +9,16 @@
 
 // Share of the fleet's CPUs that is assumed to be available when the start of waiting work is
 // forecast; image fetches, lost tasks and wrong estimates take up the rest.
-constexpr double kForecastShare = 0.65;
+constexpr double kForecastCpuShare = 0.65;
 
 // A job with tasks that wait for capacity.
 struct PendingJob {
-  int priority = 0;                   // higher values first; forecasts count their work first
-  double work = 0;                    // CPU seconds of tasks not yet placed, by the estimate
-  double weight = 1;                  // cost of one late job of this class
-  double age = 0;                     // seconds
-  std::vector<double> latest_starts;  // seconds from now, ascending: the latest start of all tasks
-                                      // for each objective that can still be met
+  int priority = 0;                     // higher values first; forecasts count their work first
+  double work = 0;                      // CPU seconds of tasks not yet placed, by the estimate
+  double weight = 1;                    // cost of one late job of this class
+  double age_s = 0;                     // seconds
+  std::vector<double> latest_starts_s;  // seconds from now, ascending: the latest start of all
+                                        // tasks for each objective that can still be met
 };
 
 // Returns the position of each job in the order, starting at 0. Jobs of equal priority are ordered
--- a/src/scheduling/range_planner.cpp
+++ b/src/scheduling/range_planner.cpp
@@ -144,7 +144,7 @@
   const auto max_replicas = static_cast<std::uint32_t>(max_placements(0));
   const std::uint32_t max_range_tasks =
       spec.is_service() ? max_replicas
-                        : tasks_per_range(static_cast<std::size_t>(context_.value_bytes()));
+                        : max_tasks_per_range(static_cast<std::size_t>(context_.value_bytes()));
   std::vector<wire::JobRecord::Share> out;
   std::uint32_t begin = 0;
   for (const auto& [name, tasks] : tasks_by_owner) {
--- a/src/scheduling/range_split.cpp
+++ b/src/scheduling/range_split.cpp
@@ -66,7 +66,7 @@
   return pieces;
 }
 
-std::uint32_t tasks_per_range(std::size_t limit_bytes) {
+std::uint32_t max_tasks_per_range(std::size_t limit_bytes) {
   constexpr std::size_t kTasksPerHexDigit = 4;
   const auto by_value = static_cast<std::uint32_t>(
       static_cast<double>(limit_bytes * kTasksPerHexDigit) * kCompletionBitmapShare);
--- a/src/scheduling/range_split.h
+++ b/src/scheduling/range_split.h
@@ -17,6 +17,6 @@
 
 // Maximum number of tasks of one range, chosen so that completion marks leave most of the value to
 // placements while the largest jobs still have few ranges.
-std::uint32_t tasks_per_range(std::size_t limit_bytes);
+std::uint32_t max_tasks_per_range(std::size_t limit_bytes);
 
 }  // namespace scheduler
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -185,9 +185,9 @@
     // Prevents starvation: a job that has waited this long without a started task gets its first
     // tasks now, and is then served in its normal position.
     const bool started = entry.job->done_tasks() + entry.job->placed_tasks() > 0;
-    entry.priority.in_normal_order = pending.age < kUnstartedJobAgeS || started;
+    entry.priority.in_normal_order = pending.age_s < kUnstartedJobAgeS || started;
     if (old_first && entry.is_old) entry.priority.in_normal_order = false;
-    entry.priority.misses_every_objective = pending.latest_starts.empty();
+    entry.priority.misses_every_objective = pending.latest_starts_s.empty();
     entry.priority.queue_position = positions[entry.pending_job];
   }
   std::sort(work.entries.begin(), work.entries.end(),
--- a/src/scheduling/start_deadlines.cpp
+++ b/src/scheduling/start_deadlines.cpp
@@ -50,11 +50,11 @@
 PendingJob pending_job(const Settings& settings, const Job& job, double age_s) {
   const wire::JobSpec& spec = job.record.spec;
   PendingJob pending;
-  pending.age = age_s;
+  pending.age_s = age_s;
   pending.work = waiting_work(job);
   if (spec.is_service()) {
     // Every second without a replica counts, regardless of the job's age.
-    pending.latest_starts.push_back(0);
+    pending.latest_starts_s.push_back(0);
     pending.priority = static_cast<int>(spec.priority);
     return pending;
   }
@@ -66,12 +66,12 @@
     has_completion_objective = has_completion_objective || completion;
     const std::optional<double> latest_s = latest_start_s(objective, spec);
     if (!latest_s || *latest_s - age_s < 0) continue;
-    pending.latest_starts.push_back(*latest_s - age_s);
+    pending.latest_starts_s.push_back(*latest_s - age_s);
     completion_objective_open = completion_objective_open || completion;
   }
   if (!has_completion_objective)
-    pending.latest_starts.push_back(std::max(0.0, kDefaultHorizonS - spec.estimate_s - age_s));
-  std::sort(pending.latest_starts.begin(), pending.latest_starts.end());
+    pending.latest_starts_s.push_back(std::max(0.0, kDefaultHorizonS - spec.estimate_s - age_s));
+  std::sort(pending.latest_starts_s.begin(), pending.latest_starts_s.end());
   // While its class has a completion objective that can be met, a low-priority job shares one queue
   // with standard work (docs/design.md). It still preempts nothing and may be preempted.
   const wire::Priority priority =
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -136,7 +136,7 @@
   record.demand = {{"a", {12, 0}}, {"b", {5, 0}}, {"c", {3, 0}}, {"gone", {9, 0}}};
   std::map<std::string, double> used;
   std::map<std::string, double> started;
-  for (Ms wall = 0; wall < 20 * kQuotaTurnMs; wall += kQuotaCheckMs) {
+  for (Ms wall = 0; wall < 20 * kQuotaTurnMs; wall += kQuotaCheckIntervalMs) {
     for (const auto& who : live) {
       QuotaLeaseInput in;
       in.team = &team;
@@ -149,7 +149,7 @@
       double granted = 0;
       for (const auto& [n, g] : record.leases) granted += g.cpus;
       ASSERT_LE(granted, 40 + 1e-6);
-      if (used[who] == 0 && within_lease(team, record, who, {0, 0}, 20, 0)) {
+      if (used[who] == 0 && fits_in_lease(team, record, who, {0, 0}, 20, 0)) {
         used[who] = 20;
         ++started[who];
       } else if (wall % kQuotaTurnMs == 0) {
@@ -166,7 +166,7 @@
   struct Part {
     std::string name;
     double replica, lacking, used;  // CPUs
-    YieldMemory memory;
+    YieldTracker memory;
     Ms stuck_since = 0;
   };
   const Team team{"t", 0, 40, 0, 0};
@@ -185,7 +185,7 @@
     in.live = {"a", "b", "c"};
     for (const auto& p : parts) in.used[p.name] = {p.used, 0};
     in.need.cpus = part.lacking;
-    in.yield = wall - part.stuck_since > kQuotaStuckMs && turn != part.name;
+    in.yield = wall - part.stuck_since > kQuotaYieldDelayMs && turn != part.name;
     in.leave_to_collector = part.memory.leave_to_collector(in.yield, turn);
     if (!in.yield) {
       in.used[part.name].cpus += part.lacking;
@@ -194,7 +194,7 @@
     }
     return next_quota_record(in, seen);
   };
-  for (Ms wall = 0; wall < 20'000 && started_at == 0; wall += kQuotaCheckMs) {
+  for (Ms wall = 0; wall < 20'000 && started_at == 0; wall += kQuotaCheckIntervalMs) {
     // Each knows the record as of the round before and its own write; of concurrent writes only the
     // first succeeds.
     const wire::QuotaRecord seen = record;
@@ -235,7 +235,7 @@
     for (const auto& [n, g] : record.leases) granted += g.cpus;
     ASSERT_LE(granted, 100 + 1e-6);
     const double task = 1 + random(8);
-    if (within_lease(team, record, who, {used[who], 0}, task, 0)) {
+    if (fits_in_lease(team, record, who, {used[who], 0}, task, 0)) {
       used[who] += task;
       got_after_wait = got_after_wait || waited;
     } else {
@@ -266,17 +266,18 @@
   EXPECT_FALSE(h.failed(2000, "m1", "req-000010"));  // the faulty job's errors do not count
 }
 
-PendingJob waits(double work, std::vector<double> latest_starts, int priority = 1, double age = 0) {
+PendingJob waits(double work, std::vector<double> latest_starts_s, int priority = 1,
+                 double age_s = 0) {
   PendingJob w;
   w.work = work;
-  w.latest_starts = std::move(latest_starts);
+  w.latest_starts_s = std::move(latest_starts_s);
   w.priority = priority;
-  w.age = age;
+  w.age_s = age_s;
   return w;
 }
 
 // CPUs with which the forecast counts on one CPU second a second.
-constexpr double kOneCpu = 1.0 / kForecastShare;
+constexpr double kOneCpu = 1.0 / kForecastCpuShare;
 
 TEST(DeadlineOrder, DefersTheLargestWhenDeadlinesConflict) {
   // Due after 10, 11 and 12 s; 4 + 9 + 4 s of work: without the one of 9 the others are in time.
--- a/tests/record_split_test.cpp
+++ b/tests/record_split_test.cpp
@@ -65,7 +65,7 @@
 
 TEST(RangeSplit, TheLargestJobHasAtMost28Ranges) {
   for (const std::size_t kilobytes : {2, 4, 8, 16}) {
-    const std::uint32_t tasks = tasks_per_range(kilobytes * 1024);
+    const std::uint32_t tasks = max_tasks_per_range(kilobytes * 1024);
     EXPECT_LE((wire::kMaxTasksPerJob + tasks - 1) / tasks, 28U) << kilobytes;
     EXPECT_LE(encode(large_range(tasks, 0)).size(), kilobytes * 1024) << kilobytes;
   }
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -74,9 +74,9 @@
   EXPECT_FALSE(is_urgent(settings, spec, 20));  // first objective missed; the next is at 60 s
   EXPECT_TRUE(is_urgent(settings, spec, 55));
   EXPECT_FALSE(is_urgent(settings, spec, 70));  // no objective can be met any more
-  EXPECT_EQ(pending_job(settings, job, 1).latest_starts, (std::vector<double>{9, 59}));
-  EXPECT_EQ(pending_job(settings, job, 20).latest_starts, (std::vector<double>{40}));
-  EXPECT_TRUE(pending_job(settings, job, 70).latest_starts.empty());
+  EXPECT_EQ(pending_job(settings, job, 1).latest_starts_s, (std::vector<double>{9, 59}));
+  EXPECT_EQ(pending_job(settings, job, 20).latest_starts_s, (std::vector<double>{40}));
+  EXPECT_TRUE(pending_job(settings, job, 70).latest_starts_s.empty());
 }
 
 TEST(StartDeadlines, LowWorkIsRaisedOnlyWhileACompletionObjectiveIsOpen) {
