--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -51,7 +51,7 @@
       message.free_cpus += std::max(0.0, candidate_cache_.candidate(now, machine).free.cpus);
   }
   message.sent_ms = static_cast<std::uint64_t>(status_.wall(now));
-  message.links = links_.rows_to_spread(status_.moment(now));
+  message.links = links_.rows_to_gossip(status_.moment(now));
   // The state service answers, but this controller has not read all its records yet or has not
   // resynchronised after a pause.
   if (!message.state_answers && message.links.front().state == links::Status::up)
@@ -77,7 +77,7 @@
 std::vector<std::string> Gossip::recent_cancellations(Ms now) {
   std::erase_if(cancelled_at_,
                 [now](const auto& c) { return now - c.second > kGossipCancellationMaxAgeMs; });
-  const auto rows = links_.matrix().fresh(status_.wall(now), links::kStateWordFreshMs);
+  const auto rows = links_.matrix().fresh(status_.wall(now), links::kStateRowMaxAgeMs);
   const bool some_peer_without_state = std::any_of(rows.begin(), rows.end(), [](const auto* entry) {
     return entry->row.state == links::Status::down;
   });
@@ -125,8 +125,8 @@
   status_.record_epoch(message.epoch);
   cancellations_.apply(now, message.cancelled);
   const links::Moment moment_of_receipt = status_.moment(now);
-  if (moment_of_receipt.wall - static_cast<Ms>(message.sent_ms) > links::kStateWordFreshMs) return;
-  links_.peer_heard(now, message.from);
+  if (moment_of_receipt.wall - static_cast<Ms>(message.sent_ms) > links::kStateRowMaxAgeMs) return;
+  links_.on_peer_message(now, message.from);
   if (message.links.empty()) links_.merge(moment_of_receipt, row_without_links(message));
   for (const auto& row : message.links) links_.merge(moment_of_receipt, row);
 }
--- a/src/links/constants.h
+++ b/src/links/constants.h
@@ -66,7 +66,7 @@
 constexpr std::int64_t kRowStableMs = 1000;
 // Maximum age in milliseconds of another controller's row as evidence on the state service. Longer
 // than kRowMaxAgeMs, because this evidence makes users leave and must not change back and forth.
-constexpr std::int64_t kStateWordFreshMs = 6000;
+constexpr std::int64_t kStateRowMaxAgeMs = 6000;
 // Milliseconds for which a peer must have reported that the state service answers it before this
 // controller concludes that it alone is cut off: gossip messages and probes take about one second.
 constexpr std::int64_t kStateUpConfirmMs = 1500;
--- a/src/links/matrix.cpp
+++ b/src/links/matrix.cpp
@@ -12,12 +12,12 @@
 }
 
 void Matrix::merge(Ms now, Ms wall, const wire::LinkRow& row) {
-  if (row.controller == own_name_ || age(wall, row) > kStateWordFreshMs) return;
+  if (row.controller == own_name_ || age(wall, row) > kStateRowMaxAgeMs) return;
   const auto known = entries_.find(row.controller);
   if (known == entries_.end() && entries_.size() >= kMaxRows) return;
   Entry& entry = known == entries_.end() ? entries_[row.controller] : known->second;
   if (row.as_of_ms <= entry.row.as_of_ms) return;
-  const bool interrupted = age(wall, entry.row) > kStateWordFreshMs;
+  const bool interrupted = age(wall, entry.row) > kStateRowMaxAgeMs;
   if (row.state != Status::up) {
     entry.state_up_since = 0;
   } else if (entry.state_up_since == 0 || interrupted) {
--- a/src/links/monitor.cpp
+++ b/src/links/monitor.cpp
@@ -15,7 +15,7 @@
 
 // ---- evidence ----
 
-void Monitor::peer_heard(Ms now, const std::string& peer) {
+void Monitor::on_peer_message(Ms now, const std::string& peer) {
   if (const auto known = peers_.find(peer); known != peers_.end()) known->second.on_message(now);
 }
 
@@ -80,7 +80,7 @@
   return row;
 }
 
-std::vector<wire::LinkRow> Monitor::rows_to_spread(const Moment& moment) const {
+std::vector<wire::LinkRow> Monitor::rows_to_gossip(const Moment& moment) const {
   std::vector<wire::LinkRow> rows{row(moment)};
   for (const auto* entry : matrix_.fresh(moment.wall, kRowMaxAgeMs)) rows.push_back(entry->row);
   return rows;
@@ -96,7 +96,7 @@
 Decision Monitor::may_serve_users(const Moment& moment) const {
   const Ms age = moment.now - state_.last_answer();
   if (state_.answering(moment.now)) return {true, Reason::link_up, "", age};
-  const auto rows = matrix_.fresh(moment.wall, kStateWordFreshMs);
+  const auto rows = matrix_.fresh(moment.wall, kStateRowMaxAgeMs);
   for (const auto* entry : rows) {
     // When an outage begins or ends, controllers notice at different times.
     const Ms since = std::max(entry->state_up_since, state_.last_answer());
@@ -198,7 +198,7 @@
   }
 }
 
-void Monitor::removed_from_view(Ms now) {
+void Monitor::on_removed_from_view(Ms now) {
   out_of_view_ = true;
   state_damper_.on_failure(now);
 }
--- a/src/links/monitor.h
+++ b/src/links/monitor.h
@@ -40,7 +40,7 @@
   Monitor(MonitorSettings settings, const RequestLink& state, const RequestLink& cloud);
 
   // ---- evidence ----
-  void peer_heard(Ms now, const std::string& peer);
+  void on_peer_message(Ms now, const std::string& peer);
   void merge(const Moment& moment, const wire::LinkRow& row);
   // Links to the workers of a zone. Zones beyond kMaxRowEntries share one entry.
   ZoneLinks& zone(const std::string& name);
@@ -55,7 +55,7 @@
   // ---- gossip ----
   [[nodiscard]] wire::LinkRow row(const Moment& moment) const;
   // This controller's own row and the fresh rows of others.
-  [[nodiscard]] std::vector<wire::LinkRow> rows_to_spread(const Moment& moment) const;
+  [[nodiscard]] std::vector<wire::LinkRow> rows_to_gossip(const Moment& moment) const;
   [[nodiscard]] const Matrix& matrix() const { return matrix_; }
   [[nodiscard]] Status peer(Ms now, const std::string& name) const;
 
@@ -73,8 +73,8 @@
   // Whether to rejoin the view after being removed from it. `others_live`: another controller
   // serves meanwhile.
   [[nodiscard]] Decision may_join(Ms now, bool others_live) const;
-  void removed_from_view(Ms now);
-  void joined_view() { out_of_view_ = false; }
+  void on_removed_from_view(Ms now);
+  void on_joined_view() { out_of_view_ = false; }
   // Whether a silent worker of the zone may be declared dead. `silent_ms`: milliseconds since the
   // last contact with it.
   [[nodiscard]] Decision may_declare_dead(const Moment& moment, const std::string& zone,
--- a/src/links/request_link.h
+++ b/src/links/request_link.h
@@ -38,7 +38,7 @@
     return answering(now) ? Status::up : Status::down;
   }
   [[nodiscard]] Ms last_answer() const { return last_answer_; }
-  [[nodiscard]] Ms last_word() const { return std::max(last_answer_, last_failure_); }
+  [[nodiscard]] Ms last_event_at() const { return std::max(last_answer_, last_failure_); }
 
  private:
   Ms last_answer_ = 0;   // reply other than a refusal; 0: never
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -24,12 +24,12 @@
 
 void MembershipManager::tick(Ms now) {
   const bool member = context_.is_member();
-  if (std::exchange(was_member_, member) && !member) links_.removed_from_view(now);
+  if (std::exchange(was_member_, member) && !member) links_.on_removed_from_view(now);
   if (!member) {
     join(now);
     return;
   }
-  links_.joined_view();
+  links_.on_joined_view();
   acknowledge(now);
   remove_expired_members(now);
 }
--- a/src/state/barrier_reads.cpp
+++ b/src/state/barrier_reads.cpp
@@ -53,7 +53,7 @@
 
 void BarrierReads::send_due(Ms now) {
   const links::RequestLink& link = connection_.link();
-  const Ms idle_ms = now - link.last_word();
+  const Ms idle_ms = now - link.last_event_at();
   const bool probe = idle_ms > (link.answering(now) ? kLeaseRenewalMs : kStateProbeMs);
   if ((probe || !queued_.empty()) && may_send(now)) send(now);
 }
--- a/src/workers/failure_tracker.cpp
+++ b/src/workers/failure_tracker.cpp
@@ -24,7 +24,7 @@
 }
 
 void FailureTracker::back_off(Ms now, JobFailures& failures) {
-  const Ms wait = kJobBackoffMs << std::min(failures.consecutive - 1, 10);
+  const Ms wait = kInitialJobBackoffMs << std::min(failures.consecutive - 1, 10);
   failures.next_attempt_at = now + std::min(wait, kMaxJobBackoffMs);
 }
 
@@ -46,9 +46,9 @@
   return ended != kept->second.end() && now - ended->second < kKeptResultMemoryMs;
 }
 
-void FailureTracker::on_stable(const std::string& job) { jobs_.erase(job); }
+void FailureTracker::on_replica_stable(const std::string& job) { jobs_.erase(job); }
 
-bool FailureTracker::failed(Ms now, const std::string& machine, const std::string& job) {
+bool FailureTracker::on_task_failed(Ms now, const std::string& machine, const std::string& job) {
   record_failure(now, machine, job);
   auto& machine_failures = machines_[machine];
   machine_failures[job] = now;
@@ -61,7 +61,7 @@
   return static_cast<std::size_t>(machine_faults) >= kQuarantineFailedJobs;
 }
 
-void FailureTracker::completed(const std::string& machine, const std::string& job) {
+void FailureTracker::on_task_completed(const std::string& machine, const std::string& job) {
   jobs_.erase(job);
   machines_.erase(machine);
 }
--- a/src/workers/failure_tracker.h
+++ b/src/workers/failure_tracker.h
@@ -13,13 +13,13 @@
 constexpr std::int64_t kFailureMemoryMs = 180'000;
 // Initial and maximum backoff of a failing job in milliseconds; the delay doubles with each further
 // failure.
-constexpr std::int64_t kJobBackoffMs = 1000;
+constexpr std::int64_t kInitialJobBackoffMs = 1000;
 constexpr std::int64_t kMaxJobBackoffMs = 30'000;
 
 class FailureTracker {
  public:
   // A task of `job` failed on `machine`. Returns true if the machine should be quarantined.
-  bool failed(Ms now, const std::string& machine, const std::string& job);
+  bool on_task_failed(Ms now, const std::string& machine, const std::string& job);
   // A replica of a service ended at once without being stopped. Does not count against the machine;
   // the job is backed off.
   void on_early_exit(Ms now, const std::string& machine, const std::string& job);
@@ -29,9 +29,9 @@
   [[nodiscard]] bool has_kept_result(Ms now, const std::string& machine,
                                      const wire::TaskId& replica) const;
   // A replica has run long enough to show that the job is not faulty.
-  void on_stable(const std::string& job);
+  void on_replica_stable(const std::string& job);
   // A task of `job` completed on `machine`: clears the failures of both.
-  void completed(const std::string& machine, const std::string& job);
+  void on_task_completed(const std::string& machine, const std::string& job);
   // Earliest time at which the job's tasks may be started again.
   [[nodiscard]] Ms next_attempt_at(const std::string& job) const;
   // Whether a task of this job failed on the machine recently, so that other machines are
--- a/src/workers/reconciler.cpp
+++ b/src/workers/reconciler.cpp
@@ -89,12 +89,12 @@
   if (service) on_replica_end(now, machine, ref, reported);
   switch (reported.cause) {
     case wire::ExitCause::done:
-      if (!service) failure_tracker_.completed(machine.id, ref.range.job);
+      if (!service) failure_tracker_.on_task_completed(machine.id, ref.range.job);
       break;
     case wire::ExitCause::error:
       context_.log(LogLevel::info, "task " + wire::task_name(ref.range.job, ref.index) +
                                        " failed on " + machine.id);
-      if (failure_tracker_.failed(now, machine.id, ref.range.job)) {
+      if (failure_tracker_.on_task_failed(now, machine.id, ref.range.job)) {
         if (machine.recorded && machine.state == wire::MachineState::ready) {
           context_.log(LogLevel::info, "machine " + machine.id + " is quarantined");
           shard_records_.record_machine_state(now, machine, wire::MachineState::quarantined, 0);
@@ -116,8 +116,8 @@
 void Reconciler::on_replica_end(Ms now, const Machine& machine, const TaskRef& ref,
                                 const ReportedTask& reported) {
   const bool stable =
-      reported.running_since != 0 && now - reported.running_since > kServiceSettledMs;
-  if (stable) failure_tracker_.on_stable(ref.range.job);
+      reported.running_since != 0 && now - reported.running_since > kReplicaStableMs;
+  if (stable) failure_tracker_.on_replica_stable(ref.range.job);
   // Guards against a loop of replicas that end at once: a worker that has stored the completion of
   // a task ends every further attempt of it immediately.
   if (reported.cause != wire::ExitCause::done) return;
--- a/src/workers/timing.h
+++ b/src/workers/timing.h
@@ -10,7 +10,7 @@
 // Run time in milliseconds from which on the end of a service replica does not count as a failure
 // of its job. Longer than the heartbeat that reports the start takes, so that a job whose replicas
 // end at once on every machine is backed off.
-constexpr std::int64_t kServiceSettledMs = 5000;
+constexpr std::int64_t kReplicaStableMs = 5000;
 // Milliseconds without contact after which a machine that runs service replicas is probed, unless
 // its heartbeat is overdue sooner. Two probes can then time out before the next heartbeat is
 // overdue.
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -252,18 +252,18 @@
 
 TEST(FailureTracker, FailuresOfSeveralJobsQuarantineAMachine) {
   FailureTracker h;
-  EXPECT_FALSE(h.failed(1000, "m1", "req-000001"));
-  EXPECT_FALSE(h.failed(1100, "m1", "req-000001"));
-  EXPECT_TRUE(h.failed(1200, "m1", "req-000002"));
+  EXPECT_FALSE(h.on_task_failed(1000, "m1", "req-000001"));
+  EXPECT_FALSE(h.on_task_failed(1100, "m1", "req-000001"));
+  EXPECT_TRUE(h.on_task_failed(1200, "m1", "req-000002"));
 }
 
 TEST(FailureTracker, FaultyJobBacksOffWithoutQuarantine) {
   FailureTracker h;
   for (int i = 0; i < 6; ++i)
-    EXPECT_FALSE(h.failed(1000 + i, "m" + std::to_string(i), "req-000009"));
+    EXPECT_FALSE(h.on_task_failed(1000 + i, "m" + std::to_string(i), "req-000009"));
   EXPECT_TRUE(h.is_faulty_job("req-000009"));
-  EXPECT_GT(h.next_attempt_at("req-000009"), 1005 + kJobBackoffMs);
-  EXPECT_FALSE(h.failed(2000, "m1", "req-000010"));  // the faulty job's errors do not count
+  EXPECT_GT(h.next_attempt_at("req-000009"), 1005 + kInitialJobBackoffMs);
+  EXPECT_FALSE(h.on_task_failed(2000, "m1", "req-000010"));  // the faulty job's errors do not count
 }
 
 PendingJob waits(double work, std::vector<double> latest_starts_s, int priority = 1,
--- a/tests/links_monitor_test.cpp
+++ b/tests/links_monitor_test.cpp
@@ -49,8 +49,8 @@
  protected:
   MonitorTest() {
     for (Ms t = 1000; t <= now_; t += kGossipIntervalMs) {
-      monitor_.peer_heard(t, "b");
-      monitor_.peer_heard(t, "c");
+      monitor_.on_peer_message(t, "b");
+      monitor_.on_peer_message(t, "c");
       monitor_.tick(t);
     }
     state_.answered(now_);
@@ -178,10 +178,10 @@
 
 TEST_F(MonitorTest, ViewIsRejoinedAtOnceUnlessTheLinkFlaps) {
   EXPECT_TRUE(monitor_.may_join(now_, true).allowed);  // after a restart
-  monitor_.removed_from_view(now_);
+  monitor_.on_removed_from_view(now_);
   EXPECT_TRUE(monitor_.may_join(now_, true).allowed);  // after a single cut
-  monitor_.joined_view();
-  monitor_.removed_from_view(now_);
+  monitor_.on_joined_view();
+  monitor_.on_removed_from_view(now_);
   EXPECT_TRUE(monitor_.may_join(now_, false).allowed);  // no other controller serves
   state_.unanswered(now_ + 100);
   monitor_.tick(now_ + 100);
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -120,7 +120,7 @@
   run(1000);
   EXPECT_EQ(status(accepted), 201);
   EXPECT_EQ(tasks_.size(), 2U);
-  run(kServiceSettledMs);
+  run(kReplicaStableMs);
   heartbeat(100);
   exit_cause_ = "done";
   const int before = starts_;
@@ -176,7 +176,7 @@
   tracker.on_early_exit(1000, "m", "req-000001");
   tracker.on_early_exit(2000, "n", "req-000001");
   EXPECT_GT(tracker.next_attempt_at("req-000001"), 2000);
-  tracker.on_stable("req-000001");
+  tracker.on_replica_stable("req-000001");
   EXPECT_EQ(tracker.next_attempt_at("req-000001"), 0);
   tracker.forget_job("req-000001");
   EXPECT_FALSE(tracker.has_failed_on(3000, "m", "req-000001"));
--- a/tests/workers_test.cpp
+++ b/tests/workers_test.cpp
@@ -151,7 +151,7 @@
 }
 
 TEST_F(WorkersTest, FailuresOfSeveralJobsQuarantineTheMachineInItsRecord) {
-  failures_.failed(now_, kMachine, "req-000002");
+  failures_.on_task_failed(now_, kMachine, "req-000002");
   wire::Heartbeat failure_report = heartbeat(1, 1);
   failure_report.tasks.push_back(
       {{kJob, 0}, 1, wire::TaskState::exited, wire::ExitCause::error, false});
