--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -42,7 +42,7 @@
   for (const auto& p : settings_.core.peers) addresses[p.name] = p.address;
   peers_ = std::make_unique<net::PeerLinks>(io, *net::parse_endpoint(settings_.peer_listen),
                                             addresses, [this](const std::string& frame) {
-                                              controller_.on_peer(steady_ms(), frame);
+                                              controller_.on_peer_message(steady_ms(), frame);
                                               carry_out();
                                             });
 }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -189,7 +189,7 @@
   scheduler_.run_if_requested(now);
 }
 
-void Controller::on_peer(Ms now, std::string_view bytes) {
+void Controller::on_peer_message(Ms now, std::string_view bytes) {
   observe_input(now);
   const auto message = wire::decode<wire::PeerMessage>(bytes);
   if (!message) {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -86,7 +86,7 @@
   // Handles the result of the call with this id.
   void on_result(Ms now, std::uint64_t id, const HttpResult& http_result);
   // Handles a message of another controller.
-  void on_peer(Ms now, std::string_view bytes);
+  void on_peer_message(Ms now, std::string_view bytes);
   // Time at which tick() should be called next if no other input arrives before.
   Ms next_tick(Ms now) const;
   Output take_output() { return std::exchange(out_, {}); }
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -96,7 +96,7 @@
 }
 
 void FleetSizer::on_refused(Ms now, const MachineKind& kind) {
-  refused_until_[kind] = now + kRefusedPauseMs;
+  refused_until_[kind] = now + kRefusedKindRetryDelayMs;
 }
 
 // Machines to rent in addition to those held, by kind.
--- a/src/fleet/fleet_sizer.h
+++ b/src/fleet/fleet_sizer.h
@@ -14,7 +14,7 @@
 namespace scheduler {
 
 // Milliseconds for which a kind of machine is not requested again after the cloud refused it.
-constexpr std::int64_t kRefusedPauseMs = 15'000;
+constexpr std::int64_t kRefusedKindRetryDelayMs = 15'000;
 
 // Name of the duty of managing the fleet. The fleet leader is determined by the hash of this name,
 // so it must be equal in the version in production and in this one.
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -212,7 +212,7 @@
   replies_garbage_ = true;
   for (const char* text :
        {"", "{", "[]", R"({"rig":"n-1"})", R"({"rig":"n-1","loads":7})", "\xff"}) {
-    controller_->on_peer(now_, text);
+    controller_->on_peer_message(now_, text);
     const std::uint64_t request = send_request("POST", "/hello", text);
     run(400);
     EXPECT_EQ(status(request), 400) << text;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -362,7 +362,7 @@
       f.next_scale_out(1, demand, {t}, {}).empty());  // the job does not allow spot machines
   job.spot = true;
   EXPECT_FALSE(f.next_scale_out(1, demand, {t}, {}).empty());
-  EXPECT_FALSE(f.next_scale_out(kRefusedPauseMs + 1, demand, {t}, {}).empty());
+  EXPECT_FALSE(f.next_scale_out(kRefusedKindRetryDelayMs + 1, demand, {t}, {}).empty());
 }
 
 TEST(FleetSizer, SpotMachinesDoNotServeOnDemandWork) {
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -280,7 +280,7 @@
     gossip.state_answers = true;
     gossip.sent_ms = static_cast<std::uint64_t>(now_);
     gossip.cancelled = {job};
-    controller_->on_peer(now_, encode(gossip));
+    controller_->on_peer_message(now_, encode(gossip));
     pump();
   }
 
--- a/tests/sim/controllers.cpp
+++ b/tests/sim/controllers.cpp
@@ -136,8 +136,9 @@
       peers_refuse_ || link_cuts_.down(from.name, peer.name) || chance(0.05))
     return;
   // Some arrive 20 s late.
-  at(now_ + (chance(0.02) ? 20'000 : network_delay()),
-     [this, to, bytes] { input(to, [this, bytes](Controller& c) { c.on_peer(now_, bytes); }); });
+  at(now_ + (chance(0.02) ? 20'000 : network_delay()), [this, to, bytes] {
+    input(to, [this, bytes](Controller& c) { c.on_peer_message(now_, bytes); });
+  });
 }
 
 }  // namespace scheduler::sim
