--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -156,7 +156,7 @@
   objective.kind = known->kind;
   if (entry.contains("class")) objective.job_class = text(entry, "class", where);
   objective.share = optional_number(entry, "share", where);
-  objective.times = optional_number(entry, "times", where);
+  objective.deadline_factor = optional_number(entry, "times", where);
   // The time from which a replica counts is named differently from the time for a start.
   const bool up = objective.kind == ObjectiveKind::up;
   objective.within_s = optional_number(entry, up ? "after_s" : "within_s", where);
@@ -184,7 +184,7 @@
   out.state_write_rps = number(state, "write_rps", where, 1);
   out.value_kb = number(state, "value_kb", where, kLeastValueKb);
   out.txn_ops = static_cast<int>(number(state, "txn_ops", where, kLeastTxnOps));
-  out.stored_value_kb = out.value_kb;
+  out.current_value_kb = out.value_kb;
   if (!state.contains("next")) return;
   const toml::table& next = table(state, "next");
   const std::string next_where = where + "next.";
--- a/src/base/capacity.cpp
+++ b/src/base/capacity.cpp
@@ -61,7 +61,7 @@
 Capacity capacity_of(const Settings& settings) {
   Capacity capacity;
   const double job_bytes = settings.memory_mb * kBytesPerMb * kJobMemoryFraction;
-  capacity.live_jobs =
+  capacity.unfinished_jobs =
       std::max(kMinUnfinishedJobs, static_cast<std::size_t>(job_bytes / kBytesPerJob));
   const int sockets = settings.sockets;
   capacity.waiting_requests =
@@ -72,9 +72,10 @@
   capacity.scale_out_requests = static_cast<std::size_t>(
       std::max(1.0, std::floor(settings.cloud_rps * kScaleOutRateFraction)));
   const double value_bytes = std::max(1.0, settings.value_kb * 1024.0);
-  const auto by_size = static_cast<std::size_t>(wire::kTransactionBytes / value_bytes);
+  const auto by_size = static_cast<std::size_t>(wire::kMaxTransactionBytes / value_bytes);
   const auto by_operations = static_cast<std::size_t>(std::max(1, settings.txn_ops));
-  capacity.machine_groups_at_once = std::max<std::size_t>(1, std::min(by_size, by_operations));
+  capacity.machine_groups_per_transaction =
+      std::max<std::size_t>(1, std::min(by_size, by_operations));
   const auto by_memory =
       static_cast<std::size_t>(settings.memory_mb * kBytesPerMb * kResponseMemoryFraction);
   capacity.response_bytes = settings.memory_mb > 0
--- a/src/base/capacity.h
+++ b/src/base/capacity.h
@@ -13,7 +13,7 @@
 
 struct Capacity {
   // Unfinished jobs in memory. Submissions over the limit receive 429 with `Retry-After`.
-  std::size_t live_jobs = 0;
+  std::size_t unfinished_jobs = 0;
   // User requests that wait for the state service. Requests over the limit receive 429.
   std::size_t waiting_requests = 0;
   // Direct messages in progress, each on its own socket: `direct_messages` to machines that answer,
@@ -24,7 +24,7 @@
   std::size_t scale_out_requests = 0;
   // Machine groups that the fleet leader writes in one transaction. It writes further groups in the
   // next transaction.
-  std::size_t machine_groups_at_once = 0;
+  std::size_t machine_groups_per_transaction = 0;
   // Maximum size of an accepted response, in bytes. If the reply to a watch is longer, the
   // controller treats the watch as having fallen behind and reads the state again in pages, which
   // are shorter.
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -26,7 +26,7 @@
 };
 
 enum class ObjectiveKind : std::uint8_t {
-  deadline,  // jobs complete within their deadline multiplied by `times`
+  deadline,  // jobs complete within their deadline multiplied by `deadline_factor`
   finished,  // jobs complete within `within_s`
   wait,      // tasks start within `within_s`
   up         // replicas of services run; replica time counts from `within_s` on
@@ -37,7 +37,7 @@
 struct Objective {
   ObjectiveKind kind = ObjectiveKind::deadline;
   std::string job_class;
-  double share = 0, times = 0, within_s = 0;
+  double share = 0, deadline_factor = 0, within_s = 0;
 };
 
 struct Peer {
@@ -62,7 +62,7 @@
   int txn_ops = 0;
   // The current limit on the size of a stored value, before an announced reduction. The production
   // version still writes values of up to this size.
-  double stored_value_kb = 0;
+  double current_value_kb = 0;
   // The newest record format that this controller reads and writes (wire/records.h).
   std::uint32_t record_format = wire::kServiceFormat;
   // Limit on requests per second to the cloud, and seconds by which its machine list may lag.
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -33,7 +33,7 @@
   wire::LinkRow row;
   row.controller = gossip_message.from;
   row.as_of_ms = gossip_message.sent_ms;
-  row.state = gossip_message.state_answers ? links::Status::up : links::Status::down;
+  row.state = gossip_message.state_service_answers ? links::Status::up : links::Status::down;
   return row;
 }
 
@@ -44,8 +44,8 @@
   message.from = context_.settings.name;
   message.incarnation = context_.incarnation;
   message.epoch = std::max(context_.cluster_view.epoch(), status_.newest_epoch_seen());
-  message.state_answers = context_.state_client.loaded() && context_.state_client.answering(now) &&
-                          status_.resynchronised();
+  message.state_service_answers = context_.state_client.loaded() &&
+                                  context_.state_client.answering(now) && status_.resynchronised();
   for (const auto& [id, machine] : machines_) {
     if (machines_.usable(now, machine))
       message.free_cpus += std::max(0.0, candidate_cache_.candidate(now, machine).free.cpus);
@@ -54,7 +54,7 @@
   message.links = links_.rows_to_gossip(status_.moment(now));
   // The state service answers, but this controller has not read all its records yet or has not
   // resynchronised after a pause.
-  if (!message.state_answers && message.links.front().state == links::Status::up)
+  if (!message.state_service_answers && message.links.front().state == links::Status::up)
     message.links.front().state = links::Status::unknown;
   return message;
 }
@@ -66,7 +66,7 @@
   log_link_changes(message.links.front());
   message.cancelled = recent_cancellations(now);
   std::string bytes = encode(message);
-  if (bytes.size() > wire::kGossipBytesMost) {
+  if (bytes.size() > wire::kMaxGossipBytes) {
     // With many controllers or zones the message is too large: only this controller's row is sent.
     message.links.resize(1);
     bytes = encode(message);
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -193,7 +193,7 @@
   const wire::MachineType* type = context_.replica.type(listed.type);
   const double boot_s = type ? type->boot_s : kDefaultBootS;
   if (listed.state == wire::CloudState::booting && record->incarnation == 0 &&
-      listed.held_s > kStuckBootTimes * boot_s + kStuckBootMarginS) {
+      listed.rented_for_s > kStuckBootTimes * boot_s + kStuckBootMarginS) {
     context_.log(LogLevel::info, "machine " + id + " has not finished booting in time");
     record_writer_.set_state(id, *record, MachineState::lost);
   }
--- a/src/fleet/fleet_record_writer.cpp
+++ b/src/fleet/fleet_record_writer.cpp
@@ -120,7 +120,8 @@
       group = first_open_group;
     }
     const bool in_batch = batch.groups.contains(*group);
-    if (!in_batch && batch.groups.size() >= context_.capacity.machine_groups_at_once) continue;
+    if (!in_batch && batch.groups.size() >= context_.capacity.machine_groups_per_transaction)
+      continue;
     wire::FleetRecord& target = batch_group(batch, *group);
     if (record) {
       target.machines[id] = *record;
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -31,7 +31,7 @@
   for (const auto& objective : settings_.objectives) {
     if (objective.job_class != job.job_class) continue;
     if (objective.kind == ObjectiveKind::deadline && job.deadline_s)
-      horizon = std::min(horizon, *job.deadline_s * std::max(1.0, objective.times));
+      horizon = std::min(horizon, *job.deadline_s * std::max(1.0, objective.deadline_factor));
     if (objective.kind == ObjectiveKind::finished && objective.within_s > 0)
       horizon = std::min(horizon, objective.within_s);
     if (objective.kind == ObjectiveKind::wait) horizon = 0;
--- a/src/jobs/job_submission.cpp
+++ b/src/jobs/job_submission.cpp
@@ -79,7 +79,7 @@
   wire::JobRecord record;
   record.spec = spec;
   record.submitted_ms = status_.wall(now);
-  record.shares = planner_.split_into_ranges(spec);
+  record.initial_ranges = planner_.split_into_ranges(spec);
   std::string value = encode(record);
   if (static_cast<double>(value.size()) > context_.value_bytes()) {
     // Machine types that the catalog doesn't offer have no effect, so they are left out to save
@@ -113,7 +113,7 @@
     reply_known_or_refuse(now, request, spec.id, error);
     return;
   }
-  if (context_.replica.jobs().size() >= context_.capacity.live_jobs) {
+  if (context_.replica.jobs().size() >= context_.capacity.unfinished_jobs) {
     context_.reply(request, 429, wire::error_body("too many jobs"), kRetryAfterOutageS);
     return;
   }
--- a/src/links/monitor.cpp
+++ b/src/links/monitor.cpp
@@ -125,7 +125,7 @@
   const auto zone_reached = [&](const std::string& zone, const wire::ZoneLinkStatus& links) {
     const auto since = entry.reports_up_since.find(zone);
     return since != entry.reports_up_since.end() && moment.now - since->second >= kRowStableMs &&
-           links.commands != Status::down && static_cast<Ms>(links.heard_ms) > since_wall;
+           links.commands != Status::down && static_cast<Ms>(links.last_heartbeat_ms) > since_wall;
   };
   bool reports_zones = false;
   for (const auto& zone : zones) {
--- a/src/membership/context.h
+++ b/src/membership/context.h
@@ -63,7 +63,7 @@
   // Maximum size in bytes of a value written by the previous version. Applies to this controller
   // too until all controllers run the current version.
   [[nodiscard]] double stored_value_bytes() const {
-    const double now = services_enabled() ? 0.0 : settings.stored_value_kb * 1024.0;
+    const double now = services_enabled() ? 0.0 : settings.current_value_kb * 1024.0;
     return std::max(now, value_bytes());
   }
   // Whether services may be accepted, because every controller can read their records.
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -36,7 +36,7 @@
                        if (error) return;
                        std::size_t n = 0;
                        for (const unsigned char c : self->length_) n = (n << 8U) | c;
-                       if (n == 0 || n > wire::kPeerFrameMost) return;  // not a peer: closed
+                       if (n == 0 || n > wire::kMaxPeerFrameBytes) return;  // not a peer: closed
                        self->frame_.resize(n);
                        self->read_frame();
                      });
@@ -89,7 +89,7 @@
 
 void PeerLinks::send(const std::string& peer, const std::string& frame) {
   auto it = out_.find(peer);
-  if (it == out_.end() || frame.empty() || frame.size() > wire::kPeerFrameMost) return;
+  if (it == out_.end() || frame.empty() || frame.size() > wire::kMaxPeerFrameBytes) return;
   auto& out = it->second;
   const auto now = Clock::now();
   // A write that hangs (a cut) is given up, so that the link comes back soon after the cut ends.
--- a/src/net/peer_link.h
+++ b/src/net/peer_link.h
@@ -25,8 +25,8 @@
   PeerLinks(asio::io_context& io, const asio::ip::tcp::endpoint& listen,
             const std::map<std::string, std::string>& addresses, Handler handler);
   ~PeerLinks();
-  // Sends a frame of at most wire::kPeerFrameMost bytes, or drops it: to an unknown peer, over a
-  // link that is down, or behind too many bytes that still wait.
+  // Sends a frame of at most wire::kMaxPeerFrameBytes bytes, or drops it: to an unknown peer, over
+  // a link that is down, or behind too many bytes that still wait.
   void send(const std::string& peer, const std::string& frame);
 
  private:
--- a/src/scheduling/range_planner.cpp
+++ b/src/scheduling/range_planner.cpp
@@ -111,7 +111,8 @@
   return best;
 }
 
-std::vector<wire::JobRecord::Share> RangePlanner::split_into_ranges(const wire::JobSpec& spec) {
+std::vector<wire::JobRecord::InitialRange> RangePlanner::split_into_ranges(
+    const wire::JobSpec& spec) {
   ShardCapacities shards = shard_capacities(spec);
   const bool keep_whole = spec.is_gang() || spec.one_zone || spec.spread;
   const std::string preferred_owner =
@@ -137,7 +138,7 @@
   return limit_range_sizes(spec, tasks_by_owner);
 }
 
-std::vector<wire::JobRecord::Share> RangePlanner::limit_range_sizes(
+std::vector<wire::JobRecord::InitialRange> RangePlanner::limit_range_sizes(
     const wire::JobSpec& spec, const std::map<std::string, std::uint32_t>& tasks_by_owner) const {
   // All replicas of a service are placed at the same time, so the record must hold a placement for
   // each.
@@ -145,7 +146,7 @@
   const std::uint32_t max_range_tasks =
       spec.is_service() ? max_replicas
                         : max_tasks_per_range(static_cast<std::size_t>(context_.value_bytes()));
-  std::vector<wire::JobRecord::Share> out;
+  std::vector<wire::JobRecord::InitialRange> out;
   std::uint32_t begin = 0;
   for (const auto& [name, tasks] : tasks_by_owner) {
     for (std::uint32_t remaining = tasks; remaining > 0;) {
--- a/src/scheduling/range_planner.h
+++ b/src/scheduling/range_planner.h
@@ -24,7 +24,7 @@
   // job.
   [[nodiscard]] std::size_t max_ranges() const;
   // Divides a new job into ranges by the free capacity and load of the shards.
-  std::vector<wire::JobRecord::Share> split_into_ranges(const wire::JobSpec& spec);
+  std::vector<wire::JobRecord::InitialRange> split_into_ranges(const wire::JobSpec& spec);
   // Discards the machine counts after the cluster view, and with it machine ownership, has changed.
   void on_view_changed() { next_shard_count_at_ = 0; }
 
@@ -54,7 +54,7 @@
                                              const std::string& preferred_owner);
   // Divides each shard's number of tasks (`tasks_by_owner`) into ranges whose records stay within
   // the size limit.
-  [[nodiscard]] std::vector<wire::JobRecord::Share> limit_range_sizes(
+  [[nodiscard]] std::vector<wire::JobRecord::InitialRange> limit_range_sizes(
       const wire::JobSpec& spec, const std::map<std::string, std::uint32_t>& tasks_by_owner) const;
 
   const Context& context_;
--- a/src/scheduling/start_deadlines.cpp
+++ b/src/scheduling/start_deadlines.cpp
@@ -28,7 +28,7 @@
       return objective.within_s;
     case ObjectiveKind::deadline:
       if (!spec.deadline_s) return std::nullopt;
-      return *spec.deadline_s * objective.times - spec.estimate_s;
+      return *spec.deadline_s * objective.deadline_factor - spec.estimate_s;
     case ObjectiveKind::finished:
       return objective.within_s - spec.estimate_s;
     case ObjectiveKind::up:
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -46,7 +46,7 @@
 bool Replica::apply(const wire::StoredItem& item) {
   const std::string& key = item.key;
   if (key.starts_with(wire::kRangePrefix)) return apply_range(item);
-  if (key.starts_with(wire::kJobPrefixKey)) return apply_job(item);
+  if (key.starts_with(wire::kJobPrefix)) return apply_job(item);
   if (key.starts_with(wire::kFinalStatePrefix)) return apply_final_state(item);
   if (key.starts_with(wire::kFleetPrefix)) return apply_fleet(item);
   if (key.starts_with(wire::kShardPrefix)) return apply_shard(item);
@@ -94,7 +94,7 @@
 }
 
 bool Replica::apply_job(const wire::StoredItem& item) {
-  const std::string id = strip_prefix(item.key, wire::kJobPrefixKey);
+  const std::string id = strip_prefix(item.key, wire::kJobPrefix);
   changed_jobs_.insert(id);
   if (!item.value) {
     remove_job(id);
@@ -130,7 +130,7 @@
 
 // Adds the ranges that the job's record assigned at submission and that have no range record yet.
 void Replica::add_unrecorded_ranges(const std::string& id, Job& job) {
-  for (const auto& share : job.record.shares) {
+  for (const auto& share : job.record.initial_ranges) {
     auto [range, added] = job.ranges.try_emplace(share.number);
     if (!added) continue;
     wire::RangeRecord& r = range->second;
--- a/src/state/state_loader.cpp
+++ b/src/state/state_loader.cpp
@@ -14,7 +14,7 @@
 // delay the recovery of a controller.
 constexpr std::string_view kLoadedPrefixes[] = {
     wire::kViewKey,        wire::kFormatKey,   wire::kCatalogKey,      wire::kLivePrefix,
-    wire::kFleetPrefix,    wire::kShardPrefix, wire::kJobPrefixKey,    wire::kRangePrefix,
+    wire::kFleetPrefix,    wire::kShardPrefix, wire::kJobPrefix,       wire::kRangePrefix,
     wire::kScaleOutPrefix, wire::kQuotaPrefix, wire::kShardGuardPrefix};
 // Items per page; the service allows 1,000 items and 512 KiB (PROTOCOL).
 constexpr std::uint32_t kPageItems = 250;
--- a/src/state/transaction_group.cpp
+++ b/src/state/transaction_group.cpp
@@ -32,7 +32,7 @@
 bool TransactionGroup::has_room_for(const Addition& addition) const {
   return writes_ + addition.writes <= max_writes_ &&
          compared_keys_.size() + addition.conditions <= max_writes_ * wire::kConditionsPerWrite &&
-         bytes_ + addition.bytes <= wire::kTransactionBytes;
+         bytes_ + addition.bytes <= wire::kMaxTransactionBytes;
 }
 
 bool TransactionGroup::excludes(const Transaction& transaction) const {
--- a/src/wire/link_row.h
+++ b/src/wire/link_row.h
@@ -16,7 +16,7 @@
   LinkStatus commands = LinkStatus::unknown;  // controller to workers
   // Time of day at which the controller received the last heartbeat from the zone, in milliseconds;
   // 0 if none.
-  std::uint64_t heard_ms = 0;
+  std::uint64_t last_heartbeat_ms = 0;
 };
 
 // One controller's row of the link matrix: the state of its links at one point in time.
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -422,7 +422,7 @@
   read_enum(fields, object, "status", kCloudStates, machine.state);
   if (fields.failed()) return tl::unexpected(fields.error());
   read(object, "endpoint", machine.address);
-  read_amount(object, "heldS", machine.held_s);
+  read_amount(object, "heldS", machine.rented_for_s);
   return machine;
 }
 
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -216,7 +216,7 @@
   std::string id, address, type, zone;  // the address is empty until the cloud assigns one
   bool spot = false;
   CloudState state = CloudState::booting;
-  double held_s = 0;  // seconds since the machine was rented
+  double rented_for_s = 0;  // seconds since the machine was rented
 };
 // One page of the cloud's list of machines, up to the first entry that can't be decoded.
 struct MachineListPage {
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -44,7 +44,7 @@
     Item elements(cbor_new_definite_array(kZoneElements));
     cbor::append(elements.get(), status(links.reports));
     cbor::append(elements.get(), status(links.commands));
-    cbor::append(elements.get(), number(links.heard_ms));
+    cbor::append(elements.get(), number(links.last_heartbeat_ms));
     cbor::add(workers.get(), zone, elements);
   }
   cbor::add(map.get(), "name", cbor::text(row.controller));
@@ -141,7 +141,7 @@
   entries.required("from", gossip_message.from)
       .required("incarnation", gossip_message.incarnation)
       .required("epoch", gossip_message.epoch)
-      .required("state", gossip_message.state_answers)
+      .required("state", gossip_message.state_service_answers)
       .required("free", gossip_message.free_cpus)
       .required("sent", gossip_message.sent_ms);
   if (entries.failed()) return tl::unexpected(entries.error());
@@ -186,7 +186,8 @@
   bool ok = cbor::add(map.get(), "from", cbor::text(gossip_message.from));
   ok = ok && cbor::add(map.get(), "incarnation", cbor::text(gossip_message.incarnation));
   ok = ok && cbor::add(map.get(), "epoch", number(gossip_message.epoch));
-  ok = ok && cbor::add(map.get(), "state", Item(cbor_build_bool(gossip_message.state_answers)));
+  ok = ok &&
+       cbor::add(map.get(), "state", Item(cbor_build_bool(gossip_message.state_service_answers)));
   ok = ok && cbor::add(map.get(), "free", Item(cbor_build_float8(gossip_message.free_cpus)));
   ok = ok && cbor::add(map.get(), "sent", number(gossip_message.sent_ms));
   if (!ok) return {};
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -29,10 +29,10 @@
 struct GossipMessage {
   std::string from;
   std::string incarnation;
-  std::uint64_t epoch = 0;     // epoch of the newest cluster view that the sender knows
-  bool state_answers = false;  // whether the state service answers the sender
-  double free_cpus = 0;        // free CPUs in the sender's shard
-  std::uint64_t sent_ms = 0;   // time of day of sending, milliseconds
+  std::uint64_t epoch = 0;             // epoch of the newest cluster view that the sender knows
+  bool state_service_answers = false;  // whether the state service answers the sender
+  double free_cpus = 0;                // free CPUs in the sender's shard
+  std::uint64_t sent_ms = 0;           // time of day of sending, milliseconds
   std::vector<LinkRow> links;  // the sender's own row, then rows that it received from peers
   // Jobs whose cancellation is recorded in the state service, for controllers that can't reach it.
   std::vector<std::string> cancelled;
@@ -77,10 +77,10 @@
 Decoded<PeerMessage> decode<PeerMessage>(std::string_view text);
 
 // A frame on a peer link is a length of four bytes, most significant byte first, and the message.
-// Versions without relaying accept frames of up to kGossipBytesMost bytes only. A gossip message
+// Versions without relaying accept frames of up to kMaxGossipBytes bytes only. A gossip message
 // takes about 300 bytes.
-constexpr std::size_t kGossipBytesMost = 4096;
+constexpr std::size_t kMaxGossipBytes = 4096;
 // Largest frame in bytes. The body of a relayed message takes up to 64 KiB.
-constexpr std::size_t kPeerFrameMost = std::size_t{80} * 1024;
+constexpr std::size_t kMaxPeerFrameBytes = std::size_t{80} * 1024;
 
 }  // namespace scheduler::wire
--- a/src/wire/record_keys.cpp
+++ b/src/wire/record_keys.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::string job_key(std::string_view id) { return std::string(kJobPrefixKey) + std::string(id); }
+std::string job_key(std::string_view id) { return std::string(kJobPrefix) + std::string(id); }
 std::string final_state_key(std::string_view id) {
   return std::string(kFinalStatePrefix) + std::string(id);
 }
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -145,7 +145,7 @@
     put_bool(writer, "cancelled", record.cancelled);
     writer.Key("shares");
     writer.StartArray();
-    for (const auto& range : record.shares) {
+    for (const auto& range : record.initial_ranges) {
       writer.StartArray();
       writer.Uint(range.number);
       writer.Uint(range.begin);
@@ -161,12 +161,12 @@
 
 // Reads [number, begin, end, owner] for a job that has `tasks` tasks. Returns nullopt if it is
 // invalid.
-std::optional<JobRecord::Share> initial_range_of(const Json& value, std::uint32_t tasks) {
+std::optional<JobRecord::InitialRange> initial_range_of(const Json& value, std::uint32_t tasks) {
   if (!value.IsArray() || value.Size() != 4 || !value[0].IsUint() || !value[1].IsUint() ||
       !value[2].IsUint() || !value[3].IsString())
     return std::nullopt;
-  JobRecord::Share range{value[0].GetUint(), value[1].GetUint(), value[2].GetUint(),
-                         value[3].GetString()};
+  JobRecord::InitialRange range{value[0].GetUint(), value[1].GetUint(), value[2].GetUint(),
+                                value[3].GetString()};
   if (range.begin >= range.end || range.end > tasks) return std::nullopt;
   return range;
 }
@@ -184,14 +184,14 @@
   const Json* submitted = member(document, "submittedMs");
   if (!submitted || !submitted->IsInt64()) return decode_error("submittedMs", "a whole number");
   record.submitted_ms = submitted->GetInt64();
-  if (const Json* shares = member(document, "shares")) {
-    if (!shares->IsArray()) return decode_error("shares", "a list of shares");
-    for (const Json& value : shares->GetArray()) {
+  if (const Json* initial_ranges = member(document, "shares")) {
+    if (!initial_ranges->IsArray()) return decode_error("shares", "a list of shares");
+    for (const Json& value : initial_ranges->GetArray()) {
       auto range = initial_range_of(value, record.spec.tasks);
       if (!range)
-        return decode_error(element_path("shares", record.shares.size()),
+        return decode_error(element_path("shares", record.initial_ranges.size()),
                             "[number, begin, end, owner] of tasks of the job");
-      record.shares.push_back(std::move(*range));
+      record.initial_ranges.push_back(std::move(*range));
     }
   }
   FieldReader fields(document);
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -78,14 +78,14 @@
 struct JobRecord {
   // A range as assigned at submission. Once the range has a record of its own, that record replaces
   // the entry here. Keeping the initial ranges in the job's record makes a submission one write.
-  struct Share {
+  struct InitialRange {
     std::uint32_t number = 0, begin = 0, end = 0;
     std::string owner;
   };
   JobSpec spec;
   std::int64_t submitted_ms = 0;  // time of day, milliseconds
   bool cancelled = false;
-  std::vector<Share> shares;
+  std::vector<InitialRange> initial_ranges;
 };
 std::string encode(const JobRecord& record);
 // Checks the specification as parse_job does. Each initial range is [number, begin, end, owner],
--- a/src/wire/state_service.h
+++ b/src/wire/state_service.h
@@ -24,7 +24,7 @@
 
 // Maximum size of a transaction's body, in bytes. The service accepts 64 KiB (PROTOCOL); the margin
 // leaves room for the framing of the request.
-constexpr std::size_t kTransactionBytes = std::size_t{56} * 1024;
+constexpr std::size_t kMaxTransactionBytes = std::size_t{56} * 1024;
 // The service allows this many conditions in a transaction for each write that it allows
 // (PROTOCOL).
 constexpr std::size_t kConditionsPerWrite = 4;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -24,8 +24,8 @@
   small_settings.memory_mb = 56;
   small_settings.sockets = 600;
   const Capacity small = capacity_of(small_settings);
-  EXPECT_GT(large.live_jobs, small.live_jobs);
-  EXPECT_GE(small.live_jobs, 4000U);
+  EXPECT_GT(large.unfinished_jobs, small.unfinished_jobs);
+  EXPECT_GE(small.unfinished_jobs, 4000U);
   EXPECT_GT(large.waiting_requests, small.waiting_requests);
   EXPECT_GT(large.direct_messages, small.direct_messages);
   EXPECT_GT(large.probes, small.probes);
@@ -42,12 +42,12 @@
       Settings settings = large_deployment();
       settings.value_kb = value_kb;
       settings.txn_ops = txn_ops;
-      const auto groups = capacity_of(settings).machine_groups_at_once;
+      const auto groups = capacity_of(settings).machine_groups_per_transaction;
       EXPECT_GE(groups, 1U);
       EXPECT_LE(groups, static_cast<std::size_t>(txn_ops));
       if (groups > 1) {
         EXPECT_LE(static_cast<double>(groups) * value_kb * 1024.0,
-                  static_cast<double>(wire::kTransactionBytes));
+                  static_cast<double>(wire::kMaxTransactionBytes));
       }
     }
   }
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -57,7 +57,7 @@
     ASSERT_TRUE(spec) << spec.error().text();
     wire::JobRecord job;
     job.spec = *spec;
-    job.shares = {{0, 0, tasks, kName}};
+    job.initial_ranges = {{0, 0, tasks, kName}};
     put(wire::job_key(job.spec.id), encode(job));
   }
 
--- a/tests/links_monitor_test.cpp
+++ b/tests/links_monitor_test.cpp
@@ -134,11 +134,11 @@
   c.as_of_ms += 50;
   c.workers["y"].reports = Status::up;
   // The last contact of c with the zone is as old as a's: c has not detected the same failure yet.
-  c.workers["y"].heard_ms = static_cast<std::uint64_t>(now_ + 200 + kWallOffset);
+  c.workers["y"].last_heartbeat_ms = static_cast<std::uint64_t>(now_ + 200 + kWallOffset);
   monitor_.merge(at(later), c);
   EXPECT_TRUE(monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);
   c.as_of_ms += 10;
-  c.workers["y"].heard_ms = static_cast<std::uint64_t>(later - 100 + kWallOffset);
+  c.workers["y"].last_heartbeat_ms = static_cast<std::uint64_t>(later - 100 + kWallOffset);
   monitor_.merge(at(later), c);
   EXPECT_TRUE(monitor_.may_keep_machines(at(later), {"b", "c"})
                   .allowed);  // c's link has not been up for long enough
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -277,7 +277,7 @@
     gossip.from = "puffin-1";
     gossip.incarnation = "b";
     gossip.epoch = 1;
-    gossip.state_answers = true;
+    gossip.state_service_answers = true;
     gossip.sent_ms = static_cast<std::uint64_t>(now_);
     gossip.cancelled = {job};
     controller_->on_peer_message(now_, encode(gossip));
--- a/tests/record_split_test.cpp
+++ b/tests/record_split_test.cpp
@@ -150,7 +150,7 @@
 // stored, because the limits of the state service may drop at any time after that.
 TEST_F(SingleControllerJobs, OversizedRecordsAreSplitBeforeLimitsDrop) {
   Settings lower = settings_;
-  lower.stored_value_kb = 8;
+  lower.current_value_kb = 8;
   lower.value_kb = 2;
   lower.txn_ops = 8;
   lower.state_write_rps = 28;
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -96,7 +96,7 @@
     settings_.teams = {{"t", 0, 4, 0, 0}};
     wire::JobRecord job;
     job.spec = spec();
-    job.shares = {{1, 0, 3, kName}};
+    job.initial_ranges = {{1, 0, 3, kName}};
     put(wire::job_key(kJob), encode(job));
     wire::MachineType type;
     type.name = "g";
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -197,7 +197,7 @@
 void SimulatedCluster::report_history() {
   // A cancellation is recorded with the job; its final state follows when there is write headroom.
   for (const auto& [key, item] : state_->items) {
-    if (!key.starts_with(wire::kJobPrefixKey)) continue;
+    if (!key.starts_with(wire::kJobPrefix)) continue;
     const auto record = wire::decode<wire::JobRecord>(item.value);
     if (record && record->cancelled)
       history_.add(now_, history::ResultRecorded{record->spec.id, false});
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -48,7 +48,7 @@
   s.state_write_rps = options.state_writes_per_s;
   s.value_kb = static_cast<double>(limits.value_bytes) / 1024.0;
   s.txn_ops = static_cast<int>(options.txn_ops);
-  s.stored_value_kb = s.value_kb;
+  s.current_value_kb = s.value_kb;
   if (options.limits_drop_at) {  // announced from the start, without the time
     const StateLimits& next = options.limits_after;
     s.state_write_rps = std::min(options.state_writes_per_s, next.writes_per_s);
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -389,7 +389,7 @@
   run(200);
   EXPECT_EQ(write_counts_of_requests(), (std::vector<unsigned>{8, 2}));
   for (const auto& s : requests_to(wire::kTransactionPath))
-    EXPECT_LE(s.call.body.size(), wire::kTransactionBytes);
+    EXPECT_LE(s.call.body.size(), wire::kMaxTransactionBytes);
 }
 
 TEST_F(StateClientTest, GroupStaysWithinTheLimitOnConditions) {
--- a/tests/upgrade_format_test.cpp
+++ b/tests/upgrade_format_test.cpp
@@ -145,19 +145,19 @@
   EXPECT_EQ(job.spec.deadline_s, 900.0);
   EXPECT_EQ(job.submitted_ms, 1764651436123);
   EXPECT_TRUE(job.cancelled);
-  ASSERT_EQ(job.shares.size(), 3U);
-  EXPECT_EQ(job.shares[0].number, 1U);
-  EXPECT_EQ(job.shares[0].begin, 0U);
-  EXPECT_EQ(job.shares[0].end, 640U);
-  EXPECT_EQ(job.shares[0].owner, "puffin-0");
-  EXPECT_EQ(job.shares[1].number, 2U);
-  EXPECT_EQ(job.shares[1].begin, 640U);
-  EXPECT_EQ(job.shares[1].end, 960U);
-  EXPECT_EQ(job.shares[1].owner, "puffin-1");
-  EXPECT_EQ(job.shares[2].number, 4'000'000'000U);
-  EXPECT_EQ(job.shares[2].begin, 960U);
-  EXPECT_EQ(job.shares[2].end, 1000U);
-  EXPECT_EQ(job.shares[2].owner, "puffin-2");
+  ASSERT_EQ(job.initial_ranges.size(), 3U);
+  EXPECT_EQ(job.initial_ranges[0].number, 1U);
+  EXPECT_EQ(job.initial_ranges[0].begin, 0U);
+  EXPECT_EQ(job.initial_ranges[0].end, 640U);
+  EXPECT_EQ(job.initial_ranges[0].owner, "puffin-0");
+  EXPECT_EQ(job.initial_ranges[1].number, 2U);
+  EXPECT_EQ(job.initial_ranges[1].begin, 640U);
+  EXPECT_EQ(job.initial_ranges[1].end, 960U);
+  EXPECT_EQ(job.initial_ranges[1].owner, "puffin-1");
+  EXPECT_EQ(job.initial_ranges[2].number, 4'000'000'000U);
+  EXPECT_EQ(job.initial_ranges[2].begin, 960U);
+  EXPECT_EQ(job.initial_ranges[2].end, 1000U);
+  EXPECT_EQ(job.initial_ranges[2].owner, "puffin-2");
 }
 
 TEST(UpgradeFormat, ArrayJobWithRequiredFieldsOnly) {
@@ -184,7 +184,7 @@
   EXPECT_FALSE(job.spec.deadline_s.has_value());
   EXPECT_EQ(job.submitted_ms, 0);
   EXPECT_FALSE(job.cancelled);
-  EXPECT_TRUE(job.shares.empty());
+  EXPECT_TRUE(job.initial_ranges.empty());
 }
 
 TEST(UpgradeFormat, GangJob) {
@@ -211,11 +211,11 @@
   EXPECT_EQ(job.spec.deadline_s, 0.0);
   EXPECT_EQ(job.submitted_ms, -5);
   EXPECT_FALSE(job.cancelled);
-  ASSERT_EQ(job.shares.size(), 1U);
-  EXPECT_EQ(job.shares[0].number, 1U);
-  EXPECT_EQ(job.shares[0].begin, 0U);
-  EXPECT_EQ(job.shares[0].end, 16U);
-  EXPECT_EQ(job.shares[0].owner, "puffin-1");
+  ASSERT_EQ(job.initial_ranges.size(), 1U);
+  EXPECT_EQ(job.initial_ranges[0].number, 1U);
+  EXPECT_EQ(job.initial_ranges[0].begin, 0U);
+  EXPECT_EQ(job.initial_ranges[0].end, 16U);
+  EXPECT_EQ(job.initial_ranges[0].owner, "puffin-1");
 }
 
 TEST(UpgradeFormat, JobWithManyInitialRanges) {
@@ -232,12 +232,12 @@
   EXPECT_EQ(job.spec.estimate_s, 12.0);
   EXPECT_EQ(job.submitted_ms, 1764651436123);
   EXPECT_FALSE(job.cancelled);
-  ASSERT_EQ(job.shares.size(), 48U);
+  ASSERT_EQ(job.initial_ranges.size(), 48U);
   for (std::uint32_t i = 0; i < 48; ++i) {
-    EXPECT_EQ(job.shares[i].number, i + 1);
-    EXPECT_EQ(job.shares[i].begin, i * 2000);
-    EXPECT_EQ(job.shares[i].end, i == 47 ? 100'000U : (i + 1) * 2000);
-    EXPECT_EQ(job.shares[i].owner, "puffin-" + std::to_string(i % 3));
+    EXPECT_EQ(job.initial_ranges[i].number, i + 1);
+    EXPECT_EQ(job.initial_ranges[i].begin, i * 2000);
+    EXPECT_EQ(job.initial_ranges[i].end, i == 47 ? 100'000U : (i + 1) * 2000);
+    EXPECT_EQ(job.initial_ranges[i].owner, "puffin-" + std::to_string(i % 3));
   }
 }
 
@@ -436,7 +436,7 @@
   EXPECT_EQ(message->from, "puffin-0");
   EXPECT_EQ(message->incarnation, "00000000000000a1");
   EXPECT_EQ(message->epoch, 417U);
-  EXPECT_TRUE(message->state_answers);
+  EXPECT_TRUE(message->state_service_answers);
   EXPECT_EQ(message->free_cpus, 123.5);
   EXPECT_EQ(message->sent_ms, 1764651436123U);
   EXPECT_EQ(encode(*message), bytes);
@@ -446,7 +446,7 @@
   EXPECT_EQ(silent->from, "puffin-1");
   EXPECT_EQ(silent->incarnation, "7f3a9c0000000001");
   EXPECT_EQ(silent->epoch, 0U);
-  EXPECT_FALSE(silent->state_answers);
+  EXPECT_FALSE(silent->state_service_answers);
   EXPECT_EQ(silent->free_cpus, 0.0);
   EXPECT_EQ(silent->sent_ms, 0U);
   EXPECT_EQ(encode(*silent), silent_bytes);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -306,7 +306,7 @@
   const auto spec = parse_job(job_text());
   ASSERT_TRUE(spec) << spec.error().text();
   record.spec = *spec;
-  record.shares = {{0, 0, 8, "a"}, {1, 8, 17, "b"}};  // of a job of 16 tasks
+  record.initial_ranges = {{0, 0, 8, "a"}, {1, 8, 17, "b"}};  // of a job of 16 tasks
   EXPECT_EQ(error_of(decode<JobRecord>(encode(record))),
             "shares[1]: expected [number, begin, end, owner] of tasks of the job");
   EXPECT_EQ(error_of(decode<JobRecord>(job_text())), "submittedMs: expected a whole number");
--- a/tests/workers_test.cpp
+++ b/tests/workers_test.cpp
@@ -49,7 +49,7 @@
     job.spec.cpus = 1;
     job.spec.image = "i";
     job.cancelled = cancelled;
-    job.shares = {{1, 0, 1, kName}};
+    job.initial_ranges = {{1, 0, 1, kName}};
     put(wire::job_key(kJob), encode(job));
   }
 
