--- a/src/links/monitor.cpp
+++ b/src/links/monitor.cpp
@@ -117,8 +117,9 @@
 
 // Rows describe a past state, and controllers notice the same failure at different times. A zone
 // therefore counts as reachable for the other controller only if its last heartbeat there is later
-// than this controller's (since_wall), and if its heartbeats have not just returned after a
-// failure, since this controller's link is then most likely back as well.
+// than `since_wall`, a time after this controller's own last heartbeat. Heartbeats that have only
+// just returned after a failure don't count, since this controller's link is then most likely back
+// as well.
 bool Monitor::reaches_workers_since(const Moment& moment, const Matrix::Entry& entry,
                                     const std::vector<std::string>& zones, Ms since_wall) {
   const wire::LinkRow& row = entry.row;
--- a/src/workers/relay.cpp
+++ b/src/workers/relay.cpp
@@ -10,7 +10,7 @@
 // peer waits for the worker. The rest is for the messages to the peer and back.
 constexpr std::int64_t kRelayedCommandTimeoutMs = 2000;
 constexpr std::int64_t kRelayedWorkerTimeoutMs = 1200;
-// Milliseconds after which an unanswered request is sent to the peer once more.
+// Milliseconds after which an unanswered request is sent to the peer again, until its timeout.
 constexpr std::int64_t kRelayResendMs = 700;
 // Milliseconds for which the result of a peer's request is kept, and the maximum number of results
 // kept.
--- a/tests/links_monitor_test.cpp
+++ b/tests/links_monitor_test.cpp
@@ -120,7 +120,7 @@
   const Ms later = now_ + 5000;
   EXPECT_TRUE(monitor_.may_keep_machines(at(now_ + 500), {"b", "c"}).allowed);
   EXPECT_EQ(monitor_.may_keep_machines(at(later), {}).reason, Reason::nobody_else);
-  // Peers without a row, such as older versions, are assumed to be reachable.
+  // Peers without a row, such as older versions, are assumed to reach the machines.
   EXPECT_FALSE(monitor_.may_keep_machines(at(later), {"b", "c"}).allowed);
   wire::LinkRow b = row("b", Status::up, later - 100);
   wire::LinkRow c = row("c", Status::up, later - 100);
