--- a/tests/concurrent_faults_workers_test.cpp
+++ b/tests/concurrent_faults_workers_test.cpp
@@ -1,5 +1,6 @@
-// Concurrent faults of workers and users, planned. Each entry names the safeguard of the controller
-// that keeps the invariant; without it, the test fails.
+// Seeded simulations with planned concurrent faults of workers and users. The comment at each
+// scenario names the code in the controller that preserves the invariant; without that code,
+// the test fails.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -11,19 +12,21 @@
 namespace scheduler::sim {
 namespace {
 
-struct FaultPair {
+struct FaultScenario {
   const char* name;
-  std::uint64_t seeds;
+  std::uint64_t seed_count;
   std::function<void(Options&, std::uint64_t seed)> plan;
-  // How often all runs together brought the situation about, and how often they must.
-  std::function<int(const Result&)> met;
-  int least;
+  // Counts in one run how often the intended situation occurred; all runs of the scenario together
+  // must reach `min_occurrences`.
+  std::function<int(const Result&)> occurrences;
+  int min_occurrences;
 };
 
-void PrintTo(const FaultPair& m, std::ostream* out) { *out << m.name; }
+void PrintTo(const FaultScenario& scenario, std::ostream* out) { *out << scenario.name; }
 
-const FaultPair kFaultPairs[] = {
-    // Controller::zones_open: tasks that are still recorded in a zone count, lost or not.
+const FaultScenario kScenarios[] = {
+    // TaskAssigner::open_zones: a task counts for its zone until it is proven gone, even if its
+    // machine is lost.
     {"ZoneBoundJobsLoseMachines", 3,
      [](Options& o, std::uint64_t seed) {
        o.zone_bound_jobs = 0.7;
@@ -34,8 +37,8 @@
        if (seed % 2 == 0) add_periodic_faults(o, Fault::spot_wave, 20'000, 25'000, 0);
      },
      [](const Result& r) { return r.zone_bound_tasks_lost; }, 10},
-    // Controller::reconcile: only a token above that of every start sent proves that a task which
-    // is not listed cannot start any more.
+    // Reconciler::reconcile: a task that the machine does not list may still start until the
+    // machine reports a token higher than that of every start command sent for the task.
     {"CommandsDelayedByAHang", 4,
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
@@ -45,7 +48,8 @@
        if (seed % 2 == 0) add_periodic_faults(o, Fault::slow_links, 20'000, 25'000, 15'000);
      },
      [](const Result& r) { return r.late_commands; }, 20},
-    // apply_heartbeat: sequence numbers order the messages of a machine.
+    // HeartbeatApplier::apply: rejects heartbeats that are older than the last one by incarnation
+    // and sequence number.
     {"StaleHeartbeatsAfterNewer", 4,
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
@@ -58,9 +62,8 @@
        if (seed % 2 == 0) add_periodic_faults(o, Fault::quick_restart, 15'000, 20'000, 0, seed % 3);
      },
      [](const Result& r) { return r.duplicate_heartbeats_arrived; }, 100},
-    // Controller::finish and on_cancel: both compare the version of the job's record; either alone
-    // is
-    // not enough.
+    // JobCompletion::write_final_state and JobCancellation::write_cancelled: both writes are
+    // conditional on the version of the job's record; one conditional write alone is not enough.
     {"RequestsAsTheLastTaskEnds", 4,
      [](Options& o, std::uint64_t) {
        o.job_every_ms = 500;
@@ -72,15 +75,15 @@
        add_periodic_faults(o, Fault::cancel_at_end, 1'000, 10'000, 10'000);
      },
      [](const Result& r) { return r.requests_at_end; }, 200},
-    // Controller::reconcile: no task that a machine does not list counts as released before it has
-    // shown a token of its present owner.
+    // Reconciler::reconcile: a task that the machine does not list is not released before the
+    // machine has reported a token of its current owner.
     {"HeartbeatsDelayedUntilANewOwnerActed", 7,
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.gang_tenths = 6;
        o.failing_jobs = 0;
-       // A gang loses a task, others of it hang, their owner crashes, and the next owner receives
-       // heartbeats that they sent before the gang started.
+       // A gang loses a task, machines of its other tasks hang, their owner crashes, and the next
+       // owner receives heartbeats that these machines sent before the gang started.
        for (Ms at = 14'000; at < 80'000; at += 11'000) {
          o.planned_faults.push_back({at - 9'000, Fault::heartbeats_delayed, 0, 12'000});
          for (Ms k = 0; k < 2; ++k) o.planned_faults.push_back({at + k, Fault::machine_dies, 0, 0});
@@ -92,9 +95,8 @@
        if (seed % 2 == 0) o.planned_faults.push_back({20'000, Fault::slow_links, 0, 40'000});
      },
      [](const Result& r) { return r.delayed_heartbeats_arrived; }, 100},
-    // within_grant (quota.cpp): a task counts against its controller's grant until it is recorded
-    // as
-    // gone, which slow links put off.
+    // QuotaManager::allows: a task counts against its controller's quota lease until its release is
+    // recorded, which slow links delay.
     {"MoreWorkThanCapacityOverSlowLinks", 2,
      [](Options& o, std::uint64_t) {
        o.longest_task_s = 12;
@@ -103,15 +105,16 @@
        add_periodic_faults(o, Fault::job_burst, 20'000, 25'000, 8'000);
      },
      [](const Result& r) { return r.checkpointed_stops; }, 1},
-    // apply_heartbeat: a new incarnation's lease counts from the first contact, a reply to a
-    // command included.
+    // HeartbeatApplier::begin_incarnation: the lease of a new incarnation starts at the first
+    // contact, which may be a reply to a command.
     {"MachinesWhoseHeartbeatsAreLost", 3,
      [](Options& o, std::uint64_t) {
        o.machines = 9;
        add_periodic_faults(o, Fault::machine_heartbeats_lost, 10'000, 6'000, 25'000);
      },
      [](const Result& r) { return r.starts_without_heartbeats; }, 10},
-    // Controller::state_of: no cancellation is confirmed while a task is recorded on a machine.
+    // JobReader::state_of: a job is not reported as cancelled while a task of it is recorded on a
+    // machine.
     {"CancelledOnHangingMachines", 4,
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
@@ -121,7 +124,8 @@
                            2'000 + 700 * static_cast<Ms>(seed));
      },
      [](const Result& r) { return r.hangs_during_cancellation; }, 30},
-    // wire::parse_job, Controller::verdict and lookup.
+    // wire::parse_job, JobSubmission::admission_error and JobReader::read_job reject these
+    // requests.
     {"InvalidRequests", 2,
      [](Options& o, std::uint64_t seed) {
        add_periodic_faults(o, Fault::invalid_requests, 5'000, 10'000, 10'000);
@@ -131,10 +135,10 @@
      [](const Result& r) { return r.invalid_requests_answered; }, 1000},
 };
 
-class ConcurrentFaults : public testing::TestWithParam<FaultPair> {};
+class ConcurrentFaults : public testing::TestWithParam<FaultScenario> {};
 
-// One run, in which no invariant is violated and all jobs end.
-Result run(const FaultPair& pair, std::uint64_t seed, double services) {
+// Runs the scenario with one seed and expects that no invariant is violated and that all jobs end.
+Result run(const FaultScenario& scenario, std::uint64_t seed, double services) {
   Options o;
   o.seed = seed;
   o.faults = false;
@@ -142,7 +146,7 @@
   o.recovery_ms = 700'000;
   o.until_finished = true;
   o.services = services;
-  pair.plan(o, seed);
+  scenario.plan(o, seed);
   o.trace = trace_from_environment();
   Result r = SimulatedCluster(o).run();
   EXPECT_THAT(r, testing::AllOf(has_no_violations(), has_no_unfinished_jobs())) << "seed " << seed;
@@ -151,27 +155,28 @@
 }
 
 TEST_P(ConcurrentFaults, InvariantsHoldAndAllJobsEnd) {
-  const FaultPair& pair = GetParam();
-  int met = 0;
-  for (std::uint64_t seed = 1; seed <= pair.seeds; ++seed) {
-    if (!skips_seed(seed)) met += pair.met(run(pair, seed, 0));
+  const FaultScenario& scenario = GetParam();
+  int occurrences = 0;
+  for (std::uint64_t seed = 1; seed <= scenario.seed_count; ++seed) {
+    if (!skips_seed(seed)) occurrences += scenario.occurrences(run(scenario, seed, 0));
   }
-  RecordProperty("met", met);
-  if (prints_counts()) std::printf("met %d\n", met);
-  EXPECT_GE(met, pair.least) << "the runs do not bring about what they are for";
+  RecordProperty("met", occurrences);
+  if (prints_counts()) std::printf("met %d\n", occurrences);
+  EXPECT_GE(occurrences, scenario.min_occurrences)
+      << "the planned faults did not cause the intended situation often enough";
 }
 
-// The same while services are submitted among the arrays and gangs.
+// Runs each scenario with two seeds and with services submitted among the arrays and gangs.
 TEST_P(ConcurrentFaults, InvariantsHoldWithServices) {
-  constexpr double kServices = 0.1;  // of the jobs
+  constexpr double kServiceShare = 0.1;  // share of the jobs
   int services = 0;
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    if (!skips_seed(seed)) services += run(GetParam(), seed, kServices).services;
+    if (!skips_seed(seed)) services += run(GetParam(), seed, kServiceShare).services;
   }
   EXPECT_GT(services, 3);
 }
 
-INSTANTIATE_TEST_SUITE_P(Workers, ConcurrentFaults, testing::ValuesIn(kFaultPairs),
+INSTANTIATE_TEST_SUITE_P(Workers, ConcurrentFaults, testing::ValuesIn(kScenarios),
                          [](const auto& m) { return std::string(m.param.name); });
 
 }  // namespace
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,5 +1,5 @@
-// The pure parts of the controller: placement, membership, quota leases, failures, pending order
-// and fleet sizing.
+// Unit tests of components that need no simulation: placement, cluster view, quota leases, failure
+// tracking, the order of pending jobs, and fleet sizing.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -46,7 +46,7 @@
   free.images.emplace_back("i");
   EXPECT_DOUBLE_EQ(predict_finish(kNow, free, job), 60);
   EXPECT_DOUBLE_EQ(predict_finish(kNow, machine("b", 8, 2), job), 92);
-  EXPECT_GT(predict_finish(kNow, machine("c", 2, 2), job), 1e6);  // never fits
+  EXPECT_GT(predict_finish(kNow, machine("c", 2, 2), job), 1e6);  // the job never fits
 }
 
 TEST(Placement, OverrunningTaskEndsWithinTheAllowance) {
@@ -72,7 +72,8 @@
 }
 
 TEST(Placement, LowerPredictionOfTwoSamplesWins) {
-  // One machine in four has the image; it is chosen whenever a sample sees one of them.
+  // One machine in four has the job's image; such a machine is chosen whenever the sample contains
+  // one.
   pcg32 random(7);
   std::vector<Candidate> machines;
   std::vector<Candidate*> pool;
@@ -84,9 +85,9 @@
   }
   pool.reserve(machines.size());
   for (auto& m : machines) pool.push_back(&m);
-  int hits = 0;
-  for (int n = 0; n < 4000; ++n) hits += pick_of_two(kNow, pool, spec(1), all, random) < 2;
-  EXPECT_NEAR(hits / 4000.0, 1 - std::pow(0.75, kSampledMachines), 0.03);
+  int with_image = 0;
+  for (int n = 0; n < 4000; ++n) with_image += pick_of_two(kNow, pool, spec(1), all, random) < 2;
+  EXPECT_NEAR(with_image / 4000.0, 1 - std::pow(0.75, kSampledMachines), 0.03);
 }
 
 TEST(ClusterView, MachinesStayInTheirZoneAndMoveLittle) {
@@ -111,7 +112,7 @@
     }
     if (zone == "z") used.insert(before[id]);
   }
-  EXPECT_EQ(used.size(), 3U);  // zones without a controller are shared by all
+  EXPECT_EQ(used.size(), 3U);  // machines of a zone without controllers are divided among all
   v.epoch = 2;
   v.live.erase("c");
   m.update(v);
@@ -126,8 +127,8 @@
   EXPECT_EQ(ClusterView::epoch_of(ClusterView::token(9, 55)), 9U);
 }
 
-// Found by the simulation: gangs of three shards, each with a quota lease too small for its own,
-// waited for ever.
+// Guards against a deadlock: three shards each have a waiting gang and a quota lease too small for
+// it, and no gang ever starts.
 TEST(Quota, RemaindersAreCollectedInRotation) {
   const Team team{"t", 0, 40, 0, 0};
   const std::vector<std::string> live{"a", "b", "c"};
@@ -137,70 +138,73 @@
   std::map<std::string, double> used;
   std::map<std::string, double> started;
   for (Ms wall = 0; wall < 20 * kQuotaTurnMs; wall += kQuotaCheckIntervalMs) {
-    for (const auto& who : live) {
+    for (const auto& controller : live) {
       QuotaLeaseInput in;
       in.team = &team;
-      in.self = who;
+      in.self = controller;
       in.live = live;
       for (const auto& n : live) in.used[n] = {used[n], 0};
       in.need.cpus = 20;
-      in.yield = used[who] == 0 && quota_collector(record, live, wall) != who;
+      in.yield = used[controller] == 0 && quota_collector(record, live, wall) != controller;
       if (const auto next = next_quota_record(in, record)) record = *next;
       double granted = 0;
       for (const auto& [n, g] : record.leases) granted += g.cpus;
       ASSERT_LE(granted, 40 + 1e-6);
-      if (used[who] == 0 && fits_in_lease(team, record, who, {0, 0}, 20, 0)) {
-        used[who] = 20;
-        ++started[who];
+      if (used[controller] == 0 && fits_in_lease(team, record, controller, {0, 0}, 20, 0)) {
+        used[controller] = 20;
+        ++started[controller];
       } else if (wall % kQuotaTurnMs == 0) {
-        used[who] = 0;
+        used[controller] = 0;
       }
     }
   }
-  for (const auto& who : live) EXPECT_GT(started[who], 0) << who;
+  for (const auto& controller : live) EXPECT_GT(started[controller], 0) << controller;
 }
 
-// Three controllers need quota for replicas, and the remainder is too small for those of two. The
-// controller that releases it knows first that it is free, and must leave it to the collector.
-TEST(Quota, RemainderReachesAServiceItSuffices) {
-  struct Part {
+// Three controllers need quota for replicas, and the unused quota suffices only for the replica of
+// one of them. The controller that releases it is the first to see it as free and must not take it
+// back, but leave it to the controller whose turn it is to collect.
+TEST(Quota, UnusedQuotaReachesTheServiceThatFits) {
+  struct ControllerLease {
     std::string name;
-    double replica, lacking, used;  // CPUs
-    YieldTracker memory;
+    double replica, missing, used;  // CPUs
+    YieldTracker yield_tracker;
     Ms stuck_since = 0;
   };
   const Team team{"t", 0, 40, 0, 0};
-  std::vector<Part> parts{{"c", 13, 26, 23, {}}, {"b", 4, 16, 16, {}}, {"a", 1, 1, 0, {}}};
+  std::vector<ControllerLease> controllers{
+      {"c", 13, 26, 23, {}}, {"b", 4, 16, 16, {}}, {"a", 1, 1, 0, {}}};
   wire::QuotaRecord record;
   record.leases = {{"a", {0, 0}}, {"b", {16, 0}}, {"c", {24, 0}}};
   record.service_demand = {{"a", {1, 0}}, {"b", {16, 0}}, {"c", {26, 0}}};
   Ms started_at = 0;
-  const auto look = [&](Part& part, const wire::QuotaRecord& seen, Ms wall) {
-    const double own = seen.leases.at(part.name).cpus;
-    if (own <= part.used) part.stuck_since = wall;
+  const auto check_lease = [&](ControllerLease& controller, const wire::QuotaRecord& seen,
+                               Ms wall) {
+    const double own = seen.leases.at(controller.name).cpus;
+    if (own <= controller.used) controller.stuck_since = wall;
     const std::string turn = quota_collector(seen, {"a", "b", "c"}, wall);
     QuotaLeaseInput in;
     in.team = &team;
-    in.self = part.name;
+    in.self = controller.name;
     in.live = {"a", "b", "c"};
-    for (const auto& p : parts) in.used[p.name] = {p.used, 0};
-    in.need.cpus = part.lacking;
-    in.yield = wall - part.stuck_since > kQuotaYieldDelayMs && turn != part.name;
-    in.leave_to_collector = part.memory.leave_to_collector(in.yield, turn);
+    for (const auto& p : controllers) in.used[p.name] = {p.used, 0};
+    in.need.cpus = controller.missing;
+    in.yield = wall - controller.stuck_since > kQuotaYieldDelayMs && turn != controller.name;
+    in.leave_to_collector = controller.yield_tracker.leave_to_collector(in.yield, turn);
     if (!in.yield) {
-      in.used[part.name].cpus += part.lacking;
-      in.service_reserve.cpus = part.lacking;
+      in.used[controller.name].cpus += controller.missing;
+      in.service_reserve.cpus = controller.missing;
       in.need.cpus = 0;
     }
     return next_quota_record(in, seen);
   };
   for (Ms wall = 0; wall < 20'000 && started_at == 0; wall += kQuotaCheckIntervalMs) {
-    // Each knows the record as of the round before and its own write; of concurrent writes only the
-    // first succeeds.
+    // In each round all controllers read the record of the previous round; of their concurrent
+    // writes only the first succeeds.
     const wire::QuotaRecord seen = record;
     bool written = false;
-    for (auto& part : parts) {
-      const auto next = look(part, seen, wall);
+    for (auto& controller : controllers) {
+      const auto next = check_lease(controller, seen, wall);
       if (next && !written) {
         record = *next;
         written = true;
@@ -213,21 +217,21 @@
 }
 
 TEST(Quota, LeasesNeverExceedTheLimit) {
-  // Three controllers acquire, release and crash in random order; the sum of their leases never
-  // exceeds the limit.
+  // Three controllers acquire and release quota in random order, and one of them crashes and
+  // returns repeatedly. The sum of their leases must never exceed the limit.
   pcg32 random(3);
   const Team team{"t", 0, 100, 0, 0};
   std::map<std::string, double> used{{"a", 0}, {"b", 0}, {"c", 0}};
   std::vector<std::string> live{"a", "b", "c"};
   wire::QuotaRecord record;
-  bool waited = false;
-  bool got_after_wait = false;
+  bool lease_exhausted = false;
+  bool started_after_wait = false;
   for (int step = 0; step < 5000; ++step) {
     if (step % 500 == 499)
       live = live.size() == 3 ? std::vector<std::string>{"a", "b"}
                               : std::vector<std::string>{"a", "b", "c"};
-    const std::string who = live[random(static_cast<std::uint32_t>(live.size()))];
-    QuotaLeaseInput in{&team, who, live, {}, {}, {}, false, false};
+    const std::string controller = live[random(static_cast<std::uint32_t>(live.size()))];
+    QuotaLeaseInput in{&team, controller, live, {}, {}, {}, false, false};
     for (const auto& [n, u] : used) in.used[n] = {u, 0};
     in.need.cpus = random(3) == 0 ? random(60) : 0;
     if (const auto next = next_quota_record(in, record)) record = *next;
@@ -235,85 +239,89 @@
     for (const auto& [n, g] : record.leases) granted += g.cpus;
     ASSERT_LE(granted, 100 + 1e-6);
     const double task = 1 + random(8);
-    if (fits_in_lease(team, record, who, {used[who], 0}, task, 0)) {
-      used[who] += task;
-      got_after_wait = got_after_wait || waited;
+    if (fits_in_lease(team, record, controller, {used[controller], 0}, task, 0)) {
+      used[controller] += task;
+      started_after_wait = started_after_wait || lease_exhausted;
     } else {
-      waited = true;
+      lease_exhausted = true;
     }
-    const std::string ends = std::string(1, static_cast<char>('a' + random(3)));
-    if (random(3) == 0) used[ends] = std::max(0.0, used[ends] - random(20));
+    const std::string finishing = std::string(1, static_cast<char>('a' + random(3)));
+    if (random(3) == 0) used[finishing] = std::max(0.0, used[finishing] - random(20));
     double total = 0;
     for (const auto& [n, u] : used) total += u;
     ASSERT_LE(total, 100 + 1e-6);
   }
-  EXPECT_TRUE(got_after_wait);
+  EXPECT_TRUE(started_after_wait);
 }
 
 TEST(FailureTracker, FailuresOfSeveralJobsQuarantineAMachine) {
-  FailureTracker h;
-  EXPECT_FALSE(h.on_task_failed(1000, "m1", "req-000001"));
-  EXPECT_FALSE(h.on_task_failed(1100, "m1", "req-000001"));
-  EXPECT_TRUE(h.on_task_failed(1200, "m1", "req-000002"));
+  FailureTracker tracker;
+  EXPECT_FALSE(tracker.on_task_failed(1000, "m1", "req-000001"));
+  EXPECT_FALSE(tracker.on_task_failed(1100, "m1", "req-000001"));
+  EXPECT_TRUE(tracker.on_task_failed(1200, "m1", "req-000002"));
 }
 
 TEST(FailureTracker, FaultyJobBacksOffWithoutQuarantine) {
-  FailureTracker h;
+  FailureTracker tracker;
   for (int i = 0; i < 6; ++i)
-    EXPECT_FALSE(h.on_task_failed(1000 + i, "m" + std::to_string(i), "req-000009"));
-  EXPECT_TRUE(h.is_faulty_job("req-000009"));
-  EXPECT_GT(h.next_attempt_at("req-000009"), 1005 + kInitialJobBackoffMs);
-  EXPECT_FALSE(h.on_task_failed(2000, "m1", "req-000010"));  // the faulty job's errors do not count
+    EXPECT_FALSE(tracker.on_task_failed(1000 + i, "m" + std::to_string(i), "req-000009"));
+  EXPECT_TRUE(tracker.is_faulty_job("req-000009"));
+  EXPECT_GT(tracker.next_attempt_at("req-000009"), 1005 + kInitialJobBackoffMs);
+  // Failures of a faulty job do not count against the machine.
+  EXPECT_FALSE(tracker.on_task_failed(2000, "m1", "req-000010"));
 }
 
-PendingJob waits(double work, std::vector<double> latest_starts_s, int priority = 1,
-                 double age_s = 0) {
-  PendingJob w;
-  w.work = work;
-  w.latest_starts_s = std::move(latest_starts_s);
-  w.priority = priority;
-  w.age_s = age_s;
-  return w;
+PendingJob waiting(double work, std::vector<double> latest_starts_s, int priority = 1,
+                   double age_s = 0) {
+  PendingJob job;
+  job.work = work;
+  job.latest_starts_s = std::move(latest_starts_s);
+  job.priority = priority;
+  job.age_s = age_s;
+  return job;
 }
 
-// CPUs with which the forecast counts on one CPU second a second.
-constexpr double kOneCpu = 1.0 / kForecastCpuShare;
+// Fleet size in CPUs for which the forecast assumes one CPU second of work per second.
+constexpr double kOneCpuFleet = 1.0 / kForecastCpuShare;
 
 TEST(DeadlineOrder, DefersTheLargestWhenDeadlinesConflict) {
-  // Due after 10, 11 and 12 s; 4 + 9 + 4 s of work: without the one of 9 the others are in time.
-  EXPECT_EQ(order_by_deadline({waits(4, {10}), waits(9, {11}), waits(4, {12})}, kOneCpu),
+  // Three jobs with 4, 9 and 4 s of work are due after 10, 11 and 12 s. If the job with 9 s is
+  // deferred, the other two meet their deadlines.
+  EXPECT_EQ(order_by_deadline({waiting(4, {10}), waiting(9, {11}), waiting(4, {12})}, kOneCpuFleet),
             (std::vector<std::size_t>{0, 2, 1}));
-  // The one of 9 counts for more: its class is small.
-  auto rare = waits(9, {11});
-  rare.weight = 4;
-  const auto p = order_by_deadline({waits(4, {10}), rare, waits(4, {12})}, kOneCpu);
+  // With weight 4, the job with 9 s is no longer the one to defer.
+  auto weighted = waiting(9, {11});
+  weighted.weight = 4;
+  const auto p = order_by_deadline({waiting(4, {10}), weighted, waiting(4, {12})}, kOneCpuFleet);
   EXPECT_LT(p[1], p[2]);
 }
 
 TEST(DeadlineOrder, ServesTheSmallestFirstWhileAllMeetDeadlines) {
-  EXPECT_EQ(order_by_deadline({waits(5, {100}), waits(2, {200}), waits(9, {300})}, kOneCpu),
-            (std::vector<std::size_t>{1, 0, 2}));
-  // Unless the larger one would then be late.
-  EXPECT_EQ(order_by_deadline({waits(5, {5}), waits(2, {200})}, kOneCpu),
+  EXPECT_EQ(
+      order_by_deadline({waiting(5, {100}), waiting(2, {200}), waiting(9, {300})}, kOneCpuFleet),
+      (std::vector<std::size_t>{1, 0, 2}));
+  // The larger job goes first if it would be late otherwise.
+  EXPECT_EQ(order_by_deadline({waiting(5, {5}), waiting(2, {200})}, kOneCpuFleet),
             (std::vector<std::size_t>{0, 1}));
 }
 
 TEST(DeadlineOrder, MeetsALaterObjectiveWhenTheFirstIsMissed) {
-  // 8 s cannot be done by 5, but by 20.
-  const auto p =
-      order_by_deadline({waits(8, {5, 20}), waits(4, {}, 1, 50), waits(3, {4})}, kOneCpu);
+  // The job with 8 s of work cannot be completed by second 5, but it can by second 20.
+  const auto p = order_by_deadline({waiting(8, {5, 20}), waiting(4, {}, 1, 50), waiting(3, {4})},
+                                   kOneCpuFleet);
   EXPECT_EQ(p, (std::vector<std::size_t>{1, 2, 0}));
 }
 
 TEST(DeadlineOrder, HighPriorityFirstAndMissedObjectivesByAge) {
   const auto p = order_by_deadline(
-      {waits(1, {50}), waits(90, {1}, 2), waits(1, {}, 1, 10), waits(1, {}, 1, 20)}, kOneCpu);
+      {waiting(1, {50}), waiting(90, {1}, 2), waiting(1, {}, 1, 10), waiting(1, {}, 1, 20)},
+      kOneCpuFleet);
   EXPECT_EQ(p, (std::vector<std::size_t>{1, 0, 3, 2}));
 }
 
 TEST(ClusterView, ZonesWithoutAControllerGoToTheLeastLoaded) {
-  // One controller alone in its zone carries a third of the machines by that; the third zone is for
-  // the two that share one.
+  // p1 is alone in zone y and owns its machines, a third of all. The machines of zone z, which has
+  // no controller, go to p0 and p2, which share zone x.
   Settings s;
   s.name = "p0";
   s.zone = "x";
@@ -328,7 +336,7 @@
   for (int i = 0; i < 900; ++i)
     ++owned[m.machine_owner("n-" + std::to_string(i), s.zones[static_cast<std::size_t>(i % 3)])];
   for (const auto& [name, n] : owned) EXPECT_NEAR(n, 300, 40) << name;
-  // Alone, everything is its own.
+  // A single live controller owns all machines.
   view.live = {{"p1", "b"}};
   ++view.epoch;
   m.update(view);
@@ -338,7 +346,7 @@
 TEST(FleetSizer, ScalesOutForDemandAndAvoidsRefusedKinds) {
   Settings s;
   s.objectives = {{ObjectiveKind::finished, "c", 0.9, 0, 120}};
-  FleetSizer f(s);
+  FleetSizer sizer(s);
   wire::MachineType t;
   t.name = "t";
   t.cpus = 4;
@@ -349,27 +357,27 @@
   job.job_class = "c";
   job.tasks = 40;
   const std::vector<Demand> demand{{&job, 40}};
-  auto rent = f.next_scale_out(0, demand, {t}, {});
+  auto rentals = sizer.next_scale_out(0, demand, {t}, {});
   int total = 0;
-  for (const auto& r : rent) {
+  for (const auto& r : rentals) {
     total += static_cast<int>(r.count);
     EXPECT_FALSE(r.spot);
   }
-  EXPECT_EQ(total, 17);  // 40 tasks side by side on 10 machines, half as many more, two to spare
-  f.on_refused(0, {"t", "x", false});
-  f.on_refused(0, {"t", "y", false});
+  EXPECT_EQ(total, 17);  // 10 machines for 40 parallel tasks, 50% headroom, 2 spare machines
+  sizer.on_refused(0, {"t", "x", false});
+  sizer.on_refused(0, {"t", "y", false});
   EXPECT_TRUE(
-      f.next_scale_out(1, demand, {t}, {}).empty());  // the job does not allow spot machines
+      sizer.next_scale_out(1, demand, {t}, {}).empty());  // the job does not allow spot machines
   job.spot = true;
-  EXPECT_FALSE(f.next_scale_out(1, demand, {t}, {}).empty());
-  EXPECT_FALSE(f.next_scale_out(kRefusedKindRetryDelayMs + 1, demand, {t}, {}).empty());
+  EXPECT_FALSE(sizer.next_scale_out(1, demand, {t}, {}).empty());
+  EXPECT_FALSE(sizer.next_scale_out(kRefusedKindRetryDelayMs + 1, demand, {t}, {}).empty());
 }
 
 TEST(FleetSizer, SpotMachinesDoNotServeOnDemandWork) {
-  // Found by the simulation: spot machines in a zone counted for work that may not use them, and
-  // it waited for ever.
+  // Guards against counting spot machines of a zone as capacity for work that may not use them: no
+  // machine was rented, and the work waited forever.
   Settings s;
-  FleetSizer f(s);
+  FleetSizer sizer(s);
   wire::MachineType t;
   t.name = "t";
   t.cpus = 4;
@@ -378,11 +386,11 @@
   t.zones = {"x", "y"};
   auto job = spec(4, 60);
   job.zone = "x";
-  const auto rent =
-      f.next_scale_out(0, {{&job, 1}}, {t}, {{{"t", "x", true}, 9}, {{"t", "y", false}, 9}});
-  ASSERT_EQ(rent.size(), 1U);
-  EXPECT_EQ(rent[0].zone, "x");
-  EXPECT_FALSE(rent[0].spot);
+  const auto rentals =
+      sizer.next_scale_out(0, {{&job, 1}}, {t}, {{{"t", "x", true}, 9}, {{"t", "y", false}, 9}});
+  ASSERT_EQ(rentals.size(), 1U);
+  EXPECT_EQ(rentals[0].zone, "x");
+  EXPECT_FALSE(rentals[0].spot);
 }
 
 }  // namespace
--- a/tests/overload_sim_test.cpp
+++ b/tests/overload_sim_test.cpp
@@ -1,5 +1,5 @@
-// Seeded runs of large fleets and of more work than there is capacity for. Invariants are checked
-// at every step.
+// Seeded simulations of large fleets and of overload: more work than there is capacity for.
+// Invariants are checked at every step.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -12,7 +12,7 @@
 namespace scheduler::sim {
 namespace {
 
-// Hundreds of machines and arrays spread over all of them.
+// Hundreds of machines, and array jobs that spread over all of them.
 TEST(Simulation, LargeFleetAndLongArrays) {
   Options o;
   o.seed = 5;
@@ -30,10 +30,11 @@
   EXPECT_EQ(r.oversized_txns, 0);
 }
 
-// A lasting overload: large jobs are ordered behind others, but none is starved.
+// Guards against starvation: during a lasting overload large jobs are placed after smaller ones,
+// but each must still start.
 TEST(Simulation, OverloadStarvesNoJob) {
-  int largest = 0;
-  std::map<std::string, std::pair<int, int>> served;  // of all seeds: jobs, and those done
+  int large_jobs = 0;
+  std::map<std::string, std::pair<int, int>> served;  // over all seeds: jobs, and completed jobs
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Options o;
     o.seed = seed;
@@ -46,19 +47,20 @@
     const Result r = SimulatedCluster(o).run();
     EXPECT_THAT(r, has_no_violations());
     EXPECT_EQ(r.large_jobs_late, 0) << "seed " << seed << " of " << r.large_jobs;
-    largest += r.large_jobs;
-    for (const auto& [what, n] : r.served) {
-      served[what].first += n.first;
-      served[what].second += n.second;
+    large_jobs += r.large_jobs;
+    for (const auto& [group, n] : r.served) {
+      served[group].first += n.first;
+      served[group].second += n.second;
     }
-    EXPECT_FALSE(r.unfinished.empty());  // or it was no overload
+    EXPECT_FALSE(r.unfinished.empty());  // otherwise the run was not overloaded
   }
-  for (const auto& [what, n] : served)
-    EXPECT_GE(10 * n.second, 6 * n.first) << what << ": " << n.second << " of " << n.first;
-  EXPECT_GT(largest, 20);
+  for (const auto& [group, n] : served)
+    EXPECT_GE(10 * n.second, 6 * n.first) << group << ": " << n.second << " of " << n.first;
+  EXPECT_GT(large_jobs, 20);
 }
 
-// The state service is twenty times slower: controllers stay within its rates, and no job is lost.
+// The state service responds twenty times slower: controllers must stay within its rate limits and
+// lose no job.
 TEST(Simulation, SlowStateServiceIsNotOverloaded) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     std::vector<PlannedFault> plan{{15'000, Fault::state_slow, 0, 40'000},
@@ -68,11 +70,12 @@
     EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
     EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
     EXPECT_LE(r.peak_requests, 400) << "seed " << seed;
-    EXPECT_LE(r.peak_writes, 2 * 150) << "seed " << seed;  // with the burst of a second's worth
+    EXPECT_LE(r.peak_writes, 2 * 150) << "seed " << seed;  // the rate plus a burst of one second
   }
 }
 
-// Over a thousand machines: a wave of preemptions, a crash of all controllers, a zone partitioned.
+// More than a thousand machines: a wave of spot preemptions, a crash of all controllers, and a
+// partitioned zone.
 TEST(Simulation, AThousandMachines) {
   Options o = planned_faults(3, {{12'000, Fault::spot_wave, 0, 0},
                                  {16'000, Fault::all_controllers_crash, 0, 0},
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -1,5 +1,6 @@
-// Partial partitions: links between controllers, workers and the state service that are down in one
-// direction, for one pair of ends, or flap. Invariants are checked at every step.
+// Seeded simulations of partial partitions: links between controllers, workers and the state
+// service that are down in one direction or between one pair of endpoints, or that flap. Invariants
+// are checked at every step.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,24 +14,24 @@
 namespace scheduler::sim {
 namespace {
 
-constexpr const char* kState = "state";
+constexpr const char* kStateService = "state";
 constexpr const char* kWorkers = "workers";
-constexpr Ms kCutAt = 25'000, kCutLasts = 40'000;
-constexpr Ms kFiveMinutes = 300'000;
-// Controllers of zone a, b and a; only the second is alone in its zone. Zone c has none, so that
-// its machines belong to all three.
-const std::string kFirst = "puffin-0", kSecond = "puffin-1", kThird = "puffin-2";
-
-// Both directions of a link.
-std::vector<LinkCut> both(const LinkCut& cut) {
-  LinkCut back = cut;
-  std::swap(back.from, back.to);
-  return {cut, back};
+constexpr Ms kCutStartMs = 25'000, kCutDurationMs = 40'000;
+constexpr Ms kLongCutMs = 300'000;
+// The controllers. puffin-0 and puffin-2 are in zone a, puffin-1 is the only one in zone b. Zone c
+// has no controller, so its machines are divided among all three.
+const std::string kController0 = "puffin-0", kController1 = "puffin-1", kController2 = "puffin-2";
+
+// Returns cuts of both directions of a link.
+std::vector<LinkCut> both_directions(const LinkCut& cut) {
+  LinkCut reverse = cut;
+  std::swap(reverse.from, reverse.to);
+  return {cut, reverse};
 }
 
-std::vector<LinkCut> together(std::vector<LinkCut> some, const std::vector<LinkCut>& others) {
-  some.insert(some.end(), others.begin(), others.end());
-  return some;
+std::vector<LinkCut> concatenate(std::vector<LinkCut> first, const std::vector<LinkCut>& second) {
+  first.insert(first.end(), second.begin(), second.end());
+  return first;
 }
 
 Options with_cuts(std::uint64_t seed, std::vector<LinkCut> cuts) {
@@ -45,7 +46,7 @@
   return o;
 }
 
-// No invariant is violated and all jobs end.
+// Runs the simulation and expects that no invariant is violated and that all jobs end.
 Result run(const Options& o) {
   Result r = SimulatedCluster(o).run();
   EXPECT_THAT(r, has_no_violations()) << "seed " << o.seed;
@@ -54,176 +55,192 @@
   return r;
 }
 
-// Of all runs together, sorted: for each worker the time until its next contact with a controller.
-struct Failovers {
-  std::vector<Ms> times;
+// Times until workers had contact with a controller again, counted from the beginning of a cut, for
+// all workers of several runs; sorted.
+struct ContactGaps {
+  std::vector<Ms> durations;
 
   void add(const Result& r) {
-    times.insert(times.end(), r.without_contact_ms.begin(), r.without_contact_ms.end());
-    std::sort(times.begin(), times.end());
+    durations.insert(durations.end(), r.without_contact_ms.begin(), r.without_contact_ms.end());
+    std::sort(durations.begin(), durations.end());
   }
-  [[nodiscard]] Ms at_percent(std::size_t percent) const {
-    return times.at(times.size() * percent / 100);
+  [[nodiscard]] Ms percentile(std::size_t percent) const {
+    return durations.at(durations.size() * percent / 100);
   }
 };
 
-// The shard of a controller that can't reach its workers fails over within two heartbeat intervals
-// (1 s each) and a second.
+// A controller can't reach its workers in either direction. Its shard must fail over within two
+// heartbeat intervals (1 s each) plus one second.
 TEST(PartialCuts, WorkersOfAnUnreachableControllerFailOverSoon) {
-  Failovers failovers;
+  ContactGaps contact_gaps;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    const auto& name = seed % 2 == 0 ? kFirst : kSecond;
-    const Result r = run(with_cuts(seed, both({kCutAt, kCutLasts, name, kWorkers})));
+    const auto& name = seed % 2 == 0 ? kController0 : kController1;
+    const Result r =
+        run(with_cuts(seed, both_directions({kCutStartMs, kCutDurationMs, name, kWorkers})));
     EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
     EXPECT_EQ(r.views, 3 + 2) << "seed " << seed;  // one failover, one failback
-    failovers.add(r);
+    contact_gaps.add(r);
   }
-  EXPECT_LE(failovers.at_percent(95), 3000);
-  EXPECT_LE(failovers.times.back(), 3500);
+  EXPECT_LE(contact_gaps.percentile(95), 3000);
+  EXPECT_LE(contact_gaps.durations.back(), 3500);
 }
 
-// The same while only heartbeats are lost: commands are answered, but no lease is renewed.
+// Heartbeats to a controller are lost, but its workers answer its commands. Their leases are not
+// renewed, so the shard must fail over.
 TEST(PartialCuts, HeartbeatsLostOneWay) {
-  Failovers failovers;
+  ContactGaps contact_gaps;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kWorkers, kSecond}}));
+    const Result r = run(with_cuts(seed, {{kCutStartMs, kCutDurationMs, kWorkers, kController1}}));
     EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
-    failovers.add(r);
+    contact_gaps.add(r);
   }
-  EXPECT_LE(failovers.at_percent(95), 3000);
+  EXPECT_LE(contact_gaps.percentile(95), 3000);
 }
 
-// The same while heartbeats arrive, but neither replies nor commands do.
+// Heartbeats reach a controller, but its replies and commands do not reach the workers. The shard
+// must fail over.
 TEST(PartialCuts, RepliesAndCommandsLostOneWay) {
-  Failovers failovers;
+  ContactGaps contact_gaps;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kSecond, kWorkers}}));
+    const Result r = run(with_cuts(seed, {{kCutStartMs, kCutDurationMs, kController1, kWorkers}}));
     EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
-    failovers.add(r);
+    contact_gaps.add(r);
   }
-  EXPECT_LE(failovers.at_percent(95), 3500);
+  EXPECT_LE(contact_gaps.percentile(95), 3500);
 }
 
-// A controller reaches some of its workers and not those of one zone: peers that do relay
-// commands and heartbeats, so that neither the machines nor their tasks are lost.
+// A controller can't reach its workers of one zone, but peers can and relay commands and
+// heartbeats. Neither the machines nor their tasks must be lost.
 TEST(PartialCuts, ZoneOfAShardIsServedThroughPeers) {
   const std::vector<std::vector<LinkCut>> cuts{
-      both({kCutAt, kCutLasts, kFirst, "workers/c"}),
-      {{kCutAt, kCutLasts, "workers/c", kFirst}},
-      {{kCutAt, kCutLasts, kFirst, "workers/c"}},
+      both_directions({kCutStartMs, kCutDurationMs, kController0, "workers/c"}),
+      {{kCutStartMs, kCutDurationMs, "workers/c", kController0}},
+      {{kCutStartMs, kCutDurationMs, kController0, "workers/c"}},
   };
-  Failovers failovers;
-  int returned = 0;
-  int lost = 0;
+  ContactGaps contact_gaps;
+  int returned_tasks = 0;
+  int expired_leases = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     for (const auto& cut : cuts) {
       Options o = with_cuts(seed, cut);
       o.relays = true;
-      o.lease_s = 10;  // a worker tries another controller after up to six seconds
+      o.lease_s = 10;  // a worker switches controllers after up to 6 s
       const Result r = run(o);
-      failovers.add(r);
-      returned += r.running_tasks_returned;
-      lost += r.lease_expiries;
+      contact_gaps.add(r);
+      returned_tasks += r.running_tasks_returned;
+      expired_leases += r.lease_expiries;
     }
   }
-  EXPECT_LE(failovers.times.back(), 8000);
-  EXPECT_EQ(returned, 0);
-  EXPECT_EQ(lost, 0);
+  EXPECT_LE(contact_gaps.durations.back(), 8000);
+  EXPECT_EQ(returned_tasks, 0);
+  EXPECT_EQ(expired_leases, 0);
 }
 
-// The link to the workers flaps every few seconds: one failover a minute at most.
+// Guards against frequent failovers: the link to the workers flaps every few seconds, and the shard
+// may fail over no more than once per minute.
 TEST(PartialCuts, FlappingLinkToWorkers) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    Options o = with_cuts(seed, both({kCutAt, kFiveMinutes, kSecond, kWorkers, 2000, 5000}));
-    o.fault_ms = kCutAt + kFiveMinutes;
+    Options o = with_cuts(
+        seed, both_directions({kCutStartMs, kLongCutMs, kController1, kWorkers, 2000, 5000}));
+    o.fault_ms = kCutStartMs + kLongCutMs;
     const Result r = run(o);
     EXPECT_LE(r.views, 3 + 2 * 5) << "seed " << seed;
     EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
   }
 }
 
-// The same of the link to the state service.
+// The link to the state service flaps every few seconds, and the shard may fail over no more than
+// once per minute.
 TEST(PartialCuts, FlappingLinkToTheStateService) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    Options o = with_cuts(seed, both({kCutAt, kFiveMinutes, kSecond, kState, 2000, 5000}));
-    o.fault_ms = kCutAt + kFiveMinutes;
+    Options o = with_cuts(
+        seed, both_directions({kCutStartMs, kLongCutMs, kController1, kStateService, 2000, 5000}));
+    o.fault_ms = kCutStartMs + kLongCutMs;
     const Result r = run(o);
     EXPECT_LE(r.views, 3 + 2 * 5) << "seed " << seed;
     EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
   }
 }
 
-// The state service executes a controller's calls, and its replies are lost: the controller can
-// neither read nor write, and must not stay in the view by renewals whose replies it never
-// receives.
+// The state service executes a controller's calls, but its replies are lost. The controller can
+// neither read nor write, so renewals of its session lease whose replies are lost must not keep it
+// in the view.
 TEST(PartialCuts, ControllerWithoutRepliesLeavesTheView) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    const Result r = run(with_cuts(seed, {{kCutAt, kCutLasts, kState, kSecond}}));
+    const Result r =
+        run(with_cuts(seed, {{kCutStartMs, kCutDurationMs, kStateService, kController1}}));
     EXPECT_EQ(r.views, 3 + 2) << "seed " << seed;
     EXPECT_EQ(r.lease_expiries, 0) << "seed " << seed;
   }
 }
 
-// Two controllers are partitioned from the state service. One of them doesn't receive gossip of the
-// third, which reaches it, and learns of that through the other: users move to the third.
+// Two controllers are partitioned from the state service; the third reaches it. The first receives
+// no gossip from the third and learns the third's state from the second. Both must report
+// themselves unhealthy, so that users move to the third.
 TEST(PartialCuts, UsersMoveToControllersWithTheStateService) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    auto cuts = together(both({kCutAt, kCutLasts, kFirst, kState}),
-                         both({kCutAt, kCutLasts, kSecond, kState}));
+    auto cuts =
+        concatenate(both_directions({kCutStartMs, kCutDurationMs, kController0, kStateService}),
+                    both_directions({kCutStartMs, kCutDurationMs, kController1, kStateService}));
     const Result r =
-        run(with_cuts(seed, together(cuts, both({kCutAt, kCutLasts, kFirst, kThird}))));
-    EXPECT_GT(r.unhealthy.at(kFirst), 30) << "seed " << seed;
-    EXPECT_GT(r.unhealthy.at(kSecond), 30) << "seed " << seed;
-    EXPECT_EQ(r.unhealthy.at(kThird), 0) << "seed " << seed;
+        run(with_cuts(seed, concatenate(cuts, both_directions({kCutStartMs, kCutDurationMs,
+                                                               kController0, kController2}))));
+    EXPECT_GT(r.unhealthy.at(kController0), 30) << "seed " << seed;
+    EXPECT_GT(r.unhealthy.at(kController1), 30) << "seed " << seed;
+    EXPECT_EQ(r.unhealthy.at(kController2), 0) << "seed " << seed;
   }
 }
 
-// Only links between controllers are down: all stay healthy and there is no failover.
-TEST(PartialCuts, LinksBetweenControllersAloneChangeNothing) {
+// Only links between controllers are down. All controllers must stay healthy, without failover.
+TEST(PartialCuts, CutsBetweenControllersCauseNoFailover) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    const auto cuts = together(both({kCutAt, kCutLasts, kFirst, kThird}),
-                               both({kCutAt, kCutLasts, kFirst, kSecond}));
+    const auto cuts =
+        concatenate(both_directions({kCutStartMs, kCutDurationMs, kController0, kController2}),
+                    both_directions({kCutStartMs, kCutDurationMs, kController0, kController1}));
     const Result r = run(with_cuts(seed, cuts));
     EXPECT_EQ(r.views, 3) << "seed " << seed;
     for (const auto& [name, count] : r.unhealthy) EXPECT_EQ(count, 0) << name << " seed " << seed;
   }
 }
 
-// All controllers are partitioned from their workers: a failover would not help. As the links are
-// restored, some receive heartbeats a second or two before others do.
+// All controllers are partitioned from their workers, so a failover would not help. When the links
+// are restored, some controllers receive heartbeats one or two seconds before the others, which
+// must not cause a series of failovers.
 TEST(PartialCuts, NoFailoverOfUnreachableShards) {
   std::vector<LinkCut> cuts;
-  for (const auto& name : {kFirst, kSecond, kThird})
-    cuts = together(cuts, both({kCutAt, 20'000, name, kWorkers}));
+  for (const auto& name : {kController0, kController1, kController2})
+    cuts = concatenate(cuts, both_directions({kCutStartMs, 20'000, name, kWorkers}));
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const Result r = run(with_cuts(seed, cuts));
     EXPECT_LE(r.views, 3 + 2) << "seed " << seed;
   }
 }
 
-// Cuts of any links in any direction at any time, for any time, flapping or not; half of the runs
-// have random faults besides, two thirds relay messages. More seeds by SIM_SEEDS=1000.
+// Random cuts: any links and directions, at any time and for any duration, flapping or not. Half of
+// the runs also have random faults, and in two thirds controllers relay messages.
+// SIM_SEEDS=1000 runs more seeds.
 class AnyLinks : public testing::TestWithParam<std::uint64_t> {};
 
-std::vector<LinkCut> any_cuts(std::uint64_t seed, Ms until) {
+std::vector<LinkCut> random_cuts(std::uint64_t seed, Ms until) {
   pcg32 random(seed);
-  const std::vector<std::string> controllers{kFirst, kSecond, kThird};
-  const std::vector<std::string> others{kFirst,      kSecond,     kThird,      kState,  "cloud",
-                                        "workers/a", "workers/b", "workers/c", kWorkers};
+  const std::vector<std::string> controllers{kController0, kController1, kController2};
+  const std::vector<std::string> far_ends{kController0,  kController1, kController2,
+                                          kStateService, "cloud",      "workers/a",
+                                          "workers/b",   "workers/c",  kWorkers};
   std::vector<LinkCut> cuts;
   for (std::uint32_t i = 4 + random(8); i > 0; --i) {
     LinkCut cut;
     cut.at = 8000 + static_cast<Ms>(random(static_cast<std::uint32_t>(until - 8000)));
     cut.lasts = 1000 + static_cast<Ms>(random(random(3) == 0 ? 40'000 : 12'000));
     cut.from = controllers[random(3)];
-    cut.to = others[random(static_cast<std::uint32_t>(others.size()))];
+    cut.to = far_ends[random(static_cast<std::uint32_t>(far_ends.size()))];
     if (cut.from == cut.to) continue;
     if (random(3) == 0) {
       cut.flap_least = 500;
       cut.flap_most = 5000;
     }
     if (random(2) == 0) {
-      cuts = together(cuts, both(cut));
+      cuts = concatenate(cuts, both_directions(cut));
     } else {
       if (random(2) == 0) std::swap(cut.from, cut.to);
       cuts.push_back(cut);
@@ -236,7 +253,7 @@
   const std::uint64_t seed = GetParam();
   Options o = with_cuts(seed, {});
   o.fault_ms = 80'000;
-  o.link_cuts = any_cuts(seed, o.fault_ms);
+  o.link_cuts = random_cuts(seed, o.fault_ms);
   o.relays = seed % 3 != 0;
   o.faults = seed % 2 == 0;
   o.services = 0.1;
@@ -266,7 +283,7 @@
     EXPECT_EQ(tasks_.size(), 2U);
   }
 
-  // The state service replies neither to this controller's calls nor to its watch.
+  // Drops all replies of the state service to this controller, including those to its watch.
   void cut_from_state() {
     lost_request_path_ = "/";
     run(3500);
@@ -284,30 +301,32 @@
     pump();
   }
 
-  [[nodiscard]] std::size_t running() const {
+  [[nodiscard]] std::size_t running_tasks() const {
     return static_cast<std::size_t>(
         std::count_if(tasks_.begin(), tasks_.end(), [](const auto& t) { return !t.second; }));
   }
 };
 
-// A cancellation that this controller can't read arrives by gossip: the tasks are stopped.
+// The controller can't read a cancellation from the state service but receives it by gossip, and
+// must stop the tasks.
 TEST_F(SingleControllerWithPeer, GossipedCancellationStopsTasks) {
   cut_from_state();
-  ASSERT_EQ(running(), 2U);
+  ASSERT_EQ(running_tasks(), 2U);
   receive_cancellation("req-000001");
   run(1500);
-  EXPECT_EQ(running(), 0U);
+  EXPECT_EQ(running_tasks(), 0U);
 }
 
-// Gossip is ignored while the records can be read, and so is that of unknown jobs.
+// Gossiped cancellations are ignored while the controller can read the records, and always for
+// unknown jobs.
 TEST_F(SingleControllerWithPeer, GossipCountsOnlyWithoutTheStateService) {
   receive_cancellation("req-000001");
   run(1500);
-  EXPECT_EQ(running(), 2U);
+  EXPECT_EQ(running_tasks(), 2U);
   cut_from_state();
   receive_cancellation("req-000002");
   run(1500);
-  EXPECT_EQ(running(), 2U);
+  EXPECT_EQ(running_tasks(), 2U);
 }
 
 }  // namespace
--- a/tests/scale_sim_test.cpp
+++ b/tests/scale_sim_test.cpp
@@ -1,9 +1,10 @@
-// Fleets of four and six thousand machines on three and on five controllers, with the limits of a
-// large deployment: 150 requests and 20 changes a second, 16 changes a transaction.
+// Seeded simulations of 4,000 and 6,000 machines with three and five controllers, and with the
+// limits of a large deployment: 150 requests and 20 changes per second, 16 changes per transaction.
 //
-// What is sampled at this size: invariants that hold between starts (quotas, cancelled tasks,
-// leases of hanging machines) are checked every 200 ms of simulated time instead of every 20, and
-// workers step every 250 ms instead of 50. Every start, command and reply is checked as it happens.
+// To limit the run time, invariants that hold between starts (quotas, cancelled tasks, leases of
+// hanging machines) are checked every 200 ms of simulated time instead of every 20 ms, and workers
+// step every 250 ms instead of every 50 ms. Every start, command and reply is checked when
+// it happens.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,7 +24,7 @@
   o.planned_faults = std::move(faults);
   o.machines = machines;
   o.controllers = controllers;
-  o.cloud_capacity = machines / 3 + 100;  // of each zone and kind
+  o.cloud_capacity = machines / 3 + 100;  // per zone and kind
   o.memory_mb = 136;
   o.sockets = 2500;
   o.state_rps = 150;
@@ -49,7 +50,7 @@
   return o;
 }
 
-// The service's own load, for docs/scale.md.
+// Prints the load of the controllers, the state service and the cloud (for docs/scale.md).
 void report(const Result& r) {
   std::printf(
       "    %d machines, %d heard; %d jobs done, %d starts; %llu changes, at most %d a second; at "
@@ -73,7 +74,8 @@
   return r;
 }
 
-// Longer than a lease, so that every machine begins a new incarnation.
+// All controllers are down for longer than a worker lease, so every machine begins a new
+// incarnation.
 TEST(LargeFleet, AllMachinesReconnectAfterAllControllersWereDown) {
   const Result r =
       run_large(large_fleet(4000, 3, {{20'000, Fault::all_controllers_down, 0, 35'000}}));
@@ -86,21 +88,20 @@
 }
 
 TEST(LargeFleet, OneOfFiveControllersSurvives) {
-  std::vector<PlannedFault> controller_down;
+  std::vector<PlannedFault> faults;
   for (std::size_t node = 1; node < 5; ++node)
-    controller_down.push_back(
-        {20'000 + static_cast<Ms>(node) * 300, Fault::controller_down, node, 40'000});
-  const Result r = run_large(large_fleet(4000, 5, std::move(controller_down)));
+    faults.push_back({20'000 + static_cast<Ms>(node) * 300, Fault::controller_down, node, 40'000});
+  const Result r = run_large(large_fleet(4000, 5, std::move(faults)));
   EXPECT_GE(r.machines_known, r.machines * 99 / 100);
 }
 
-// A controller restarts during the failover of its shard, and crashes again within a second.
+// A controller restarts while its shard fails over, and crashes again within a second.
 TEST(LargeFleet, ControllerReturnsDuringFailoverAndCrashesAgain) {
   run_large(large_fleet(6000, 3, {{20'000, Fault::failback, 1, 6000}}));
 }
 
-// A controller is partitioned from the state service while much changes, and the service forgets
-// changes soon: the whole state is read again while it goes on changing.
+// Controllers are partitioned from the state service while many records change, and the service
+// keeps only 60 changes for watches. They must reload the whole state while it keeps changing.
 TEST(LargeFleet, StateIsReloadedWhileItChanges) {
   Options o = large_fleet(
       4000, 3,
@@ -110,10 +111,11 @@
   EXPECT_GT(r.compacted_watches, 0);
 }
 
-// The same with a service that keeps them all, so that the answer is larger than what is taken in.
+// A controller is partitioned from a state service that keeps all changes, so that the reply to its
+// next watch is larger than the controller accepts. It must read the state in pages.
 TEST(LargeFleet, OversizedWatchReplyIsReadInPages) {
   Options o = large_fleet(4000, 3, {{20'000, Fault::cut_from_state, 0, 40'000}});
-  o.memory_mb = 4;  // a mebibyte for one reply
+  o.memory_mb = 4;  // limits one reply to 1 MiB
   o.state_writes_per_s = 200;
   o.job_every_ms = 150;
   o.largest_array = 600;
@@ -121,8 +123,8 @@
   EXPECT_GT(r.oversized_replies, 0);
 }
 
-// An array of 100,000 tasks: the fleet scales out from 400 to some 4,000 machines for it, and in
-// again.
+// For an array of 100,000 tasks the fleet scales out from 400 to about 4,000 machines, and back in
+// afterwards.
 TEST(LargeFleet, AHundredThousandTasksGrowTheFleetTenfold) {
   Options o = large_fleet(400, 3);
   o.cloud_capacity = 680;
@@ -131,10 +133,11 @@
   o.longest_task_s = 8;
   o.job_every_ms = 3'000;
   o.fault_ms = 40'000;
-  // Some four minutes of the array, then a fleet that shrinks by a thirtieth a second.
+  // The array takes about four minutes; then the fleet shrinks by a thirtieth per second.
   o.recovery_ms = 620'000;
   o.until_finished = false;
-  // At 20 changes a second the array takes seven minutes; this test is about the fleet.
+  // At 20 changes per second the array would take seven minutes. This test is about the fleet size,
+  // so it allows more.
   o.state_writes_per_s = 60;
   o.worker_step_ms = 500;
   o.check_every_ms = 500;
@@ -145,7 +148,7 @@
 
 TEST(LargeFleet, SpotPreemptionWaveTakesAThird) {
   Options o = large_fleet(4000, 5, {{25'000, Fault::spot_wave, 0, 0}});
-  o.spot_every = 1;  // all of them: the wave preempts a third of the spot machines
+  o.spot_every = 1;  // all machines are spot; the wave preempts a third of the spot machines
   run_large(o);
 }
 
@@ -153,7 +156,7 @@
   run_large(large_fleet(4000, 5, {{20'000, Fault::zone_cut, 0, 45'000}}));
 }
 
-// The one controller is the leader of most duties.
+// The controller that the state service refuses is the leader for most duties.
 TEST(LargeFleet, StateServiceRefusesOneDuringAThousandCancellations) {
   Options o = large_fleet(4000, 5, {{74'000, Fault::state_refuses_one, 0, 20'000}});
   o.job_every_ms = 60;
@@ -168,7 +171,8 @@
   EXPECT_GT(r.cancellations.size(), 1000U);
 }
 
-// The production version has recorded groups as large as the former limits allow.
+// The limits of the state service are lowered after the production version has written groups of
+// machine records up to the former limits.
 TEST(LargeFleet, LimitsAreLoweredWithFourThousandMachinesRecorded) {
   Options o = large_fleet(4000, 3);
   o.upgrade_from = 30'000;
--- a/tests/services_sim_test.cpp
+++ b/tests/services_sim_test.cpp
@@ -1,5 +1,5 @@
-// Services in seeded runs: under faults, while the limits of the state service drop, and during a
-// rolling upgrade.
+// Seeded simulations with services: under faults, while the limits of the state service are
+// lowered, and during a rolling upgrade.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -32,8 +32,8 @@
   EXPECT_GT(r.services, 0) << "seed " << seed;
 }
 
-// Share of the time in which replicas ran, of that in which there was capacity for them.
-double served(const Result& r) {
+// Returns the share of the replica seconds with available capacity in which the replicas ran.
+double served_share(const Result& r) {
   return r.replica_s_due ? static_cast<double>(r.replica_s_served) / r.replica_s_due : 0;
 }
 
@@ -44,11 +44,11 @@
   expect_invariants_hold(r, o.seed);
   EXPECT_GT(r.services, 8);
   EXPECT_GT(r.replica_s_due, 500);
-  EXPECT_GT(served(r), 0.95);
+  EXPECT_GT(served_share(r), 0.95);
 }
 
-// A third of the replicas exit by themselves, done or in error.
-TEST(Services, EndedReplicasRunAgain) {
+// A third of the replicas exit by themselves, with success or an error, and must be restarted.
+TEST(Services, ExitedReplicasAreRestarted) {
   int ended = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     if (skips_seed(seed)) continue;
@@ -73,11 +73,11 @@
   EXPECT_EQ(r.oversized_txns, 0);
 }
 
-// More seeds than CI runs, by SIM_SEEDS=200.
+// SIM_SEEDS=200 runs more seeds than CI does.
 INSTANTIATE_TEST_SUITE_P(Seeds, ServicesUnderRandomFaults,
                          testing::Range<std::uint64_t>(1, seeds_or(20) + 1));
 
-TEST(Services, RunOnAsMachinesDie) {
+TEST(Services, ReplicasRestartAfterMachinesDie) {
   int restarts = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     if (skips_seed(seed)) continue;
@@ -95,10 +95,11 @@
   EXPECT_GT(restarts, 30);
 }
 
-// With a heartbeat interval of 5 s a dead machine was probed after 7 s and returned after 11 s, and
-// its replicas were started on others that had died with it. Machines with replicas are probed
-// sooner, and replicas are placed on machines with a recent contact.
-TEST(Services, RestartSoonDespiteRareHeartbeats) {
+// Guards against long downtime of replicas with a heartbeat interval of 5 s: a dead machine was
+// probed only after 7 s and returned after 11 s, and its replicas were started on machines that had
+// died at the same time. Machines with replicas must be probed earlier, and replicas placed on
+// machines with a recent contact.
+TEST(Services, ReplicasRestartSoonWithLongHeartbeatInterval) {
   int recovered = 0;
   Ms downtime_ms = 0;
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
@@ -112,8 +113,8 @@
     o.dead_listed_ms = 30'000;
     o.cloud_capacity = 12;
     o.fault_ms = 120'000;
-    for (const Ms after : {0, 300, 600})
-      add_periodic_faults(o, Fault::machine_dies, 20'000 + after, 25'000, 0);
+    for (const Ms delay : {0, 300, 600})
+      add_periodic_faults(o, Fault::machine_dies, 20'000 + delay, 25'000, 0);
     const Result r = SimulatedCluster(o).run();
     expect_invariants_hold(r, seed);
     recovered += r.replicas_recovered;
@@ -123,10 +124,11 @@
   EXPECT_LT(downtime_ms / recovered, 8500) << recovered << " replicas";
 }
 
-// A zone that is partitioned for less than a lease keeps its replicas: when the first of its
-// machines have left two messages unanswered, most others have not been asked yet. Some move all
-// the same, as a controller in the zone leaves the view: 37 and 40 of two versions in thirty runs;
-// without presumed_dead's look at the others 71 do.
+// Guards against restarting the replicas of a zone that is partitioned for less than a lease: when
+// the first of its machines have left two probes unanswered, most others have not been probed yet,
+// so MachineMonitor::presumed_dead also checks whether the others respond. Some replicas still move
+// because a controller in the zone leaves the view: 37 and 40 with two versions of the software in
+// these thirty runs, and 71 without that check.
 TEST(Services, ShortPartitionMovesFewReplicas) {
   int services = 0;
   int restarts = 0;
@@ -167,7 +169,7 @@
 }
 
 TEST(Services, CancelledOnHangingMachines) {
-  int hanging = 0;
+  int hung_machines = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     if (skips_seed(seed)) continue;
     Options o = with_services(seed);
@@ -178,15 +180,16 @@
     add_periodic_faults(o, Fault::cancel_now, 15'000, 13'000, 2'000 + 900 * static_cast<Ms>(seed));
     const Result r = SimulatedCluster(o).run();
     expect_invariants_hold(r, seed);
-    hanging += r.hangs_during_cancellation;
+    hung_machines += r.hangs_during_cancellation;
   }
-  EXPECT_GT(hanging, 30);
+  EXPECT_GT(hung_machines, 30);
 }
 
-// ---- the limits of the state service ----
+// ---- limits of the state service ----
 
-// Hundreds of machines, arrays spread over all of them, more of it than they can hold.
-Options full_backlog(std::uint64_t seed) {
+// More than a hundred machines, and array jobs spread over all of them with more tasks than the
+// machines can hold.
+Options with_overload(std::uint64_t seed) {
   Options o = with_services(seed);
   o.services = 0.15;
   o.machines = 150;
@@ -201,10 +204,10 @@
 
 class StateLimitsDrop : public testing::TestWithParam<std::uint64_t> {};
 
-// In half of the runs what the production version has stored is larger than what may be written
-// from then on.
+// In half of the runs the production version has stored records that are larger than the lowered
+// limits allow to be written.
 TEST_P(StateLimitsDrop, RecordsFitTheLimitsAndAllJobsEnd) {
-  Options o = full_backlog(GetParam());
+  Options o = with_overload(GetParam());
   o.faults = false;
   const bool after_an_upgrade = o.seed % 2 == 0;
   if (after_an_upgrade) {
@@ -225,7 +228,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, StateLimitsDrop, testing::Range<std::uint64_t>(1, 5));
 
-// ---- the upgrade ----
+// ---- rolling upgrade ----
 
 class Upgrade : public testing::TestWithParam<std::uint64_t> {};
 
@@ -233,7 +236,7 @@
   Options o = with_services(GetParam());
   o.services = 0.5;
   o.upgrade_from = 15'000;
-  // One after the other, or the second while the first restarts.
+  // Controllers are upgraded one after the other, or each while the previous one still restarts.
   o.upgrade_every = o.seed % 3 == 0 ? 1'000 : 9'000;
   if (o.seed % 2 == 0) o.limits_drop_at = 80'000;
   const Result r = SimulatedCluster(o).run();
@@ -243,7 +246,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Upgrade, testing::Range<std::uint64_t>(1, 13));
 
-// Controllers crash before or after their turn, and once between two turns all of them.
+// Controllers crash before or after they are upgraded; in half of the runs all controllers also
+// crash between two upgrades.
 TEST(Services, ControllersCrashDuringTheUpgrade) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     if (skips_seed(seed)) continue;
@@ -261,7 +265,7 @@
   }
 }
 
-// ---- the invariant checker ----
+// ---- invariant checker ----
 
 Options services_without_faults() {
   Options o = with_services(1);
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -1,4 +1,4 @@
-// Seeded runs of three controllers under faults. Invariants are checked at every step.
+// Seeded simulations of three controllers under faults. Invariants are checked at every step.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,53 +21,55 @@
 
 // Half of all POST calls are executed a second time, up to 15 s later.
 TEST(Simulation, DuplicatedRequestsViolateNoInvariant) {
-  int saved = 0;
-  int spread = 0;
+  int checkpointed = 0;
+  int spread_jobs = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Options o;
     o.seed = seed;
     o.duplicated_requests = 0.5;
     const Result r = SimulatedCluster(o).run();
     EXPECT_THAT(r, has_no_violations());
-    saved += r.checkpointed_stops;
-    spread += r.spread_done;
+    checkpointed += r.checkpointed_stops;
+    spread_jobs += r.spread_done;
   }
-  // That the runs do cover preemption with checkpoints, and jobs spread over zones.
-  EXPECT_GT(saved, 0);
-  EXPECT_GT(spread, 0);
+  // The runs must cover preemption with checkpoints, and jobs spread over zones.
+  EXPECT_GT(checkpointed, 0);
+  EXPECT_GT(spread_jobs, 0);
 }
 
-// A controller that reaches nothing but its workers must send users elsewhere; in an outage that
-// all share no other controller could serve them, so all stay healthy.
+// A controller that reaches only its workers must report itself unhealthy, so that users move to
+// another controller. In an outage of the state service that affects all controllers, no other
+// controller could serve the users, so all must stay healthy.
 TEST(Simulation, HealthDistinguishesIsolationFromOutage) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    const Result alone =
+    const Result one_isolated =
         SimulatedCluster(
             planned_faults(seed, {{20'000, Fault::controller_isolated, seed % 3, 40'000}}))
             .run();
-    EXPECT_THAT(alone, has_no_violations());
-    EXPECT_THAT(alone, has_no_unfinished_jobs());
-    EXPECT_EQ(alone.isolated_healthy, 0);
-    EXPECT_GT(alone.isolated_unhealthy, 10);
-    // No controller is left for a failover, so none learns of a newer view.
-    const Result each =
+    EXPECT_THAT(one_isolated, has_no_violations());
+    EXPECT_THAT(one_isolated, has_no_unfinished_jobs());
+    EXPECT_EQ(one_isolated.isolated_healthy, 0);
+    EXPECT_GT(one_isolated.isolated_unhealthy, 10);
+    // With all three isolated, no controller can take over a shard, so no newer view exists.
+    const Result all_isolated =
         SimulatedCluster(planned_faults(seed, {{20'000, Fault::controller_isolated, 0, 40'000},
                                                {20'000, Fault::controller_isolated, 1, 40'000},
                                                {20'000, Fault::controller_isolated, 2, 40'000}}))
             .run();
-    EXPECT_THAT(each, has_no_violations());
-    EXPECT_EQ(each.isolated_healthy, 0);
-    EXPECT_GT(each.isolated_unhealthy, 30);
-    const Result all =
+    EXPECT_THAT(all_isolated, has_no_violations());
+    EXPECT_EQ(all_isolated.isolated_healthy, 0);
+    EXPECT_GT(all_isolated.isolated_unhealthy, 30);
+    const Result shared_outage =
         SimulatedCluster(planned_faults(seed, {{20'000, Fault::state_outage, 0, 60'000}})).run();
-    EXPECT_THAT(all, has_no_violations());
-    EXPECT_EQ(all.outage_unhealthy, 0);
-    EXPECT_GT(all.outage_healthy, 40);
+    EXPECT_THAT(shared_outage, has_no_violations());
+    EXPECT_EQ(shared_outage.outage_unhealthy, 0);
+    EXPECT_GT(shared_outage.outage_healthy, 40);
   }
 }
 
-// Heartbeats alone do not make a machine eligible for tasks: it must be reachable.
-TEST(Simulation, UnreachableMachinesGetNothingNew) {
+// A machine whose heartbeats arrive, but which replies and commands do not reach, must get no
+// tasks.
+TEST(Simulation, UnreachableMachinesGetNoNewTasks) {
   int starts_on_unreachable = 0;
   int starts = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
@@ -84,8 +86,8 @@
   EXPECT_GT(starts, 100);
 }
 
-// Copies of heartbeats up to three leases old reach any controller, while machines restart with
-// reset counters and controllers restart at once.
+// Copies of heartbeats, up to three lease durations old, reach any controller while machines
+// restart with reset counters and controllers restart immediately.
 TEST(Simulation, DuplicateHeartbeatsAndQuickRestarts) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     std::vector<PlannedFault> plan;
@@ -101,18 +103,19 @@
   }
 }
 
-// A controller is paused for longer than a lease while its clocks go on, alone or with a crash of
-// another. When it resumes it takes no machine for dead, acts on nothing it knew before, and
-// returns no machine.
-TEST(Simulation, ProcessPauseIsNotMistakenForSilence) {
+// A controller process is paused, in two thirds of the runs for longer than a lease, while its
+// clocks keep running. In some runs another controller crashes meanwhile. After it resumes, it must
+// not presume machines dead or return them because of heartbeats missed during the pause, and must
+// not act on state from before the pause.
+TEST(Simulation, PausedControllerPresumesNoMachineDead) {
   for (std::uint64_t seed = 1; seed <= 9; ++seed) {
-    const Ms lasts = seed % 3 == 0 ? 4000 : 12'000 + 4000 * static_cast<Ms>(seed % 3);
-    std::vector<PlannedFault> plan{{20'000, Fault::process_pause, seed % 3, lasts},
+    const Ms duration = seed % 3 == 0 ? 4000 : 12'000 + 4000 * static_cast<Ms>(seed % 3);
+    std::vector<PlannedFault> plan{{20'000, Fault::process_pause, seed % 3, duration},
                                    {55'000, Fault::process_pause, (seed + 1) % 3, 3000}};
     if (seed % 2 == 0) plan.push_back({24'000, Fault::controller_crash, (seed + 1) % 3, 0});
     if (seed % 3 == 1) plan.push_back({22'000, Fault::duplicate_heartbeats, 0, 20'000});
     Options o = planned_faults(seed, plan);
-    o.failing_jobs = 0;  // two of them would quarantine a machine
+    o.failing_jobs = 0;  // failures of two jobs would quarantine a machine
     const Result r = SimulatedCluster(o).run();
     EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
     EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
@@ -120,13 +123,14 @@
   }
 }
 
-// No other controller is left to serve the machines: missing heartbeats are due to the pauses.
+// All controller processes pause at once, so no controller receives heartbeats. No machine may be
+// returned because of that.
 TEST(Simulation, AllProcessesPause) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    const Ms lasts = seed % 2 == 0 ? 5000 : 14'000;
-    Options o = planned_faults(seed, {{20'000, Fault::process_pause, 0, lasts},
-                                      {20'300, Fault::process_pause, 1, lasts},
-                                      {20'600, Fault::process_pause, 2, lasts}});
+    const Ms duration = seed % 2 == 0 ? 5000 : 14'000;
+    Options o = planned_faults(seed, {{20'000, Fault::process_pause, 0, duration},
+                                      {20'300, Fault::process_pause, 1, duration},
+                                      {20'600, Fault::process_pause, 2, duration}});
     o.failing_jobs = 0;
     const Result r = SimulatedCluster(o).run();
     EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
@@ -135,11 +139,12 @@
   }
 }
 
-// One zone is partitioned from everything. Without a controller inside, its tasks end as their
-// leases expire, and start elsewhere as soon as that is provable, not when the partition ends.
+// One zone is partitioned from everything else. If the zone has no controller, its tasks end when
+// their leases expire, and must start elsewhere as soon as that is certain rather than at the end
+// of the partition.
 TEST(Simulation, ZonesPartitionedFromEverything) {
-  int lost = 0;
-  int back = 0;
+  int expired_leases = 0;
+  int restarts = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     std::vector<PlannedFault> plan{{20'000, Fault::zone_cut, seed % 3, 45'000}};
     if (seed > 3) plan.push_back({27'000, Fault::controller_crash, seed % 2, 0});
@@ -152,15 +157,15 @@
     EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
     EXPECT_THAT(r, has_no_unfinished_jobs()) << "seed " << seed;
     if (seed % 3 != 0) continue;
-    lost += r.lease_expiries;
-    back += r.restarts_during_zone_cut;
+    expired_leases += r.lease_expiries;
+    restarts += r.restarts_during_zone_cut;
   }
-  EXPECT_GT(lost, 10);
-  EXPECT_GE(2 * back, lost);
+  EXPECT_GT(expired_leases, 10);
+  EXPECT_GE(2 * restarts, expired_leases);
 }
 
-// Tasks that are cancelled while a controller is partitioned together with its machines end in
-// time: it renews their leases only as long as that allows.
+// Tasks that are cancelled while a controller is partitioned together with its machines must stop
+// in time, so the controller may renew the leases of these machines only for a limited time.
 TEST(Simulation, CancelledWhilePartitionedStopsInTime) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const auto n = seed % 3;
@@ -179,9 +184,9 @@
   }
 }
 
-// An outage of the state service that all share, longer than a controller alone would go on
-// renewing leases: no lease expires.
-TEST(Simulation, SharedOutageEndsNoTask) {
+// An outage of the state service affects all controllers, for longer than an isolated controller
+// would keep renewing worker leases. No lease may expire.
+TEST(Simulation, NoLeaseExpiresDuringSharedOutage) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Options o = planned_faults(seed, {{20'000, Fault::state_outage, 0, 60'000}});
     o.longest_task_s = 60;
@@ -191,8 +196,9 @@
   }
 }
 
-// Preemptions of spot machines, rolling restarts, refused links and bursts, two or three at a time.
-TEST(Simulation, FleetFaultsTogether) {
+// Preemptions of spot machines, rolling restarts, refused connections between controllers, process
+// pauses, a slow state service and bursts of jobs, two or three at the same time.
+TEST(Simulation, ConcurrentFleetFaults) {
   const Fault kinds[] = {Fault::spot_wave, Fault::rolling_restart, Fault::peers_refuse,
                          Fault::job_burst, Fault::process_pause,   Fault::state_slow};
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -202,8 +208,8 @@
                       kinds[(seed + k * (1 + seed / 6)) % 6], (seed + k) % 3, 12'000});
     plan.push_back({40'000, Fault::controller_crash, seed % 3, 0});
     Options o = planned_faults(seed, plan);
-    // Two bursts draw more work for the team with a limit than that allows within 700 s (seed 11:
-    // 26,800 CPU seconds for 40 CPUs, besides tasks that restart).
+    // Two bursts can submit more work for the team with a quota than fits into 700 s (seed 11:
+    // 26,800 CPU seconds for 40 CPUs, plus restarted tasks).
     o.recovery_ms = 1'400'000;
     o.until_finished = true;
     const Result r = SimulatedCluster(o).run();
@@ -212,12 +218,13 @@
   }
 }
 
-// Found by these runs: a job bound to one zone, split into as many ranges as one may have, with
-// tasks left to a shard without machines there.
+// Guards against a job that never finishes: a job bound to one zone is split into the maximum
+// number of ranges, and some of its tasks belong to a shard that has no machines in that zone.
+// Other shards must steal them.
 TEST(Simulation, WorkIsStolenFromShardsThatCannotRunIt) {
   Options o;
   o.seed = 108;
-  o.random_faults_before = Fault::late_writes;  // the faults of when it was found
+  o.random_faults_before = Fault::late_writes;  // seed 108 produces this case with these faults
   o.longest_task_s = 30;
   o.recovery_ms = 700'000;
   const Result r = SimulatedCluster(o).run();
@@ -230,7 +237,8 @@
 TEST_P(RandomFaults, InvariantsHoldAndAllJobsEnd) {
   Options o;
   o.seed = GetParam();
-  // Tasks longer than the lease, in some: what goes wrong with leases shows on those.
+  // In a quarter of the runs some tasks run longer than the lease, which reveals faults in lease
+  // handling.
   if (o.seed % 4 == 0) {
     o.longest_task_s = 30;
     o.recovery_ms = 700'000;
@@ -243,7 +251,7 @@
   EXPECT_EQ(r.oversized_txns, 0);
 }
 
-// More seeds than CI runs, by SIM_SEEDS=200.
+// SIM_SEEDS=200 runs more seeds than CI does.
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, testing::Range<std::uint64_t>(1, seeds_or(40) + 1));
 
 }  // namespace
