--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 std::uint64_t fresh_seed() {
-  // Two runs must never share it: random bits, and the clocks in case those are poor.
+  // Two runs must never have equal seeds: combines random bits with the time of day, in case the
+  // random device yields few different values.
   std::random_device device;
   std::uint64_t seed = (static_cast<std::uint64_t>(device()) << 32U) ^ device();
   seed ^= static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch().count()) *
@@ -21,25 +22,28 @@
   return seed;
 }
 
-void set_logging(const std::string& option) {
+void configure_logging(const std::string& level_option) {
   auto logger = spdlog::stderr_logger_st("cluster-scheduler");
   spdlog::set_default_logger(logger);
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
-  const char* variable = std::getenv("LOG_LEVEL");
-  const std::string level = !option.empty() ? option : variable ? variable : "info";
+  const char* level_variable = std::getenv("LOG_LEVEL");
+  const std::string level = !level_option.empty() ? level_option
+                            : level_variable      ? level_variable
+                                                  : "info";
   spdlog::set_level(level == "error"   ? spdlog::level::err
                     : level == "debug" ? spdlog::level::debug
                                        : spdlog::level::info);
 }
 
-// Reads the command line and the files, and runs the service until the process is ended.
+// Reads the command line, the settings and the options, and runs the controller until the process
+// is ended.
 int run(int argc, char** argv) {
   CLI::App app{"cluster-scheduler: one controller of a cluster"};
   std::string config;
   std::string options_path;
   bool check = false;
   app.add_option("--config", config, "Settings file (TOML) from the platform")->required();
-  app.add_option("--options", options_path, "Operators' own options (TOML)")
+  app.add_option("--options", options_path, "Options file of the operator (TOML)")
       ->envname("PUFFINHAVEN_OPTIONS");
   app.add_flag("--check", check, "Check the settings and exit");
   app.set_version_flag("--version", std::string("cluster-scheduler ") + SCHEDULER_VERSION);
@@ -56,7 +60,7 @@
     std::cout << "settings are valid\n";
     return 0;
   }
-  set_logging(options.log_level);
+  configure_logging(options.log_level);
   settings.core.log_debug = spdlog::should_log(spdlog::level::debug);
   asio::io_context io(1);
   scheduler::app::Service service(io, settings, options, fresh_seed());
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -13,10 +13,11 @@
 
 namespace {
 
-// Milliseconds between lines about the state of things.
-constexpr std::int64_t kStatusEveryMs = 10'000;
-// Milliseconds by which a look at the time may be late; setting a timer costs a system call.
-constexpr std::int64_t kTimerSlackMs = 5;
+// Milliseconds between two status lines in the log.
+constexpr std::int64_t kStatusIntervalMs = 10'000;
+// Milliseconds by which a tick may be late: the timer isn't set anew for less, since that costs a
+// system call.
+constexpr std::int64_t kTimerToleranceMs = 5;
 
 }  // namespace
 
@@ -27,36 +28,39 @@
       options_(std::move(options)),
       controller_(settings.core, seed),
       capacity_(capacity_of(settings.core)),
-      client_(io, {static_cast<std::size_t>(settings.core.sockets / net::limits::kIdleSocketsShare),
-                   capacity_.response_bytes}),
+      client_(io,
+              {static_cast<std::size_t>(settings.core.sockets / net::limits::kIdleSocketsDivisor),
+               capacity_.response_bytes}),
       timer_(io) {
-  const int most = options_.max_connections > 0 ? options_.max_connections : most_connections();
+  const int connection_limit =
+      options_.max_connections > 0 ? options_.max_connections : default_max_connections();
   server_ = std::make_unique<net::HttpServer>(
-      io, *net::parse_endpoint(settings_.listen), most,
+      io, *net::parse_endpoint(settings_.listen), connection_limit,
       [this](std::uint64_t id, net::HttpServer::Request r) {
         controller_.on_request(steady_ms(), id,
                                {std::move(r.method), std::move(r.path), std::move(r.body)});
-        carry_out();
+        process_output();
       });
   std::map<std::string, std::string> addresses;
   for (const auto& p : settings_.core.peers) addresses[p.name] = p.address;
   peers_ = std::make_unique<net::PeerLinks>(io, *net::parse_endpoint(settings_.peer_listen),
                                             addresses, [this](const std::string& frame) {
                                               controller_.on_peer_message(steady_ms(), frame);
-                                              carry_out();
+                                              process_output();
                                             });
 }
 
-// What the platform's limit leaves after our own calls, idle connections and links.
-int Service::most_connections() const {
+// The platform's limit on sockets, less those reserved for outgoing calls, idle client connections
+// and links to peers.
+int Service::default_max_connections() const {
   const int sockets = settings_.core.sockets;
-  const int idle = sockets / net::limits::kIdleSocketsShare;
+  const int idle = sockets / net::limits::kIdleSocketsDivisor;
   const int calls = capacity_.direct_messages + capacity_.probes + net::limits::kReservedSockets;
   return std::max(16, sockets - idle - calls);
 }
 
 Ms Service::steady_ms() {
-  // Never 0: the core uses that for "not yet".
+  // Never 0, because the core uses 0 for "not yet".
   return 1 + std::chrono::duration_cast<std::chrono::milliseconds>(
                  std::chrono::steady_clock::now().time_since_epoch())
                  .count();
@@ -75,7 +79,7 @@
   spdlog::info("{} in {} listens on {}", settings_.core.name, settings_.core.zone,
                settings_.listen);
   controller_.start(steady_ms(), wall_ms());
-  carry_out();
+  process_output();
   tick();
   io_.run();
 }
@@ -83,21 +87,21 @@
 void Service::tick() {
   const Ms now = steady_ms();
   controller_.tick(now, wall_ms());
-  look_at_ = 0;
-  carry_out();
-  if (now >= status_at_) {
-    status_at_ = now + kStatusEveryMs;
+  timer_expires_at_ = 0;
+  process_output();
+  if (now >= next_status_at_) {
+    next_status_at_ = now + kStatusIntervalMs;
     spdlog::info("{}, connections {}, closed early {}, refused {}", controller_.status_line(now),
                  server_->connections(), server_->closed_early(), server_->refused());
   }
 }
 
-// The timer is set only when the core wants to look at the time earlier than it would.
-void Service::arm() {
+// Sets the timer only if the core needs a tick earlier than the timer expires.
+void Service::set_timer() {
   const Ms now = steady_ms();
   const Ms at = std::clamp(controller_.next_tick(now), now + 1, now + options_.tick_ms);
-  if (look_at_ != 0 && look_at_ <= at + kTimerSlackMs) return;
-  look_at_ = at;
+  if (timer_expires_at_ != 0 && timer_expires_at_ <= at + kTimerToleranceMs) return;
+  timer_expires_at_ = at;
   timer_.expires_after(std::chrono::milliseconds(at - now));
   timer_.async_wait([this](std::error_code error) {
     if (!error) tick();
@@ -135,13 +139,13 @@
                 std::move(call.body), call.timeout},
                [this, id = call.id](int status, std::string body) {
                  controller_.on_result(steady_ms(), id, {status, std::move(body)});
-                 carry_out();
+                 process_output();
                });
 }
 
-void Service::carry_out() {
-  if (carrying_) return;
-  carrying_ = true;
+void Service::process_output() {
+  if (processing_output_) return;
+  processing_output_ = true;
   for (;;) {
     Output out = controller_.take_output();
     if (out.calls.empty() && out.replies.empty() && out.peers.empty() && out.logs.empty()) break;
@@ -151,8 +155,8 @@
     for (auto& call : out.calls) send(call);
     for (const auto& message : out.peers) peers_->send(message.to, message.bytes);
   }
-  carrying_ = false;
-  arm();
+  processing_output_ = false;
+  set_timer();
 }
 
 }  // namespace scheduler::app
--- a/src/app/service.h
+++ b/src/app/service.h
@@ -1,4 +1,5 @@
-// Joins the core to the network: carries out what the core asks for and feeds it what comes.
+// Connects the controller core to the network: passes requests, messages and results to the core
+// and sends the calls, replies and messages that the core outputs.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -14,10 +15,10 @@
 
 namespace scheduler::app {
 
-// One controller as a process. Everything runs on the thread that calls run().
+// Runs one controller. All work is done on the thread that calls run().
 class Service {
  public:
-  // Listens at once; throws std::system_error if it can't. Two runs must never have the same
+  // Starts to listen; throws std::system_error if that fails. Two runs must never have the same
   // `seed`.
   Service(asio::io_context& io, const NodeSettings& settings, Options options, std::uint64_t seed);
   // Serves until the process ends.
@@ -27,15 +28,15 @@
   static Ms steady_ms();  // steady clock; never 0
   static Ms wall_ms();    // time of day
   void tick();
-  // Sends what the controller asks for until it asks for nothing more, and sets the timer.
-  void carry_out();
+  // Sends the core's output until the core has none left, and sets the timer.
+  void process_output();
   static void write_log(const LogLine& line);
-  // Where the call goes.
+  // Address that the call is sent to.
   const std::string& address_of(const Call& call) const;
   void send(Call& call);
-  void arm();
-  // Connections to the server, if the options don't say.
-  int most_connections() const;
+  void set_timer();
+  // Maximum number of connections to the HTTP server if the options don't set it.
+  int default_max_connections() const;
 
   asio::io_context& io_;
   NodeSettings settings_;
@@ -46,9 +47,9 @@
   std::unique_ptr<net::HttpServer> server_;
   std::unique_ptr<net::PeerLinks> peers_;
   asio::steady_timer timer_;
-  Ms status_at_ = 0;
-  Ms look_at_ = 0;  // when the timer ends; 0: not set
-  bool carrying_ = false;
+  Ms next_status_at_ = 0;
+  Ms timer_expires_at_ = 0;  // when the timer expires; 0: not set
+  bool processing_output_ = false;
 };
 
 }  // namespace scheduler::app
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -15,59 +15,62 @@
 
 namespace {
 
-// Ends the reading of a file with the one line that says why.
-[[noreturn]] void bad(const std::string& what) { throw std::runtime_error(what); }
+// Stops reading a file with a one-line error message.
+[[noreturn]] void fail(const std::string& message) { throw std::runtime_error(message); }
 
-// The table `name` in another one, which must have it.
+// Returns the table `name` of the table `in`, which must have it.
 const toml::table& table(const toml::table& in, const std::string& name) {
   const auto* found = in.get_as<toml::table>(name);
-  if (!found) bad("[" + name + "] is missing");
+  if (!found) fail("[" + name + "] is missing");
   return *found;
 }
 
-// Below, `where` is the path of the table `in` in messages: empty, or ending in a dot.
+// In the functions below, `prefix` is the path of the table `in` for error messages: empty, or with
+// a dot at its end.
 
-// A required text that is not empty.
-std::string text(const toml::table& in, const std::string& name, const std::string& where) {
+// Reads a required string, which must not be empty.
+std::string required_text(const toml::table& in, const std::string& name,
+                          const std::string& prefix) {
   const auto value = in[name].value_exact<std::string>();
-  if (!value || value->empty()) bad(where + name + " is missing or not a string");
+  if (!value || value->empty()) fail(prefix + name + " is missing or not a string");
   return *value;
 }
 
-// A required finite number of `least` or more.
-double number(const toml::table& in, const std::string& name, const std::string& where,
-              double least) {
+// Reads a required finite number, which must be `minimum` or more.
+double required_number(const toml::table& in, const std::string& name, const std::string& prefix,
+                       double minimum) {
   const auto value = in[name].value<double>();
-  if (!value || !std::isfinite(*value)) bad(where + name + " is missing or not a number");
-  if (*value < least) bad(where + name + " is too small");
+  if (!value || !std::isfinite(*value)) fail(prefix + name + " is missing or not a number");
+  if (*value < minimum) fail(prefix + name + " is too small");
   return *value;
 }
 
-// A number that is not negative; 0 if it is absent.
-double optional_number(const toml::table& in, const std::string& name, const std::string& where) {
-  return in.contains(name) ? number(in, name, where, 0.0) : 0.0;
+// Reads a number, which must not be negative; returns 0 if it is absent.
+double optional_number(const toml::table& in, const std::string& name, const std::string& prefix) {
+  return in.contains(name) ? required_number(in, name, prefix, 0.0) : 0.0;
 }
 
-// A required IP address with a port.
-std::string address(const toml::table& in, const std::string& name, const std::string& where) {
-  std::string endpoint = text(in, name, where);
+// Reads a required IP address with a port.
+std::string required_address(const toml::table& in, const std::string& name,
+                             const std::string& prefix) {
+  std::string endpoint = required_text(in, name, prefix);
   if (!net::parse_endpoint(endpoint))
-    bad(where + name + " is not an address of the form 10.0.0.1:8080");
+    fail(prefix + name + " is not an address of the form 10.0.0.1:8080");
   return endpoint;
 }
 
-// Calls `take(table)` for each table of a list; an absent list is an empty one.
-template <typename Take>
-void each(const toml::table& in, const std::string& name, Take&& take) {
+// Calls `read_entry(table)` for each table of the list `name`. An absent list counts as empty.
+template <typename ReadEntry>
+void for_each_table(const toml::table& in, const std::string& name, ReadEntry&& read_entry) {
   const auto* list = in.get_as<toml::array>(name);
   if (!list) {
-    if (in.contains(name)) bad(name + " is not a list of tables");
+    if (in.contains(name)) fail(name + " is not a list of tables");
     return;
   }
   for (const auto& node : *list) {
     const auto* entry = node.as_table();
-    if (!entry) bad(name + " is not a list of tables");
-    take(*entry);
+    if (!entry) fail(name + " is not a list of tables");
+    read_entry(*entry);
   }
 }
 
@@ -75,59 +78,60 @@
   try {
     return toml::parse_file(path);
   } catch (const toml::parse_error& error) {
-    bad(path + ": " + std::string(error.description()) + " (line " +
-        std::to_string(error.source().begin.line) + ")");
+    fail(path + ": " + std::string(error.description()) + " (line " +
+         std::to_string(error.source().begin.line) + ")");
   }
 }
 
-// ---- the platform's file, by section ----
+// ---- sections of the platform's settings file ----
 
-// This controller and the others.
+// Reads the name and addresses of this controller and of its peers.
 void read_node(const toml::table& root, NodeSettings& out) {
-  out.core.name = text(root, "host_name", "");
-  out.core.zone = text(root, "zone", "");
-  out.listen = address(root, "bind", "");
-  out.peer_listen = address(root, "peer_listen", "");
+  out.core.name = required_text(root, "host_name", "");
+  out.core.zone = required_text(root, "zone", "");
+  out.listen = required_address(root, "bind", "");
+  out.peer_listen = required_address(root, "peer_listen", "");
   std::set<std::string> names{out.core.name};
-  each(root, "known", [&](const toml::table& entry) {
+  for_each_table(root, "known", [&](const toml::table& entry) {
     Peer peer;
-    peer.name = text(entry, "host_name", "known.");
-    peer.zone = text(entry, "zone", "known.");
-    peer.address = address(entry, "peer_addr", "known.");
-    if (!names.insert(peer.name).second) bad("known: " + peer.name + " is named twice");
+    peer.name = required_text(entry, "host_name", "known.");
+    peer.zone = required_text(entry, "zone", "known.");
+    peer.address = required_address(entry, "peer_addr", "known.");
+    if (!names.insert(peer.name).second) fail("known: " + peer.name + " is listed twice");
     out.core.peers.push_back(std::move(peer));
   });
 }
 
-// What the controllers call.
+// Reads the addresses of the cloud and the state service.
 void read_external(const toml::table& external, NodeSettings& out) {
-  out.cloud = address(external, "cloud", "external.");
-  out.state = address(external, "state", "external.");
+  out.cloud = required_address(external, "cloud", "external.");
+  out.state = required_address(external, "state", "external.");
 }
 
-// The zones that machines may be in; absent: none is stated.
+// Reads the zones that machines may be in. The list may be absent; `zones` is then empty.
 void read_zones(const toml::table& settings, Settings& out) {
   const auto* zones = settings.get_as<toml::array>("zones");
   if (!zones) {
-    if (settings.contains("zones")) bad("settings.zones is not a list of names");
+    if (settings.contains("zones")) fail("settings.zones is not a list of names");
     return;
   }
   for (const auto& node : *zones) {
     const auto zone = node.value_exact<std::string>();
-    if (!zone || zone->empty()) bad("settings.zones is not a list of names");
+    if (!zone || zone->empty()) fail("settings.zones is not a list of names");
     out.zones.push_back(*zone);
   }
 }
 
-// A team, with what it is guaranteed and what it may use at most: CPUs and GPUs, 0 for none.
+// Reads a team with its guaranteed CPUs and GPUs and its limits on them. An absent number is read
+// as 0.
 void read_team(const toml::table& entry, Settings& out) {
-  const std::string where = "settings.teams.";
+  const std::string prefix = "settings.teams.";
   Team team;
-  team.name = text(entry, "name", where);
-  team.cpus = optional_number(entry, "cpus", where);
-  team.cpus_max = optional_number(entry, "cpus_max", where);
-  team.gpus = optional_number(entry, "gpus", where);
-  team.gpus_max = optional_number(entry, "gpus_max", where);
+  team.name = required_text(entry, "name", prefix);
+  team.cpus = optional_number(entry, "cpus", prefix);
+  team.cpus_max = optional_number(entry, "cpus_max", prefix);
+  team.gpus = optional_number(entry, "gpus", prefix);
+  team.gpus_max = optional_number(entry, "gpus_max", prefix);
   out.teams.push_back(std::move(team));
 }
 
@@ -140,75 +144,80 @@
                                              {"wait", ObjectiveKind::wait},
                                              {"up", ObjectiveKind::up}};
 
-// A service-level objective. Kinds that this version does not know are left out; the service logs
-// them.
+// Reads a service-level objective. Objectives of a kind that this version doesn't support are
+// skipped, and the service logs their kinds.
 void read_objective(const toml::table& entry, NodeSettings& out) {
-  const std::string where = "settings.objectives.";
-  const std::string kind = text(entry, "kind", where);
-  const auto* known =
+  const std::string prefix = "settings.objectives.";
+  const std::string kind = required_text(entry, "kind", prefix);
+  const auto* match =
       std::find_if(std::begin(kObjectiveNames), std::end(kObjectiveNames),
                    [&](const ObjectiveName& candidate) { return candidate.name == kind; });
-  if (known == std::end(kObjectiveNames)) {
+  if (match == std::end(kObjectiveNames)) {
     out.unknown_objectives.insert(kind);
     return;
   }
   Objective objective;
-  objective.kind = known->kind;
-  if (entry.contains("class")) objective.job_class = text(entry, "class", where);
-  objective.share = optional_number(entry, "share", where);
-  objective.deadline_factor = optional_number(entry, "times", where);
-  // The time from which a replica counts is named differently from the time for a start.
-  const bool up = objective.kind == ObjectiveKind::up;
-  objective.within_s = optional_number(entry, up ? "after_s" : "within_s", where);
+  objective.kind = match->kind;
+  if (entry.contains("class")) objective.job_class = required_text(entry, "class", prefix);
+  objective.share = optional_number(entry, "share", prefix);
+  objective.deadline_factor = optional_number(entry, "times", prefix);
+  // Objectives of kind `up` name their time after_s (when a replica starts to count), all others
+  // within_s.
+  const bool is_up_objective = objective.kind == ObjectiveKind::up;
+  objective.within_s = optional_number(entry, is_up_objective ? "after_s" : "within_s", prefix);
   out.core.objectives.push_back(std::move(objective));
 }
 
-// What workers are told to keep to, in seconds.
+// Reads the intervals and timeouts of workers, in seconds.
 void read_worker_times(const toml::table& workers, Settings& out) {
-  const std::string where = "settings.workers.";
-  out.heartbeat_interval_s = number(workers, "report_s", where, 0.01);
-  out.lease_s = number(workers, "lease_s", where, 0.1);
-  out.gang_wait_s = number(workers, "gang_wait_s", where, 0);
-  out.gang_peer_s = number(workers, "gang_peer_s", where, 0);
-  out.cancel_s = number(workers, "cancel_s", where, 0);
+  const std::string prefix = "settings.workers.";
+  out.heartbeat_interval_s = required_number(workers, "report_s", prefix, 0.01);
+  out.lease_s = required_number(workers, "lease_s", prefix, 0.1);
+  out.gang_wait_s = required_number(workers, "gang_wait_s", prefix, 0);
+  out.gang_peer_s = required_number(workers, "gang_peer_s", prefix, 0);
+  out.cancel_s = required_number(workers, "cancel_s", prefix, 0);
 }
 
-// The state service's limits: requests and writes a second, KB of a value, operations of a
-// transaction. Those announced for later (`next`) may come at any moment, so what
-// is written fits both.
+// Reads the state service's limits: requests and writes per second, KB per value, operations per
+// transaction. Limits announced in `next` may take effect at any moment, so the controller keeps to
+// the lower of the current and the announced limit.
 void read_state_limits(const toml::table& state, Settings& out) {
-  constexpr double kLeastValueKb = 1;  // a record of one placement and a short job fit
-  constexpr double kLeastTxnOps = 4;   // a placement on three shards and its range
-  const std::string where = "settings.state.";
-  out.state_rps = number(state, "rps", where, 1);
-  out.state_write_rps = number(state, "write_rps", where, 1);
-  out.value_kb = number(state, "value_kb", where, kLeastValueKb);
-  out.txn_ops = static_cast<int>(number(state, "txn_ops", where, kLeastTxnOps));
+  constexpr double kMinValueKb = 1;  // fits a record with one placement, and a short job
+  constexpr double kMinTxnOps = 4;   // fits a placement on three shards with its range
+  const std::string prefix = "settings.state.";
+  out.state_rps = required_number(state, "rps", prefix, 1);
+  out.state_write_rps = required_number(state, "write_rps", prefix, 1);
+  out.value_kb = required_number(state, "value_kb", prefix, kMinValueKb);
+  out.txn_ops = static_cast<int>(required_number(state, "txn_ops", prefix, kMinTxnOps));
   out.current_value_kb = out.value_kb;
   if (!state.contains("next")) return;
   const toml::table& next = table(state, "next");
-  const std::string next_where = where + "next.";
-  auto lower = [&](const char* name, double now, double least) {
-    return next.contains(name) ? std::min(now, number(next, name, next_where, least)) : now;
+  const std::string next_prefix = prefix + "next.";
+  auto lower_limit = [&](const char* name, double current, double minimum) {
+    return next.contains(name)
+               ? std::min(current, required_number(next, name, next_prefix, minimum))
+               : current;
   };
-  out.state_rps = lower("rps", out.state_rps, 1);
-  out.state_write_rps = lower("write_rps", out.state_write_rps, 1);
-  out.value_kb = lower("value_kb", out.value_kb, kLeastValueKb);
-  out.txn_ops = static_cast<int>(lower("txn_ops", out.txn_ops, kLeastTxnOps));
+  out.state_rps = lower_limit("rps", out.state_rps, 1);
+  out.state_write_rps = lower_limit("write_rps", out.state_write_rps, 1);
+  out.value_kb = lower_limit("value_kb", out.value_kb, kMinValueKb);
+  out.txn_ops = static_cast<int>(lower_limit("txn_ops", out.txn_ops, kMinTxnOps));
 }
 
-// The cloud's limits: requests a second, and seconds by which its list of machines may be late.
+// Reads the cloud's limits: requests per second, and the seconds by which its list of machines may
+// lag.
 void read_cloud_limits(const toml::table& cloud, Settings& out) {
-  out.cloud_rps = number(cloud, "rps", "settings.cloud.", 0.1);
-  out.list_lag_s = number(cloud, "list_lag_s", "settings.cloud.", 0);
+  out.cloud_rps = required_number(cloud, "rps", "settings.cloud.", 0.1);
+  out.list_lag_s = required_number(cloud, "list_lag_s", "settings.cloud.", 0);
 }
 
-// What this process may take of its host: a share of a CPU, MB of memory, and open sockets.
+// Reads how much of its host this process may use: the share of a CPU, MB of memory, and the number
+// of open sockets.
 void read_machine_limits(const toml::table& limits, NodeSettings& out) {
-  const std::string where = "settings.machine_limits.";
-  out.cpu_share = number(limits, "cpu_share", where, 0.001);
-  out.core.memory_mb = number(limits, "ram_mb", where, 1);
-  out.core.sockets = static_cast<int>(number(limits, "fd_limit", where, 64));
+  const std::string prefix = "settings.machine_limits.";
+  out.cpu_share = required_number(limits, "cpu_share", prefix, 0.001);
+  out.core.memory_mb = required_number(limits, "ram_mb", prefix, 1);
+  out.core.sockets = static_cast<int>(required_number(limits, "fd_limit", prefix, 64));
 }
 
 }  // namespace
@@ -219,10 +228,11 @@
   read_node(root, out);
   read_external(table(root, "external"), out);
   const toml::table& settings = table(root, "settings");
-  out.core.controllers = static_cast<int>(number(settings, "size", "settings.", 1));
+  out.core.controllers = static_cast<int>(required_number(settings, "size", "settings.", 1));
   read_zones(settings, out.core);
-  each(settings, "teams", [&](const toml::table& entry) { read_team(entry, out.core); });
-  each(settings, "objectives", [&](const toml::table& entry) { read_objective(entry, out); });
+  for_each_table(settings, "teams", [&](const toml::table& entry) { read_team(entry, out.core); });
+  for_each_table(settings, "objectives",
+                 [&](const toml::table& entry) { read_objective(entry, out); });
   read_worker_times(table(settings, "workers"), out.core);
   read_state_limits(table(settings, "state"), out.core);
   read_cloud_limits(table(settings, "cloud"), out.core);
@@ -231,34 +241,34 @@
 }
 
 Options load_options(const std::string& path) {
-  constexpr double kMostMachines = 1e6;  // more is a slip of the pen
+  constexpr double kMaxMachines = 1e6;  // a larger number is taken for a typing error
   const toml::table root = parse(path);
   Options out;
   if (root.contains("log_level")) {
-    out.log_level = text(root, "log_level", "");
+    out.log_level = required_text(root, "log_level", "");
     if (out.log_level != "error" && out.log_level != "info" && out.log_level != "debug")
-      bad("log_level must be error, info or debug");
+      fail("log_level must be error, info or debug");
   }
   if (root.contains("tick_ms")) {
-    out.tick_ms = static_cast<int>(number(root, "tick_ms", "", 1));
-    if (out.tick_ms > 1000) bad("tick_ms is too large");
+    out.tick_ms = static_cast<int>(required_number(root, "tick_ms", "", 1));
+    if (out.tick_ms > 1000) fail("tick_ms must be at most 1000");
   }
   if (root.contains("max_connections"))
-    out.max_connections = static_cast<int>(number(root, "max_connections", "", 1));
+    out.max_connections = static_cast<int>(required_number(root, "max_connections", "", 1));
   if (root.contains("machines")) {
-    const double machines = number(root, "machines", "", 1);
-    if (machines > kMostMachines) bad("machines is too large");
+    const double machines = required_number(root, "machines", "", 1);
+    if (machines > kMaxMachines) fail("machines must be at most 1000000");
     out.machines = static_cast<int>(machines);
   }
   if (root.contains("relay")) {
     const auto relay = root["relay"].value_exact<bool>();
-    if (!relay) bad("relay must be true or false");
+    if (!relay) fail("relay must be true or false");
     out.relay = *relay;
   }
   for (const auto& [key, value] : root) {
     if (key != "log_level" && key != "tick_ms" && key != "max_connections" && key != "machines" &&
         key != "relay")
-      bad("unknown option " + std::string(key.str()));
+      fail("unknown option " + std::string(key.str()));
   }
   return out;
 }
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -1,6 +1,6 @@
-// The platform's settings file and the operators' own options. Both are formats of their own, whose
-// names are mapped to the program's here: report_s is the interval of heartbeats, ram_mb the memory
-// and fd_limit the sockets that the process may hold.
+// Reads the platform's settings file and the operators' options file. Some names in the settings
+// file differ from those in the code: report_s is the heartbeat interval, ram_mb the memory and
+// fd_limit the number of sockets that the process may use.
 #pragma once
 
 #include <set>
@@ -10,30 +10,30 @@
 
 namespace scheduler::app {
 
-// What the platform's file says.
+// Settings of one controller, from the platform's file.
 struct NodeSettings {
   Settings core;
   std::string listen;        // IP address and port for users, workers and health checks
-  std::string peer_listen;   // the same for other controllers
+  std::string peer_listen;   // IP address and port for other controllers
   std::string cloud, state;  // addresses of the cloud and the state service
-  double cpu_share = 0;      // of a CPU, that the process may take
-  std::set<std::string> unknown_objectives;  // kinds that this version does not know; ignored
+  double cpu_share = 0;      // share of a CPU that the process may use
+  std::set<std::string> unknown_objectives;  // kinds that this version doesn't support; ignored
 };
 
 // Reads and checks the platform's file. Throws std::runtime_error with one line that names the
-// first setting that is missing or wrong.
+// first setting that is missing or invalid.
 NodeSettings load_settings(const std::string& path);
 
-// What the operators set.
+// Options from the operators' file.
 struct Options {
-  std::string log_level;    // empty: LOG_LEVEL decides
-  int tick_ms = 100;        // milliseconds between ticks at most
-  int max_connections = 0;  // 0: from the platform's limit on sockets
+  std::string log_level;    // empty: taken from the LOG_LEVEL variable
+  int tick_ms = 100;        // maximum milliseconds between two ticks
+  int max_connections = 0;  // 0: derived from the platform's limit on sockets
   bool relay = false;       // relay messages between workers and controllers that have no link
-  int machines = 0;         // that the fleet may have; 0: not stated. For checks of the settings.
+  int machines = 0;         // expected size of the fleet, for capacity checks; 0: not given
 };
-// Reads and checks the operators' file, in which every option may be absent and none may be
-// unknown. Throws as load_settings does.
+// Reads and checks the operators' file. Every option may be absent; an unknown option is an error.
+// Throws std::runtime_error with one line that names the first invalid option.
 Options load_options(const std::string& path);
 
 }  // namespace scheduler::app
--- a/src/history/checker.cpp
+++ b/src/history/checker.cpp
@@ -30,15 +30,15 @@
   return "";
 }
 
-void Checker::found(Fault fault, Ms at, std::string what) {
-  findings_.push_back({fault, at, std::move(what)});
+void Checker::add_finding(Fault fault, Ms at, std::string description) {
+  findings_.push_back({fault, at, std::move(description)});
 }
 
 void Checker::add(Ms at, const Event& event) {
-  std::visit([this, at](const auto& e) { on(at, e); }, event);
+  std::visit([this, at](const auto& e) { apply(at, e); }, event);
 }
 
-void Checker::on(Ms at, const Accepted& event) {
+void Checker::apply(Ms at, const Accepted& event) {
   JobHistory& job = jobs_[event.job];
   if (job.accepted) return;
   job.accepted = true;
@@ -48,84 +48,95 @@
   ++accepted_;
 }
 
-// Answers to questions that were sent before a user knew better may come late.
-void Checker::on(Ms at, const Answered& event) {
+// A request that was sent before a user received the final state may still be answered with an
+// unfinished state afterwards; that is no fault.
+void Checker::apply(Ms at, const Answered& event) {
   JobHistory& job = jobs_[event.job];
   const bool done = event.state == wire::JobState::done;
   const bool cancelled = event.state == wire::JobState::cancelled;
   if (!done && !cancelled) {
-    if (job.told && event.asked > job.told_at)
-      found(Fault::older_answer, at, event.job + " was over, and is called unfinished");
+    if (job.reported && event.request_sent_at > job.reported_at)
+      add_finding(Fault::older_answer, at,
+                  event.job + " is reported as unfinished after its final state was reported");
     return;
   }
   const Result result = done ? Result::done : Result::cancelled;
-  if (job.told && *job.told != result)
-    found(Fault::result_changed, at, event.job + " was called done and cancelled");
+  if (job.reported && *job.reported != result)
+    add_finding(Fault::result_changed, at,
+                event.job + " is reported both as done and as cancelled");
   if (job.recorded && *job.recorded != result)
-    found(Fault::answer_unrecorded, at, event.job + ": the recorded result is another");
-  if (cancelled && !job.cancel_asked) found(Fault::cancelled_unasked, at, event.job);
-  if (done) check_complete(at, event.job, job);
-  if (job.told) return;
-  job.told = result;
-  job.told_at = at;
+    add_finding(Fault::answer_unrecorded, at,
+                event.job + ": the reported result differs from the recorded one");
+  if (cancelled && !job.cancel_requested) add_finding(Fault::cancelled_unasked, at, event.job);
+  if (done) check_all_tasks_completed(at, event.job, job);
+  if (job.reported) return;
+  job.reported = result;
+  job.reported_at = at;
 }
 
-void Checker::on(Ms at, const AnsweredUnknown& event) {
+void Checker::apply(Ms at, const AnsweredUnknown& event) {
   const JobHistory& job = jobs_[event.job];
-  if (job.accepted && event.asked > job.accepted_at)
-    found(Fault::older_answer, at, event.job + " was accepted, and is called unknown");
+  if (job.accepted && event.request_sent_at > job.accepted_at)
+    add_finding(Fault::older_answer, at,
+                event.job + " is reported as unknown after it was accepted");
 }
 
-void Checker::on(Ms /*at*/, const CancelAsked& event) { jobs_[event.job].cancel_asked = true; }
+void Checker::apply(Ms /*at*/, const CancelAsked& event) {
+  jobs_[event.job].cancel_requested = true;
+}
 
-void Checker::on(Ms at, const TaskBegan& event) {
+void Checker::apply(Ms at, const TaskBegan& event) {
   const std::string task = wire::task_name(event.task.job, event.task.index);
-  std::set<std::string>& machines = machines_[event.task];
+  std::set<std::string>& machines = machines_by_task_[event.task];
   for (const auto& other : machines)
     if (other != event.machine)
-      found(Fault::ran_twice, at, task + " begins on " + event.machine + " while on " + other);
+      add_finding(Fault::ran_twice, at,
+                  task + " begins on " + event.machine + " while on " + other);
   machines.insert(event.machine);
   const JobHistory& job = jobs_[event.task.job];
-  if (job.told == Result::cancelled)
-    found(Fault::started_cancelled, at, task + " begins on " + event.machine);
+  if (job.reported == Result::cancelled)
+    add_finding(Fault::started_cancelled, at, task + " begins on " + event.machine);
 }
 
-void Checker::on(Ms /*at*/, const TaskEnded& event) {
-  const auto running = machines_.find(event.task);
-  if (running != machines_.end()) {
+void Checker::apply(Ms /*at*/, const TaskEnded& event) {
+  const auto running = machines_by_task_.find(event.task);
+  if (running != machines_by_task_.end()) {
     running->second.erase(event.machine);
-    if (running->second.empty()) machines_.erase(running);
+    if (running->second.empty()) machines_by_task_.erase(running);
   }
   if (event.done) jobs_[event.task.job].completed.insert(event.task.index);
 }
 
-void Checker::check_complete(Ms at, const std::string& id, const JobHistory& job) {
-  // How many tasks there are is known once the submission was answered.
+void Checker::check_all_tasks_completed(Ms at, const std::string& id, const JobHistory& job) {
+  // The number of tasks is known only after the reply to the submission.
   const bool complete = !job.accepted || job.completed.size() >= job.tasks;
   if (job.service || !complete)
-    found(Fault::done_too_early, at,
-          id + " with " + std::to_string(job.completed.size()) + " of " +
-              std::to_string(job.tasks) + " tasks completed");
+    add_finding(Fault::done_too_early, at,
+                id + " with " + std::to_string(job.completed.size()) + " of " +
+                    std::to_string(job.tasks) + " tasks completed");
 }
 
-void Checker::on(Ms at, const ResultRecorded& event) {
+void Checker::apply(Ms at, const ResultRecorded& event) {
   JobHistory& job = jobs_[event.job];
   const Result result = event.done ? Result::done : Result::cancelled;
   if (job.recorded && *job.recorded != result)
-    found(Fault::two_results, at, event.job + " is recorded as done and as cancelled");
-  if (job.told && *job.told != result)
-    found(Fault::answer_unrecorded, at, event.job + ": users were told another result");
-  if (event.done) check_complete(at, event.job, job);
+    add_finding(Fault::two_results, at, event.job + " is recorded both as done and as cancelled");
+  if (job.reported && *job.reported != result)
+    add_finding(Fault::answer_unrecorded, at,
+                event.job + ": the recorded result differs from the reported one");
+  if (event.done) check_all_tasks_completed(at, event.job, job);
   if (job.recorded) return;
   job.recorded = result;
   ++results_;
 }
 
-void Checker::on(Ms at, const ResultRemoved& event) { found(Fault::result_removed, at, event.job); }
+void Checker::apply(Ms at, const ResultRemoved& event) {
+  add_finding(Fault::result_removed, at, event.job);
+}
 
 void Checker::finish(Ms at) {
   for (const auto& [id, job] : jobs_)
-    if (job.accepted && !job.recorded) found(Fault::no_result, at, id);
+    if (job.accepted && !job.recorded) add_finding(Fault::no_result, at, id);
 }
 
 }  // namespace scheduler::history
--- a/src/history/checker.h
+++ b/src/history/checker.h
@@ -1,4 +1,4 @@
-// Finds in a history whether every job has exactly one final answer.
+// Checks in a history that every job has exactly one final state, and that no reply contradicts it.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,14 @@
 enum class Fault : std::uint8_t {
   two_results,        // the state service recorded a second result that differs from the first
   result_removed,     // a recorded result was removed
-  result_changed,     // users were told two different results
-  older_answer,       // an answer older than one given before the question was sent
-  answer_unrecorded,  // users were told a result that is not the recorded one
-  done_too_early,     // done was recorded or told before every task had completed
-  ran_twice,          // a task began on one machine while it was on another
-  started_cancelled,  // a task began after a user was told that its job is cancelled
-  cancelled_unasked,  // cancelled by nobody
-  no_result           // accepted, and without a recorded result at the end
+  result_changed,     // users received two different results
+  older_answer,       // a reply was staler than one that was received before the request was sent
+  answer_unrecorded,  // users received a result that differs from the recorded one
+  done_too_early,     // a job was recorded or reported as done before all its tasks completed
+  ran_twice,          // a task began on one machine while it ran on another
+  started_cancelled,  // a task began after a user received the reply that its job is cancelled
+  cancelled_unasked,  // a job was reported as cancelled although no user had requested it
+  no_result           // an accepted job had no recorded result at the end
 };
 
 std::string_view name(Fault fault);
@@ -31,19 +31,19 @@
 struct Finding {
   Fault fault;
   Ms at = 0;
-  std::string what;  // job or task, and what was seen
+  std::string what;  // job or task, with a description of the fault
 };
 
-// Takes events in the order of their times. Memory grows with the jobs and the tasks that run, not
-// with the number of events.
+// Checks events, which must be added in order of time. Memory use grows with the number of jobs and
+// of running tasks, not with the number of events.
 class Checker {
  public:
   void add(Ms at, const Event& event);
-  // The history is complete: every accepted job must have its result.
+  // Ends the history, and checks that every accepted job has a recorded result.
   void finish(Ms at);
 
   [[nodiscard]] const std::vector<Finding>& findings() const { return findings_; }
-  // Jobs accepted, and results recorded.
+  // Number of accepted jobs, and of recorded results.
   [[nodiscard]] std::size_t accepted() const { return accepted_; }
   [[nodiscard]] std::size_t results() const { return results_; }
 
@@ -51,26 +51,27 @@
   enum class Result : std::uint8_t { done, cancelled };
 
   struct JobHistory {
-    bool accepted = false, service = false, cancel_asked = false;
+    bool accepted = false, service = false, cancel_requested = false;
     std::uint32_t tasks = 0;
-    Ms accepted_at = 0, told_at = 0;
-    std::optional<Result> told, recorded;
+    Ms accepted_at = 0, reported_at = 0;
+    std::optional<Result> reported, recorded;
     std::set<std::uint32_t> completed;
   };
 
-  void on(Ms at, const Accepted& event);
-  void on(Ms at, const Answered& event);
-  void on(Ms at, const AnsweredUnknown& event);
-  void on(Ms at, const CancelAsked& event);
-  void on(Ms at, const TaskBegan& event);
-  void on(Ms at, const TaskEnded& event);
-  void on(Ms at, const ResultRecorded& event);
-  void on(Ms at, const ResultRemoved& event);
-  void check_complete(Ms at, const std::string& id, const JobHistory& job);
-  void found(Fault fault, Ms at, std::string what);
+  void apply(Ms at, const Accepted& event);
+  void apply(Ms at, const Answered& event);
+  void apply(Ms at, const AnsweredUnknown& event);
+  void apply(Ms at, const CancelAsked& event);
+  void apply(Ms at, const TaskBegan& event);
+  void apply(Ms at, const TaskEnded& event);
+  void apply(Ms at, const ResultRecorded& event);
+  void apply(Ms at, const ResultRemoved& event);
+  void check_all_tasks_completed(Ms at, const std::string& id, const JobHistory& job);
+  void add_finding(Fault fault, Ms at, std::string what);
 
   std::map<std::string, JobHistory> jobs_;
-  std::map<wire::TaskId, std::set<std::string>> machines_;  // that have the task
+  std::map<wire::TaskId, std::set<std::string>>
+      machines_by_task_;  // machines that run the task, by task
   std::vector<Finding> findings_;
   std::size_t accepted_ = 0, results_ = 0;
 };
--- a/src/history/event.h
+++ b/src/history/event.h
@@ -1,4 +1,5 @@
-// What users, workers and the state service saw of jobs: the events of a history.
+// Events of a history: changes of jobs and tasks as users, workers and the state service observed
+// them.
 #pragma once
 
 #include <cstdint>
@@ -9,47 +10,47 @@
 
 namespace scheduler::history {
 
-using Ms = std::int64_t;  // milliseconds since the history began, by one clock
+using Ms = std::int64_t;  // milliseconds since the start of the history; all events use one clock
 
-// A user was told that the job is accepted.
+// A user received the reply that the job is accepted.
 struct Accepted {
   std::string job;
   std::uint32_t tasks = 0;
   bool service = false;  // runs until it is cancelled
 };
 
-// A user was told the state of a job, in answer to a question sent at `asked`.
+// A user received the state of a job, in reply to a request sent at `request_sent_at`.
 struct Answered {
   std::string job;
   wire::JobState state = wire::JobState::queued;
-  Ms asked = 0;
+  Ms request_sent_at = 0;
 };
 
-// A user was told that nobody ever submitted the job.
+// A user received the reply that no such job exists, to a request sent at `request_sent_at`.
 struct AnsweredUnknown {
   std::string job;
-  Ms asked = 0;
+  Ms request_sent_at = 0;
 };
 
-// A user asked for the first time to cancel the job.
+// A user sent the first request to cancel the job.
 struct CancelAsked {
   std::string job;
 };
 
-// A worker has a task on its machine, with its image.
+// A worker has begun to run a task, with its image, on its machine.
 struct TaskBegan {
   wire::TaskId task;
   std::string machine;
 };
 
-// The task is no longer on the machine, for whatever reason.
+// The task no longer runs on the machine; the reason doesn't matter.
 struct TaskEnded {
   wire::TaskId task;
   std::string machine;
   bool done = false;  // completed
 };
 
-// The state service holds the job's final state, written or removed in that change.
+// The state service wrote the job's final state. ResultRemoved: the state service removed it.
 struct ResultRecorded {
   std::string job;
   bool done = false;  // false: cancelled
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,4 @@
-// Addresses of sockets in settings and messages.
+// Parses socket addresses found in settings and messages.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -8,8 +8,8 @@
 
 namespace scheduler::net {
 
-// "10.0.0.1:8080" as an endpoint; none if it is not an IP address and a port of 1 to 65535. There
-// are no name look-ups.
+// Parses text such as "10.0.0.1:8080". Returns nullopt unless it is an IP address and a port from 1
+// to 65535. Host names are not resolved.
 std::optional<asio::ip::tcp::endpoint> parse_endpoint(std::string_view text);
 
 }  // namespace scheduler::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -21,24 +21,25 @@
   Connection(HttpClient& client, std::string address)
       : client_(client), address_(std::move(address)), socket_(client.io_), timer_(client.io_) {}
 
-  void start(const Request& request, Done done, bool fresh) {
+  void start(const Request& request, Done done, bool connect_first) {
     done_ = std::move(done);
-    out_ = request.method + " " + request.path + " HTTP/1.1\r\nHost: " + address_ + "\r\n";
+    request_text_ = request.method + " " + request.path + " HTTP/1.1\r\nHost: " + address_ + "\r\n";
     if (!request.body.empty() || request.method != "GET") {
-      out_ += "Content-Type: application/json\r\nContent-Length: " +
-              std::to_string(request.body.size()) + "\r\n";
+      request_text_ += "Content-Type: application/json\r\nContent-Length: " +
+                       std::to_string(request.body.size()) + "\r\n";
     }
-    out_ += "\r\n" + request.body;
-    status_ = kNoAnswer;
+    request_text_ += "\r\n" + request.body;
+    status_ = kNoReply;
     too_large_ = false;
     body_.clear();
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
     timer_.expires_after(milliseconds(request.timeout_ms));
-    timer_.async_wait([self = shared_from_this(), turn = ++turn_](std::error_code error) {
-      if (!error && turn == self->turn_ && self->done_) self->fail();
-    });
-    if (!fresh) {
+    timer_.async_wait(
+        [self = shared_from_this(), request_number = ++request_number_](std::error_code error) {
+          if (!error && request_number == self->request_number_ && self->done_) self->fail();
+        });
+    if (!connect_first) {
       write();
       return;
     }
@@ -60,8 +61,8 @@
     });
   }
 
-  bool open() const { return !closed_; }
-  Clock::time_point since() const { return since_; }
+  bool is_open() const { return !closed_; }
+  Clock::time_point idle_since() const { return idle_since_; }
   void close() {
     closed_ = true;
     std::error_code ignored;
@@ -71,13 +72,13 @@
 
  private:
   void fail() {
-    const int status = too_large_ ? kTooLarge : kNoAnswer;
+    const int status = too_large_ ? kTooLarge : kNoReply;
     close();
     finish(status, "");
   }
 
   void finish(int status, std::string body) {
-    ++turn_;
+    ++request_number_;
     timer_.cancel();
     if (!done_) return;
     Done done = std::move(done_);
@@ -87,22 +88,23 @@
 
   void write() {
     std::error_code error;
-    const std::size_t n = socket_.write_some(asio::buffer(out_), error);
-    if (!error && n == out_.size()) return;
+    const std::size_t n = socket_.write_some(asio::buffer(request_text_), error);
+    if (!error && n == request_text_.size()) return;
     if (error && error != asio::error::would_block) {
-      // Not from within the caller.
-      asio::post(client_.io_, [self = shared_from_this(), turn = turn_] {
-        if (turn == self->turn_) self->fail();
+      // Posted, so that send() returns before the callback runs.
+      asio::post(client_.io_, [self = shared_from_this(), request_number = request_number_] {
+        if (request_number == self->request_number_) self->fail();
       });
       return;
     }
-    asio::async_write(socket_, asio::buffer(out_) + n,
+    asio::async_write(socket_, asio::buffer(request_text_) + n,
                       [self = shared_from_this()](std::error_code failed, std::size_t) {
                         if (failed) self->fail();
                       });
   }
 
-  // Always waiting to read, also while idle: so the other side's close is seen before the next use.
+  // Waits for data also while the connection is idle, so that a close by the server is detected
+  // before the connection is reused.
   void read() {
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](std::error_code error) {
       if (self->closed_) return;
@@ -112,13 +114,13 @@
         self->read();
         return;
       }
-      self->take(error, n);
+      self->handle_read(error, n);
     });
   }
 
-  void take(std::error_code error, std::size_t n) {
+  void handle_read(std::error_code error, std::size_t n) {
     if (closed_) return;
-    if (!done_) {  // idle: nothing may come but the end
+    if (!done_) {  // idle: the server may only close it, any data is an error
       close();
       return;
     }
@@ -140,12 +142,12 @@
       return;
     }
     complete_ = false;
-    const bool keep = !error && http_should_keep_alive(&parser_) != 0;
+    const bool reusable = !error && http_should_keep_alive(&parser_) != 0;
     auto& idle = client_.idle_[address_];
-    if (keep && idle.size() < limits::kClientIdlePerAddress &&
-        client_.kept_ < client_.limits_.idle_connections) {
-      since_ = Clock::now();
-      ++client_.kept_;
+    if (reusable && idle.size() < limits::kMaxIdlePerAddress &&
+        client_.idle_count_ < client_.limits_.idle_connections) {
+      idle_since_ = Clock::now();
+      ++client_.idle_count_;
       idle.push_back(shared_from_this());
       read();
     } else {
@@ -156,24 +158,24 @@
 
   static const http_parser_settings& settings() {
     static const http_parser_settings s = [] {
-      http_parser_settings x;
-      http_parser_settings_init(&x);
-      x.on_headers_complete = [](http_parser* p) {
+      http_parser_settings callbacks;
+      http_parser_settings_init(&callbacks);
+      callbacks.on_headers_complete = [](http_parser* p) {
         static_cast<Connection*>(p->data)->status_ = static_cast<int>(p->status_code);
         return 0;
       };
-      x.on_body = [](http_parser* p, const char* at, std::size_t n) {
+      callbacks.on_body = [](http_parser* p, const char* at, std::size_t n) {
         auto& self = *static_cast<Connection*>(p->data);
         self.too_large_ = self.body_.size() + n > self.client_.limits_.response_bytes;
         if (self.too_large_) return 1;
         self.body_.append(at, n);
         return 0;
       };
-      x.on_message_complete = [](http_parser* p) {
+      callbacks.on_message_complete = [](http_parser* p) {
         static_cast<Connection*>(p->data)->complete_ = true;
         return 0;
       };
-      return x;
+      return callbacks;
     }();
     return s;
   }
@@ -183,35 +185,35 @@
   tcp::socket socket_;
   asio::steady_timer timer_;
   http_parser parser_{};
-  std::string out_, body_;
+  std::string request_text_, body_;
   int status_ = 0;
   bool complete_ = false, closed_ = false, too_large_ = false;
-  std::uint64_t turn_ = 0;
+  std::uint64_t request_number_ = 0;
   Done done_;
-  Clock::time_point since_;
+  Clock::time_point idle_since_;
 };
 
 HttpClient::HttpClient(asio::io_context& io, const Limits& limits)
-    : io_(io), sweeper_(io), limits_(limits) {
-  sweep();
+    : io_(io), expiry_timer_(io), limits_(limits) {
+  close_expired();
 }
 HttpClient::~HttpClient() = default;
 
-void HttpClient::sweep() {
-  sweeper_.expires_after(milliseconds(limits::kSweepMs));
-  sweeper_.async_wait([this](std::error_code error) {
+void HttpClient::close_expired() {
+  expiry_timer_.expires_after(milliseconds(limits::kTimeoutCheckIntervalMs));
+  expiry_timer_.async_wait([this](std::error_code error) {
     if (error) return;
-    const auto oldest = Clock::now() - milliseconds(limits::kClientIdleMs);
-    for (auto& [address, list] : idle_) {
-      std::erase_if(list, [&](const auto& c) {
-        if (c->open() && c->since() >= oldest) return false;
+    const auto oldest = Clock::now() - milliseconds(limits::kClientIdleTimeoutMs);
+    for (auto& [address, connections] : idle_) {
+      std::erase_if(connections, [&](const auto& c) {
+        if (c->is_open() && c->idle_since() >= oldest) return false;
         c->close();
-        --kept_;
+        --idle_count_;
         return true;
       });
     }
     std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
-    sweep();
+    close_expired();
   });
 }
 
@@ -220,8 +222,8 @@
   while (!idle.empty()) {
     auto connection = idle.back();
     idle.pop_back();
-    --kept_;
-    if (!connection->open()) continue;
+    --idle_count_;
+    if (!connection->is_open()) continue;
     connection->start(request, std::move(done), false);
     return;
   }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 client with kept connections and one deadline per request.
+// HTTP/1.1 client that reuses connections and applies a timeout to each request.
 #pragma once
 
 #include <array>
@@ -16,42 +16,43 @@
 
 namespace scheduler::net {
 
-// Sends requests and heartbeats what came of each, exactly once. Requests to one address may be
-// under way at the same time, each over a connection of its own. Not for more than one thread.
+// Sends requests and reports the result of each exactly once. Concurrent requests to one address
+// use separate connections. Not thread-safe.
 class HttpClient {
  public:
   struct Request {
     std::string address;  // IP address and port
     std::string method, path;
     std::string body;             // JSON text
-    std::int64_t timeout_ms = 0;  // until the reply is complete, connecting included
+    std::int64_t timeout_ms = 0;  // from connecting to the complete reply
   };
-  // Statuses besides those of HTTP: no complete reply came in time, or one whose body is longer
-  // than is taken in.
-  static constexpr int kNoAnswer = 0;
+  // Results besides HTTP statuses: no complete reply was received within the timeout, or the reply
+  // body exceeds Limits::response_bytes.
+  static constexpr int kNoReply = 0;
   static constexpr int kTooLarge = -1;
-  // Gets the status and the body of the reply. May send the next request.
+  // Receives the status and the body of the reply. The callback may call send().
   using Done = std::function<void(int status, std::string body)>;
 
   struct Limits {
-    std::size_t idle_connections = 0;                     // kept for reuse, to all addresses
-    std::size_t response_bytes = limits::kResponseBytes;  // of one body
+    std::size_t idle_connections = 0;                        // kept for reuse, over all addresses
+    std::size_t response_bytes = limits::kMaxResponseBytes;  // maximum size of one body
   };
-  // `io` outlives the client and runs its calls.
+  // `io` must outlive the client and runs its callbacks.
   HttpClient(asio::io_context& io, const Limits& limits);
   ~HttpClient();
-  // Never calls `done` before it returns.
+  // Returns before `done` is called.
   void send(const Request& request, Done done);
 
  private:
   class Connection;
-  // Closes idle connections that are old or were closed by the other side; again and again.
-  void sweep();
+  // Periodically closes idle connections that have timed out or that the server has closed.
+  void close_expired();
   asio::io_context& io_;
-  std::array<char, limits::kReadBytes> buffer_{};  // for whichever connection reads
-  asio::steady_timer sweeper_;
+  // Shared by all connections; used by one read at a time.
+  std::array<char, limits::kReadBufferBytes> buffer_{};
+  asio::steady_timer expiry_timer_;
   Limits limits_;
-  std::size_t kept_ = 0;  // idle connections
+  std::size_t idle_count_ = 0;
   std::unordered_map<std::string, std::vector<std::shared_ptr<Connection>>> idle_;
 };
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -47,9 +47,9 @@
   }
 }
 
-std::string head(int status, std::size_t length, int retry_after_s, bool close) {
+std::string response_head(int status, std::size_t length, int retry_after_s, bool close) {
   std::string out =
-      "HTTP/1.1 " + std::to_string(status) + " " + reason(status) +
+      "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) +
       "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(length) + "\r\n";
   if (retry_after_s > 0) out += "Retry-After: " + std::to_string(retry_after_s) + "\r\n";
   if (close) out += "Connection: close\r\n";
@@ -61,14 +61,14 @@
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(HttpServer& server, std::uint64_t id, tcp::socket socket)
-      : server_(server), id_(id), socket_(std::move(socket)), active_(Clock::now()) {
+      : server_(server), id_(id), socket_(std::move(socket)), last_active_at_(Clock::now()) {
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
-    become_idle();
+    enter_idle_list();
   }
 
-  // Waits until there is something and then reads it: reading at once would cost a call that finds
-  // nothing, for every request.
+  // Waits until data is available before it reads: an immediate read would cost a system call that
+  // returns no data for every request.
   void read() {
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](std::error_code error) {
       if (error || self->closed_) {
@@ -85,123 +85,126 @@
         self->close();
         return;
       }
-      self->active_ = Clock::now();
+      self->last_active_at_ = Clock::now();
       self->pending_.append(self->server_.buffer_.data(), n);
       self->parse();
     });
   }
 
   void reply(int status, const std::string& body, int retry_after_s) {
-    if (!waiting_) return;
-    waiting_ = false;
-    const bool crowded = server_.crowded();
-    if (crowded && keep_alive_) ++server_.closed_early_;
-    send(status, body, retry_after_s, crowded || !keep_alive_);
+    if (!awaiting_reply_) return;
+    awaiting_reply_ = false;
+    const bool nearly_full = server_.nearly_full();
+    if (nearly_full && keep_alive_) ++server_.closed_early_;
+    send(status, body, retry_after_s, nearly_full || !keep_alive_);
   }
 
   void close() {
     if (closed_) return;
     closed_ = true;
-    leave_idle();
+    leave_idle_list();
     std::error_code ignored;
     socket_.close(ignored);
-    server_.drop(id_);
+    server_.remove_connection(id_);
   }
 
-  bool idle() const { return !waiting_ && !started_; }
-  bool waiting() const { return waiting_; }
-  Clock::time_point active() const { return active_; }
-  std::uint64_t request() const { return request_; }
+  bool idle() const { return !awaiting_reply_ && !receiving_; }
+  bool awaiting_reply() const { return awaiting_reply_; }
+  Clock::time_point last_active_at() const { return last_active_at_; }
+  std::uint64_t request_id() const { return request_id_; }
 
  private:
-  void become_idle() {
-    if (idle_at_) return;
-    idle_at_ = server_.idle_.insert(server_.idle_.end(), id_);
+  void enter_idle_list() {
+    if (idle_position_) return;
+    idle_position_ = server_.idle_.insert(server_.idle_.end(), id_);
   }
 
-  void leave_idle() {
-    if (!idle_at_) return;
-    server_.idle_.erase(*idle_at_);
-    idle_at_.reset();
+  void leave_idle_list() {
+    if (!idle_position_) return;
+    server_.idle_.erase(*idle_position_);
+    idle_position_.reset();
   }
 
-  static Connection& of(http_parser* p) { return *static_cast<Connection*>(p->data); }
+  static Connection& connection_of(http_parser* p) { return *static_cast<Connection*>(p->data); }
 
   static const http_parser_settings& settings() {
     static const http_parser_settings s = [] {
-      http_parser_settings x;
-      http_parser_settings_init(&x);
-      x.on_message_begin = [](http_parser* p) {
-        Connection& c = of(p);
+      http_parser_settings callbacks;
+      http_parser_settings_init(&callbacks);
+      callbacks.on_message_begin = [](http_parser* p) {
+        Connection& c = connection_of(p);
         c.message_ = {};
         c.header_bytes_ = 0;
-        c.started_ = true;
-        c.leave_idle();
+        c.receiving_ = true;
+        c.leave_idle_list();
         return 0;
       };
-      x.on_url = [](http_parser* p, const char* at, std::size_t n) {
-        return of(p).header(n) ? (of(p).message_.path.append(at, n), 0) : 1;
+      callbacks.on_url = [](http_parser* p, const char* at, std::size_t n) {
+        return connection_of(p).count_header_bytes(n)
+                   ? (connection_of(p).message_.path.append(at, n), 0)
+                   : 1;
       };
-      x.on_header_field = [](http_parser* p, const char*, std::size_t n) {
-        return of(p).header(n) ? 0 : 1;
+      callbacks.on_header_field = [](http_parser* p, const char*, std::size_t n) {
+        return connection_of(p).count_header_bytes(n) ? 0 : 1;
       };
-      x.on_header_value = [](http_parser* p, const char*, std::size_t n) {
-        return of(p).header(n) ? 0 : 1;
+      callbacks.on_header_value = [](http_parser* p, const char*, std::size_t n) {
+        return connection_of(p).count_header_bytes(n) ? 0 : 1;
       };
-      x.on_headers_complete = [](http_parser* p) {
-        // Refused before any of it is stored. ULLONG_MAX: no length was given.
-        if (p->content_length != ~0ULL && p->content_length > limits::kBodyBytes) {
-          of(p).refusal_ = 413;
+      callbacks.on_headers_complete = [](http_parser* p) {
+        // Rejects a body that is too large before any of it is stored. The parser sets
+        // content_length to ULLONG_MAX if the request has no Content-Length.
+        if (p->content_length != ~0ULL && p->content_length > limits::kMaxBodyBytes) {
+          connection_of(p).error_status_ = 413;
           return -1;
         }
         return 0;
       };
-      x.on_body = [](http_parser* p, const char* at, std::size_t n) {
-        Connection& c = of(p);
-        if (c.message_.body.size() + n > limits::kBodyBytes) {
-          c.refusal_ = 413;
+      callbacks.on_body = [](http_parser* p, const char* at, std::size_t n) {
+        Connection& c = connection_of(p);
+        if (c.message_.body.size() + n > limits::kMaxBodyBytes) {
+          c.error_status_ = 413;
           return 1;
         }
         c.message_.body.append(at, n);
         return 0;
       };
-      x.on_message_complete = [](http_parser* p) {
-        Connection& c = of(p);
+      callbacks.on_message_complete = [](http_parser* p) {
+        Connection& c = connection_of(p);
         c.complete_ = true;
-        http_parser_pause(p, 1);  // one at a time; pipelined bytes wait
+        http_parser_pause(p, 1);  // one request at a time; pipelined bytes stay in pending_
         return 0;
       };
-      return x;
+      return callbacks;
     }();
     return s;
   }
 
-  bool header(std::size_t n) {
+  bool count_header_bytes(std::size_t n) {
     header_bytes_ += n;
-    if (header_bytes_ <= limits::kHeaderBytes) return true;
-    refusal_ = 431;
+    if (header_bytes_ <= limits::kMaxHeaderBytes) return true;
+    error_status_ = 431;
     return false;
   }
 
   void parse() {
-    const std::size_t used =
+    const std::size_t parsed_bytes =
         http_parser_execute(&parser_, &settings(), pending_.data(), pending_.size());
     const auto error = HTTP_PARSER_ERRNO(&parser_);
-    pending_.erase(0, used);
+    pending_.erase(0, parsed_bytes);
     if (complete_) {
       complete_ = false;
-      started_ = false;
+      receiving_ = false;
       http_parser_pause(&parser_, 0);
       keep_alive_ = http_should_keep_alive(&parser_) != 0;
       message_.method = http_method_str(static_cast<http_method>(parser_.method));
-      waiting_ = true;
-      request_ = server_.next_++;
-      server_.requests_[request_] = id_;
-      server_.handler_(request_, std::move(message_));
+      awaiting_reply_ = true;
+      request_id_ = server_.next_id_++;
+      server_.requests_[request_id_] = id_;
+      server_.handler_(request_id_, std::move(message_));
       return;
     }
     if (error != HPE_OK || parser_.upgrade) {
-      const int status = refusal_ ? refusal_ : 400;
+      const int status = error_status_ ? error_status_ : 400;
       send(status, R"({"error":"malformed or too large"})", 0, true);
       return;
     }
@@ -209,37 +212,38 @@
   }
 
   void send(int status, const std::string& body, int retry_after_s, bool close_after) {
-    out_ = head(status, body.size(), retry_after_s, close_after) + body;
-    // Nearly always all of it goes out at once.
+    reply_text_ = response_head(status, body.size(), retry_after_s, close_after) + body;
+    // This write nearly always sends the whole reply.
     std::error_code error;
-    const std::size_t n = socket_.write_some(asio::buffer(out_), error);
+    const std::size_t n = socket_.write_some(asio::buffer(reply_text_), error);
     if (error && error != asio::error::would_block) {
       close();
       return;
     }
-    if (!error && n == out_.size()) {
-      sent(close_after);
+    if (!error && n == reply_text_.size()) {
+      finish_reply(close_after);
       return;
     }
     asio::async_write(
-        socket_, asio::buffer(out_) + n,
+        socket_, asio::buffer(reply_text_) + n,
         [self = shared_from_this(), close_after](std::error_code failed, std::size_t) {
-          failed ? self->close() : self->sent(close_after);
+          failed ? self->close() : self->finish_reply(close_after);
         });
   }
 
-  void sent(bool close_after) {
+  void finish_reply(bool close_after) {
     if (close_after) {
       close();
       return;
     }
-    active_ = Clock::now();
+    last_active_at_ = Clock::now();
     if (pending_.empty()) {
-      become_idle();
+      enter_idle_list();
       read();
       return;
     }
-    // Bytes that came meanwhile; later, so that a caller who sends many at once takes no stack.
+    // Parses pipelined requests. Posted, so that a client that pipelines many of them cannot make
+    // the stack grow.
     asio::post(socket_.get_executor(), [self = shared_from_this()] {
       if (!self->closed_) self->parse();
     });
@@ -249,21 +253,23 @@
   std::uint64_t id_;
   tcp::socket socket_;
   http_parser parser_{};
-  std::string pending_, out_;
+  std::string pending_, reply_text_;
   Request message_;
   std::size_t header_bytes_ = 0;
-  int refusal_ = 0;
-  bool complete_ = false, started_ = false, waiting_ = false, keep_alive_ = true, closed_ = false;
-  std::uint64_t request_ = 0;
-  Clock::time_point active_;
-  std::optional<std::list<std::uint64_t>::iterator> idle_at_;  // where it stands among the idle
+  int error_status_ = 0;
+  bool complete_ = false, receiving_ = false, awaiting_reply_ = false, keep_alive_ = true,
+       closed_ = false;
+  std::uint64_t request_id_ = 0;
+  Clock::time_point last_active_at_;
+  // In HttpServer::idle_; empty if the connection isn't idle.
+  std::optional<std::list<std::uint64_t>::iterator> idle_position_;
 };
 
 HttpServer::HttpServer(asio::io_context& io, const tcp::endpoint& listen, int max_connections,
                        Handler handler)
     : io_(io),
       acceptor_(io),
-      sweeper_(io),
+      expiry_timer_(io),
       accept_pause_(io),
       max_connections_(max_connections),
       handler_(std::move(handler)) {
@@ -272,7 +278,7 @@
   acceptor_.bind(listen);
   acceptor_.listen();
   accept();
-  sweep();
+  close_expired();
 }
 
 HttpServer::~HttpServer() = default;
@@ -281,7 +287,7 @@
   acceptor_.async_accept([this](std::error_code error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (error) {
-      // Out of sockets, mostly: a pause instead of a busy loop.
+      // Usually the process has no sockets left. The pause avoids a busy loop.
       accept_pause_.expires_after(milliseconds(50));
       accept_pause_.async_wait([this](std::error_code e) {
         if (!e) accept();
@@ -299,7 +305,7 @@
     std::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.non_blocking(true, ignored);
-    const std::uint64_t id = next_++;
+    const std::uint64_t id = next_id_++;
     auto connection = std::make_shared<Connection>(*this, id, std::move(socket));
     connections_[id] = connection;
     connection->read();
@@ -311,36 +317,38 @@
   if (idle_.empty()) return false;
   const auto found = connections_.find(idle_.front());
   if (found == connections_.end()) return false;
-  const auto oldest = found->second;  // kept while it closes
-  if (Clock::now() - oldest->active() <= milliseconds(limits::kEvictIdleMs)) return false;
+  const auto oldest = found->second;  // keeps the connection alive while it closes
+  if (Clock::now() - oldest->last_active_at() <= milliseconds(limits::kMinIdleBeforeEvictionMs))
+    return false;
   oldest->close();
   return true;
 }
 
-bool HttpServer::crowded() const {
-  return static_cast<double>(connections_.size()) > limits::kCrowdedShare * max_connections_;
+bool HttpServer::nearly_full() const {
+  return static_cast<double>(connections_.size()) > limits::kNearlyFullShare * max_connections_;
 }
 
-void HttpServer::sweep() {
-  sweeper_.expires_after(milliseconds(limits::kSweepMs));
-  sweeper_.async_wait([this](std::error_code error) {
+void HttpServer::close_expired() {
+  expiry_timer_.expires_after(milliseconds(limits::kTimeoutCheckIntervalMs));
+  expiry_timer_.async_wait([this](std::error_code error) {
     if (error) return;
-    std::vector<std::shared_ptr<Connection>> quiet;
+    std::vector<std::shared_ptr<Connection>> expired;
     const auto now = Clock::now();
     for (auto& [id, c] : connections_) {
-      if (c->waiting()) continue;
-      const auto most = milliseconds(c->idle() ? limits::kServerIdleMs : limits::kServerRequestMs);
-      if (now - c->active() > most) quiet.push_back(c);
+      if (c->awaiting_reply()) continue;
+      const auto timeout =
+          milliseconds(c->idle() ? limits::kServerIdleTimeoutMs : limits::kServerRequestTimeoutMs);
+      if (now - c->last_active_at() > timeout) expired.push_back(c);
     }
-    for (auto& c : quiet) c->close();
-    sweep();
+    for (auto& c : expired) c->close();
+    close_expired();
   });
 }
 
-void HttpServer::drop(std::uint64_t connection) {
+void HttpServer::remove_connection(std::uint64_t connection) {
   auto it = connections_.find(connection);
   if (it == connections_.end()) return;
-  requests_.erase(it->second->request());
+  requests_.erase(it->second->request_id());
   connections_.erase(it);
 }
 
@@ -350,7 +358,7 @@
   auto c = connections_.find(it->second);
   requests_.erase(it);
   if (c == connections_.end()) return;
-  const auto connection = c->second;  // kept while it answers
+  const auto connection = c->second;  // keeps the connection alive while it replies
   connection->reply(status, body, retry_after_s);
 }
 
--- a/src/net/limits.h
+++ b/src/net/limits.h
@@ -1,4 +1,4 @@
-// Constants of the network layer, each with unit and reason.
+// Limits and intervals of the network layer.
 #pragma once
 
 #include <cstddef>
@@ -6,46 +6,50 @@
 
 namespace scheduler::net::limits {
 
-// Bytes of a request body (PROTOCOL: 64 KiB).
-constexpr std::size_t kBodyBytes = std::size_t{64} * 1024;
-// Bytes of a request's line and headers; ours and our callers' take a few hundred.
-constexpr std::size_t kHeaderBytes = std::size_t{16} * 1024;
-// Bytes of a response that is taken in unless the process's memory allows less. A watch may bring
-// many changes at once.
-constexpr std::size_t kResponseBytes = std::size_t{8} * 1024 * 1024;
-// Bytes read at once.
-constexpr std::size_t kReadBytes = std::size_t{8} * 1024;
-// Milliseconds after which a connection of a client that sends nothing is closed. Users poll every
-// 5 s and workers send heartbeats every few seconds, so one this quiet has been given up.
-constexpr std::int64_t kServerIdleMs = 90'000;
-// Milliseconds in which a request that has begun must be complete.
-constexpr std::int64_t kServerRequestMs = 20'000;
-// Milliseconds between checks for connections to close.
-constexpr std::int64_t kSweepMs = 2'000;
-// Milliseconds for which our idle connections to others are kept for reuse.
-// A worker gets a command every ten to sixty seconds, and a new connection costs as much as
-// several messages.
-constexpr std::int64_t kClientIdleMs = 90'000;
-// Idle connections kept per address.
-constexpr std::size_t kClientIdlePerAddress = 4;
-// Of the limit on all sockets, one in so many is for idle connections of ours, kept for reuse.
-constexpr int kIdleSocketsShare = 4;
-// Sockets for links to and from peers, listeners, the state service, the cloud, and the log,
-// besides those of direct messages.
+// Maximum size of a request body in bytes (64 KiB, PROTOCOL).
+constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
+// Maximum size of a request line with its headers in bytes. Requests of users, workers and
+// controllers need a few hundred.
+constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
+// Maximum size of a response body in bytes; the controller sets a lower limit if the memory of the
+// process is small. The response to a watch may contain many changes.
+constexpr std::size_t kMaxResponseBytes = std::size_t{8} * 1024 * 1024;
+// Size of the buffer for one read from a socket, in bytes.
+constexpr std::size_t kReadBufferBytes = std::size_t{8} * 1024;
+// The server closes a connection on which the client has sent nothing for this many milliseconds.
+// Users poll every 5 s and workers send heartbeats every few seconds, so the client of such a
+// connection no longer uses it.
+constexpr std::int64_t kServerIdleTimeoutMs = 90'000;
+// The server closes a connection if a request that has begun makes no progress for this many
+// milliseconds.
+constexpr std::int64_t kServerRequestTimeoutMs = 20'000;
+// Milliseconds between two checks for connections that have timed out.
+constexpr std::int64_t kTimeoutCheckIntervalMs = 2'000;
+// Milliseconds for which the client keeps an idle connection for reuse. A worker receives a command
+// every 10 to 60 s, and a new connection costs as much as several messages.
+constexpr std::int64_t kClientIdleTimeoutMs = 90'000;
+// Maximum number of idle connections that the client keeps to one address.
+constexpr std::size_t kMaxIdlePerAddress = 4;
+// One socket in this many of the process's socket limit is reserved for the client's idle
+// connections.
+constexpr int kIdleSocketsDivisor = 4;
+// Sockets reserved for links to and from peers, listeners, the state service, the cloud and the
+// log. Direct messages to workers are counted apart.
 constexpr int kReservedSockets = 46;
-// Links from peers, half-dead ones included: in all at least, and for each peer.
-constexpr std::size_t kPeerLinksLeast = 32;
-constexpr std::size_t kLinksPerPeer = 4;
-// Share of the connections that may be open at once from which on each is closed with its reply.
-// More workers than sockets can then send heartbeats, one after the other.
-constexpr double kCrowdedShare = 0.75;
-// Milliseconds for which a connection must have been idle to be closed for a new one: longer than
-// between two heartbeats of a worker, or two polls of a user.
-constexpr std::int64_t kEvictIdleMs = 10'000;
-// Milliseconds before a peer link that failed is tried again.
-constexpr std::int64_t kPeerRetryMs = 1'000;
-// Bytes that may wait on a peer link; more are dropped, since any message between controllers may
-// be lost. Two of the largest messages that are relayed for others.
-constexpr std::size_t kPeerQueueBytes = std::size_t{160} * 1024;
+// Limit on open links from peers: kIncomingLinksPerPeer for each configured peer, but at least
+// kMinIncomingPeerLinks in total. Links whose peer has failed count until their socket closes.
+constexpr std::size_t kMinIncomingPeerLinks = 32;
+constexpr std::size_t kIncomingLinksPerPeer = 4;
+// When more than this share of the allowed connections is open, the server closes each connection
+// after its reply. Workers that outnumber the sockets can then take turns to send heartbeats.
+constexpr double kNearlyFullShare = 0.75;
+// Milliseconds for which a connection must have been idle before the server may close it to accept
+// a new one: longer than the time between two heartbeats of a worker or two polls of a user.
+constexpr std::int64_t kMinIdleBeforeEvictionMs = 10'000;
+// Milliseconds before the controller reconnects a peer link that failed.
+constexpr std::int64_t kPeerRetryDelayMs = 1'000;
+// Maximum number of bytes queued on a peer link, enough for two relayed messages of the largest
+// size. Frames beyond it are dropped: controllers tolerate the loss of any message between them.
+constexpr std::size_t kMaxPeerQueueBytes = std::size_t{160} * 1024;
 
 }  // namespace scheduler::net::limits
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -16,27 +16,29 @@
 using std::chrono::milliseconds;
 
 struct PeerLinks::Outgoing {
-  Outgoing(asio::io_context& io, std::string to) : address(std::move(to)), socket(io) {}
+  Outgoing(asio::io_context& io, std::string peer_address)
+      : address(std::move(peer_address)), socket(io) {}
   std::string address;
   tcp::socket socket;
   bool connected = false, connecting = false, writing = false;
   Clock::time_point retry_at{}, write_started{};
-  std::string waiting, going;
+  std::string queued_bytes, bytes_being_sent;
 };
 
 class PeerLinks::Incoming : public std::enable_shared_from_this<Incoming> {
  public:
   Incoming(PeerLinks& links, tcp::socket socket) : links_(links), socket_(std::move(socket)) {
-    ++links_.incoming_;
+    ++links_.incoming_count_;
   }
-  ~Incoming() { --links_.incoming_; }
+  ~Incoming() { --links_.incoming_count_; }
   void read() {
     asio::async_read(socket_, asio::buffer(length_),
                      [self = shared_from_this()](std::error_code error, std::size_t) {
                        if (error) return;
                        std::size_t n = 0;
                        for (const unsigned char c : self->length_) n = (n << 8U) | c;
-                       if (n == 0 || n > wire::kMaxPeerFrameBytes) return;  // not a peer: closed
+                       // Closes the link, since a peer never sends such a length.
+                       if (n == 0 || n > wire::kMaxPeerFrameBytes) return;
                        self->frame_.resize(n);
                        self->read_frame();
                      });
@@ -61,7 +63,7 @@
                      const std::map<std::string, std::string>& addresses, Handler handler)
     : io_(io), acceptor_(io), accept_pause_(io), handler_(std::move(handler)) {
   for (const auto& [name, address] : addresses)
-    out_[name] = std::make_shared<Outgoing>(io, address);
+    outgoing_[name] = std::make_shared<Outgoing>(io, address);
   acceptor_.open(listen.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.bind(listen);
@@ -81,70 +83,72 @@
       });
       return;
     }
-    if (incoming_ < std::max(limits::kPeerLinksLeast, limits::kLinksPerPeer * out_.size()))
+    if (incoming_count_ <
+        std::max(limits::kMinIncomingPeerLinks, limits::kIncomingLinksPerPeer * outgoing_.size()))
       std::make_shared<Incoming>(*this, std::move(socket))->read();
     accept();
   });
 }
 
 void PeerLinks::send(const std::string& peer, const std::string& frame) {
-  auto it = out_.find(peer);
-  if (it == out_.end() || frame.empty() || frame.size() > wire::kMaxPeerFrameBytes) return;
-  auto& out = it->second;
+  auto it = outgoing_.find(peer);
+  if (it == outgoing_.end() || frame.empty() || frame.size() > wire::kMaxPeerFrameBytes) return;
+  auto& link = it->second;
   const auto now = Clock::now();
-  // A write that hangs (a cut) is given up, so that the link comes back soon after the cut ends.
-  if (out->writing && now - out->write_started > milliseconds(3 * limits::kPeerRetryMs)) {
+  // Aborts a write that hangs because the network is cut, so that the link reconnects soon after
+  // the cut ends.
+  if (link->writing && now - link->write_started > milliseconds(3 * limits::kPeerRetryDelayMs)) {
     std::error_code ignored;
-    out->socket.close(ignored);
+    link->socket.close(ignored);
     return;
   }
-  if (!out->connected) {
-    if (!out->connecting && now >= out->retry_at) connect(out);
-    if (!out->connecting) return;
-    out->waiting.clear();  // only the newest message is worth sending later
+  if (!link->connected) {
+    if (!link->connecting && now >= link->retry_at) connect(link);
+    if (!link->connecting) return;
+    link->queued_bytes.clear();  // while connecting, only the newest frame is kept
   }
-  if (out->waiting.size() + frame.size() > limits::kPeerQueueBytes) return;
+  if (link->queued_bytes.size() + frame.size() > limits::kMaxPeerQueueBytes) return;
   const auto n = static_cast<std::uint32_t>(frame.size());
   for (const int shift : {24, 16, 8, 0})
-    out->waiting.push_back(static_cast<char>((n >> shift) & 0xff));
-  out->waiting += frame;
-  if (out->connected && !out->writing) write(out);
+    link->queued_bytes.push_back(static_cast<char>((n >> shift) & 0xff));
+  link->queued_bytes += frame;
+  if (link->connected && !link->writing) write(link);
 }
 
-void PeerLinks::connect(const std::shared_ptr<Outgoing>& out) {
-  const auto endpoint = parse_endpoint(out->address);
+void PeerLinks::connect(const std::shared_ptr<Outgoing>& link) {
+  const auto endpoint = parse_endpoint(link->address);
   if (!endpoint) return;
-  out->connecting = true;
-  out->socket = tcp::socket(io_);
-  out->socket.async_connect(*endpoint, [this, out](std::error_code error) {
-    out->connecting = false;
+  link->connecting = true;
+  link->socket = tcp::socket(io_);
+  link->socket.async_connect(*endpoint, [this, link](std::error_code error) {
+    link->connecting = false;
     if (error) {
-      out->retry_at = Clock::now() + milliseconds(limits::kPeerRetryMs);
-      out->waiting.clear();
+      link->retry_at = Clock::now() + milliseconds(limits::kPeerRetryDelayMs);
+      link->queued_bytes.clear();
       return;
     }
-    out->connected = true;
-    write(out);
+    link->connected = true;
+    write(link);
   });
 }
 
-void PeerLinks::write(const std::shared_ptr<Outgoing>& out) {
-  if (out->waiting.empty()) return;
-  out->writing = true;
-  out->write_started = Clock::now();
-  out->going.swap(out->waiting);
-  out->waiting.clear();
-  asio::async_write(out->socket, asio::buffer(out->going),
-                    [this, out](std::error_code error, std::size_t) {
-                      out->writing = false;
+void PeerLinks::write(const std::shared_ptr<Outgoing>& link) {
+  if (link->queued_bytes.empty()) return;
+  link->writing = true;
+  link->write_started = Clock::now();
+  link->bytes_being_sent.swap(link->queued_bytes);
+  link->queued_bytes.clear();
+  asio::async_write(link->socket, asio::buffer(link->bytes_being_sent),
+                    [this, link](std::error_code error, std::size_t) {
+                      link->writing = false;
                       if (error) {
-                        out->connected = false;
-                        out->retry_at = Clock::now() + milliseconds(limits::kPeerRetryMs);
+                        link->connected = false;
+                        link->retry_at = Clock::now() + milliseconds(limits::kPeerRetryDelayMs);
                         std::error_code ignored;
-                        out->socket.close(ignored);
+                        link->socket.close(ignored);
                         return;
                       }
-                      write(out);
+                      write(link);
                     });
 }
 
--- a/tests/e2e_test.cpp
+++ b/tests/e2e_test.cpp
@@ -1,4 +1,4 @@
-// The real binary on loopback, against fakes of the state service, the cloud and a worker.
+// Tests the controller binary on loopback, with fakes of the state service, the cloud and a worker.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -36,13 +36,13 @@
   return e.address().to_string() + ":" + std::to_string(e.port());
 }
 
-struct Ran {
+struct CommandResult {
   int code = 0;
   std::string output;
 };
 
-Ran run(const std::string& arguments) {
-  Ran r;
+CommandResult run(const std::string& arguments) {
+  CommandResult r;
   FILE* pipe = popen((std::string(SCHEDULER_BINARY) + " " + arguments + " 2>&1").c_str(), "r");
   std::array<char, 256> buffer{};
   while (fgets(buffer.data(), buffer.size(), pipe)) r.output += buffer.data();
@@ -142,56 +142,59 @@
     child_ = 0;
   }
 
-  std::pair<int, std::string> ask(const std::string& method, const std::string& path,
-                                  const std::string& body = "") {
+  std::pair<int, std::string> send_request(const std::string& method, const std::string& path,
+                                           const std::string& body = "") {
     std::pair<int, std::string> out{-1, ""};
-    client_->send({bind_, method, path, body, 3000}, [&](int status, std::string answer) {
-      out = {status, std::move(answer)};
+    client_->send({bind_, method, path, body, 3000}, [&](int status, std::string reply_body) {
+      out = {status, std::move(reply_body)};
     });
     while (out.first < 0) io_.run_one_for(50ms);
     return out;
   }
 
   template <typename F>
-  bool eventually(F&& holds) {
+  bool eventually(F&& condition) {
     const auto end = std::chrono::steady_clock::now() + 20s;
     while (std::chrono::steady_clock::now() < end) {
-      if (holds()) return true;
+      if (condition()) return true;
       io_.run_for(50ms);
-      report();
+      send_heartbeat();
     }
     return false;
   }
 
-  // One heartbeat of the worker; a task that it starts is done by its next heartbeat but one.
-  void report() {
-    if (reporting_) return;
-    reporting_ = true;
-    std::string loads;
+  // Sends one heartbeat of the worker and executes the commands in the reply. A task is reported as
+  // running in two heartbeats and as done from the third on.
+  void send_heartbeat() {
+    if (heartbeat_pending_) return;
+    heartbeat_pending_ = true;
+    std::string task_list;
     for (auto& [name, task] : tasks_) {
-      if (task.reports++ > 1) task.done = true;
-      loads += (loads.empty() ? "" : ",") + std::string(R"({"load":")") + name + R"(","try":)" +
-               std::to_string(task.attempt) +
-               (task.done ? R"(,"status":"exited","cause":"done"})" : R"(,"status":"running"})");
+      if (task.heartbeats++ > 1) task.done = true;
+      task_list +=
+          (task_list.empty() ? "" : ",") + std::string(R"({"load":")") + name + R"(","try":)" +
+          std::to_string(task.attempt) +
+          (task.done ? R"(,"status":"exited","cause":"done"})" : R"(,"status":"running"})");
     }
     const std::string body = R"({"rig":"n-000001","endpoint":")" + worker_ +
                              R"(","fleet":"t","yard":"a","standby":false,"shift":1,"tally":)" +
-                             std::to_string(++tally_) + ",\"baton\":" + std::to_string(token_) +
-                             R"(,"warningS":null,"loads":[)" + loads + "]}";
+                             std::to_string(++heartbeat_number_) +
+                             ",\"baton\":" + std::to_string(token_) +
+                             R"(,"warningS":null,"loads":[)" + task_list + "]}";
     client_->send({bind_, "POST", "/hello", body, 2000},
-                  [this](int status, const std::string& answer) {
-                    reporting_ = false;
+                  [this](int status, const std::string& reply_body) {
+                    heartbeat_pending_ = false;
                     rapidjson::Document doc;
-                    if (status != 200 || !wire::parse_object(answer, doc)) return;
+                    if (status != 200 || !wire::parse_object(reply_body, doc)) return;
                     if (doc["baton"].GetUint64() < token_) return;
                     token_ = doc["baton"].GetUint64();
-                    for (const auto& o : doc["orders"].GetArray()) {
-                      const std::string verb = o["verb"].GetString();
-                      const std::string name = o["load"].GetString();
+                    for (const auto& order : doc["orders"].GetArray()) {
+                      const std::string verb = order["verb"].GetString();
+                      const std::string name = order["load"].GetString();
                       if (verb == "clear") tasks_.erase(name);
                       if (verb == "start" && !tasks_.contains(name)) {
-                        tasks_[name].attempt = o["try"].GetUint64();
-                        ++starts_;
+                        tasks_[name].attempt = order["try"].GetUint64();
+                        ++start_commands_;
                       }
                     }
                   });
@@ -199,7 +202,7 @@
 
   struct Task {
     std::uint64_t attempt = 0;
-    int reports = 0;
+    int heartbeats = 0;
     bool done = false;
   };
   asio::io_context io_;
@@ -208,39 +211,42 @@
   std::unique_ptr<net::HttpServer> state_server_, cloud_server_;
   std::string bind_, worker_, folder_;
   pid_t child_ = 0;
-  bool reporting_ = false;
-  std::uint64_t tally_ = 0, token_ = 0;
+  bool heartbeat_pending_ = false;
+  std::uint64_t heartbeat_number_ = 0, token_ = 0;
   std::map<std::string, Task> tasks_;
-  int starts_ = 0;
+  int start_commands_ = 0;
 };
 
 TEST_F(EndToEnd, FinalStateOutlivesTheProcess) {
   start();
-  ASSERT_TRUE(eventually([&] { return ask("GET", "/healthz").first == 200; }));
-  EXPECT_EQ(ask("POST", "/v1/jobs", "{").first, 400);
-  EXPECT_EQ(ask("GET", "/nowhere").first, 404);
-  EXPECT_EQ(ask("DELETE", "/v1/jobs").first, 405);
-  EXPECT_EQ(ask("POST", "/v1/jobs", std::string(70'000, ' ')).first, 413);
+  ASSERT_TRUE(eventually([&] { return send_request("GET", "/healthz").first == 200; }));
+  EXPECT_EQ(send_request("POST", "/v1/jobs", "{").first, 400);
+  EXPECT_EQ(send_request("GET", "/nowhere").first, 404);
+  EXPECT_EQ(send_request("DELETE", "/v1/jobs").first, 405);
+  EXPECT_EQ(send_request("POST", "/v1/jobs", std::string(70'000, ' ')).first, 413);
   const std::string job =
       R"({"id":"req-000001","queue":"q","crew":"team","shape":"batch","rank":"standard","loads":3,)"
       R"("cpus":1,"gpus":0,"memGb":1,"kit":"i","pullGb":1,"together":false,"scatter":false,)"
       R"("standby":false,"haulS":1,"tipS":0,"stowS":0})";
-  ASSERT_TRUE(eventually([&] { return ask("POST", "/v1/jobs", job).first == 201; }));
-  EXPECT_EQ(ask("POST", "/v1/jobs", job).first, 200);
-  std::string stranger = job;
-  stranger.replace(stranger.find("team"), 4, "gang").replace(stranger.find("000001"), 6, "000002");
-  EXPECT_EQ(ask("POST", "/v1/jobs", stranger).first, 422);
-  EXPECT_EQ(ask("GET", "/v1/jobs/req-000002").first, 404);
+  ASSERT_TRUE(eventually([&] { return send_request("POST", "/v1/jobs", job).first == 201; }));
+  EXPECT_EQ(send_request("POST", "/v1/jobs", job).first, 200);
+  std::string job_of_unknown_team = job;
+  job_of_unknown_team.replace(job_of_unknown_team.find("team"), 4, "gang")
+      .replace(job_of_unknown_team.find("000001"), 6, "000002");
+  EXPECT_EQ(send_request("POST", "/v1/jobs", job_of_unknown_team).first, 422);
+  EXPECT_EQ(send_request("GET", "/v1/jobs/req-000002").first, 404);
   const auto done = [&] {
-    return ask("GET", "/v1/jobs/req-000001").second.find(R"("status":"done")") != std::string::npos;
+    return send_request("GET", "/v1/jobs/req-000001").second.find(R"("status":"done")") !=
+           std::string::npos;
   };
   EXPECT_TRUE(eventually(done));
-  EXPECT_EQ(starts_, 3);
+  EXPECT_EQ(start_commands_, 3);
   stop();
   start();
   EXPECT_TRUE(eventually(done));
-  EXPECT_NE(ask("POST", "/v1/jobs/req-000001/withdraw").second.find("done"), std::string::npos);
-  EXPECT_NE(ask("POST", "/v1/jobs", job).second.find("done"), std::string::npos);
+  EXPECT_NE(send_request("POST", "/v1/jobs/req-000001/withdraw").second.find("done"),
+            std::string::npos);
+  EXPECT_NE(send_request("POST", "/v1/jobs", job).second.find("done"), std::string::npos);
 }
 
 TEST_F(EndToEnd, CommandLineAndBadSettings) {
@@ -249,14 +255,14 @@
   EXPECT_EQ(run("--check --config " + settings()).code, 0);
   const std::string options = folder_ + "/options.toml";
   std::ofstream(options) << "machines = 100000\n";
-  const Ran too_small = run("--check --config " + settings() + " --options " + options);
+  const CommandResult too_small = run("--check --config " + settings() + " --options " + options);
   EXPECT_EQ(too_small.code, 1);
   EXPECT_NE(too_small.output.find("fd_limit"), std::string::npos) << too_small.output;
   const std::string bad = folder_ + "/bad.toml";
   for (const char* content :
        {"host_name = 7", "x = [", "", "host_name = \"a\"\nzone = \"z\"\nbind = \"nowhere\""}) {
     std::ofstream(bad) << content;
-    const Ran r = run("--config " + bad);
+    const CommandResult r = run("--config " + bad);
     EXPECT_NE(r.code, 0) << content;
     EXPECT_EQ(std::count(r.output.begin(), r.output.end(), '\n'), 1) << r.output;
   }
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -1,4 +1,4 @@
-// The checker of histories detects each fault in a forged history, and none in a valid one.
+// Tests that the history checker detects each fault in an invalid history, and none in a valid one.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,8 +16,8 @@
 const std::string kJob = "req-000001";
 const wire::TaskId kFirst{kJob, 0}, kSecond{kJob, 1};
 
-// A job of two tasks, of which the second loses its machine and restarts elsewhere.
-std::vector<std::pair<Ms, Event>> good() {
+// A job of two tasks completes. The second task loses its machine and restarts on another.
+std::vector<std::pair<Ms, Event>> completed_job() {
   return {{100, Accepted{kJob, 2, false}},
           {200, TaskBegan{kFirst, "n-1"}},
           {210, TaskBegan{kSecond, "n-2"}},
@@ -28,10 +28,11 @@
           {700, TaskEnded{kSecond, "n-3", true}},
           {720, ResultRecorded{kJob, true}},
           {800, Answered{kJob, JobState::done, 790}},
-          {810, Answered{kJob, JobState::running, 650}}};  // asked before, answered late
+          // The request was sent before the job was done, and answered late.
+          {810, Answered{kJob, JobState::running, 650}}};
 }
 
-std::vector<std::pair<Ms, Event>> cancelled() {
+std::vector<std::pair<Ms, Event>> cancelled_job() {
   return {{100, Accepted{kJob, 2, false}},
           {200, TaskBegan{kFirst, "n-1"}},
           {300, CancelAsked{kJob}},
@@ -40,7 +41,7 @@
           {450, ResultRecorded{kJob, false}}};
 }
 
-std::vector<Fault> faults(const std::vector<std::pair<Ms, Event>>& history) {
+std::vector<Fault> detected_faults(const std::vector<std::pair<Ms, Event>>& history) {
   Checker checker;
   for (const auto& [at, event] : history) checker.add(at, event);
   checker.finish(history.back().first + 1);
@@ -49,14 +50,15 @@
   return out;
 }
 
-bool only(const std::vector<std::pair<Ms, Event>>& history, Fault fault) {
-  const auto all = faults(history);
-  return !all.empty() &&
-         std::all_of(all.begin(), all.end(), [fault](Fault f) { return f == fault; });
+bool has_only(const std::vector<std::pair<Ms, Event>>& history, Fault fault) {
+  const auto all = detected_faults(history);
+  return !all.empty() && std::all_of(all.begin(), all.end(), [fault](Fault detected_fault) {
+    return detected_fault == fault;
+  });
 }
 
-std::vector<std::pair<Ms, Event>> with(std::vector<std::pair<Ms, Event>> history, Ms at,
-                                       Event event) {
+std::vector<std::pair<Ms, Event>> with_event(std::vector<std::pair<Ms, Event>> history, Ms at,
+                                             Event event) {
   const auto later = std::find_if(history.begin(), history.end(),
                                   [at](const auto& entry) { return entry.first > at; });
   history.insert(later, {at, std::move(event)});
@@ -64,63 +66,73 @@
 }
 
 TEST(HistoryChecker, AcceptsValidHistories) {
-  EXPECT_TRUE(faults(good()).empty());
-  EXPECT_TRUE(faults(cancelled()).empty());
-  // The same reply and the same record again, from another controller.
-  auto again = with(good(), 900, Answered{kJob, JobState::done, 850});
-  EXPECT_TRUE(faults(with(again, 910, ResultRecorded{kJob, true})).empty());
+  EXPECT_TRUE(detected_faults(completed_job()).empty());
+  EXPECT_TRUE(detected_faults(cancelled_job()).empty());
+  // Another controller sends an equal reply and writes an equal record.
+  auto repeated = with_event(completed_job(), 900, Answered{kJob, JobState::done, 850});
+  EXPECT_TRUE(detected_faults(with_event(repeated, 910, ResultRecorded{kJob, true})).empty());
 }
 
 TEST(HistoryChecker, DetectsTwoResults) {
-  EXPECT_TRUE(only(with(good(), 730, ResultRecorded{kJob, false}), Fault::two_results));
+  EXPECT_TRUE(
+      has_only(with_event(completed_job(), 730, ResultRecorded{kJob, false}), Fault::two_results));
 }
 
 TEST(HistoryChecker, DetectsARemovedResult) {
-  EXPECT_TRUE(only(with(good(), 900, ResultRemoved{kJob}), Fault::result_removed));
+  EXPECT_TRUE(
+      has_only(with_event(completed_job(), 900, ResultRemoved{kJob}), Fault::result_removed));
 }
 
 TEST(HistoryChecker, DetectsAChangedResult) {
-  const auto asked = with(good(), 640, CancelAsked{kJob});
-  const auto found = faults(with(asked, 900, Answered{kJob, JobState::cancelled, 890}));
-  EXPECT_EQ(found, (std::vector<Fault>{Fault::result_changed, Fault::answer_unrecorded}));
+  const auto cancel_requested = with_event(completed_job(), 640, CancelAsked{kJob});
+  const auto detected =
+      detected_faults(with_event(cancel_requested, 900, Answered{kJob, JobState::cancelled, 890}));
+  EXPECT_EQ(detected, (std::vector<Fault>{Fault::result_changed, Fault::answer_unrecorded}));
 }
 
 TEST(HistoryChecker, DetectsAReplyThatIsNotTheRecordedResult) {
-  auto history = cancelled();
+  auto history = cancelled_job();
   history.back().second = ResultRecorded{kJob, true};
-  const auto found = faults(history);
-  EXPECT_NE(std::find(found.begin(), found.end(), Fault::answer_unrecorded), found.end());
+  const auto detected = detected_faults(history);
+  EXPECT_NE(std::find(detected.begin(), detected.end(), Fault::answer_unrecorded), detected.end());
 }
 
 TEST(HistoryChecker, DetectsStaleReplies) {
-  EXPECT_TRUE(only(with(good(), 950, Answered{kJob, JobState::running, 940}), Fault::older_answer));
-  EXPECT_TRUE(only(with(good(), 950, AnsweredUnknown{kJob, 940}), Fault::older_answer));
-  EXPECT_TRUE(faults(with(good(), 950, AnsweredUnknown{kJob, 90})).empty());  // asked before
+  EXPECT_TRUE(has_only(with_event(completed_job(), 950, Answered{kJob, JobState::running, 940}),
+                       Fault::older_answer));
+  EXPECT_TRUE(
+      has_only(with_event(completed_job(), 950, AnsweredUnknown{kJob, 940}), Fault::older_answer));
+  // The request was sent before the job was accepted.
+  EXPECT_TRUE(detected_faults(with_event(completed_job(), 950, AnsweredUnknown{kJob, 90})).empty());
 }
 
 TEST(HistoryChecker, DetectsDoneBeforeEveryTaskHasCompleted) {
-  EXPECT_TRUE(only(with(good(), 650, ResultRecorded{kJob, true}), Fault::done_too_early));
-  EXPECT_TRUE(only(with(good(), 650, Answered{kJob, JobState::done, 640}), Fault::done_too_early));
+  EXPECT_TRUE(has_only(with_event(completed_job(), 650, ResultRecorded{kJob, true}),
+                       Fault::done_too_early));
+  EXPECT_TRUE(has_only(with_event(completed_job(), 650, Answered{kJob, JobState::done, 640}),
+                       Fault::done_too_early));
 }
 
 TEST(HistoryChecker, DetectsATaskThatRunsTwice) {
-  EXPECT_TRUE(only(with(good(), 550, TaskBegan{kSecond, "n-4"}), Fault::ran_twice));
+  EXPECT_TRUE(
+      has_only(with_event(completed_job(), 550, TaskBegan{kSecond, "n-4"}), Fault::ran_twice));
 }
 
 TEST(HistoryChecker, DetectsAStartAfterAConfirmedCancellation) {
-  EXPECT_TRUE(only(with(cancelled(), 420, TaskBegan{kSecond, "n-2"}), Fault::started_cancelled));
+  EXPECT_TRUE(has_only(with_event(cancelled_job(), 420, TaskBegan{kSecond, "n-2"}),
+                       Fault::started_cancelled));
 }
 
 TEST(HistoryChecker, DetectsAnUnrequestedCancellation) {
-  auto history = cancelled();
+  auto history = cancelled_job();
   history.erase(history.begin() + 2);
-  EXPECT_TRUE(only(history, Fault::cancelled_unasked));
+  EXPECT_TRUE(has_only(history, Fault::cancelled_unasked));
 }
 
 TEST(HistoryChecker, DetectsAJobWithoutAResult) {
-  auto history = cancelled();
+  auto history = cancelled_job();
   history.pop_back();
-  EXPECT_TRUE(only(history, Fault::no_result));
+  EXPECT_TRUE(has_only(history, Fault::no_result));
 }
 
 }  // namespace
--- a/tests/load/fleet_load.cpp
+++ b/tests/load/fleet_load.cpp
@@ -1,6 +1,6 @@
-// Load tool, not part of the tests: one real controller process on loopback with fakes of the
-// state service, the cloud and thousands of machines. Prints what the process uses and how long its
-// replies take. Every request stays on 127.0.0.0/8, and the run ends by itself.
+// Load tool, not part of the tests: runs one controller process on loopback with fakes of the state
+// service, the cloud and thousands of machines. Prints the resource usage of the process and the
+// latencies of its replies. All requests stay within 127.0.0.0/8, and the run ends by itself.
 //
 // Usage: fleet_load BINARY MACHINES SECONDS RAM_MB FD_LIMIT
 #include <sys/wait.h>
@@ -35,10 +35,10 @@
 using std::chrono::milliseconds;
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
-constexpr int kReportMs = 5000;
-constexpr int kTaskMs = 20'000;
-constexpr int kSubmitEveryMs = 500;
-constexpr int kPollEveryMs = 50;
+constexpr int kHeartbeatMs = 5000;
+constexpr int kTaskDurationMs = 20'000;
+constexpr int kSubmitIntervalMs = 500;
+constexpr int kPollIntervalMs = 50;
 constexpr int kTasksPerJob = 40;
 constexpr int kMachinePort = 9000;
 
@@ -50,23 +50,24 @@
   return {asio::ip::make_address(address), port};
 }
 
-// Calls again and again; the interval varies by a quarter so that machines do not synchronise.
+// Calls an action periodically. The interval varies by a quarter, so that machines don't
+// synchronise.
 class Repeater {
  public:
-  Repeater(asio::io_context& io, int every_ms, std::function<void()> action)
-      : timer_(io), every_ms_(every_ms), action_(std::move(action)) {}
-  void after(int wait_ms) {
-    timer_.expires_after(milliseconds(wait_ms));
+  Repeater(asio::io_context& io, int interval_ms, std::function<void()> action)
+      : timer_(io), interval_ms_(interval_ms), action_(std::move(action)) {}
+  void start_after(int delay_ms) {
+    timer_.expires_after(milliseconds(delay_ms));
     timer_.async_wait([this](std::error_code error) {
       if (error) return;
       action_();
-      after(every_ms_ * (75 + std::rand() % 50) / 100);  // NOLINT(concurrency-mt-unsafe)
+      start_after(interval_ms_ * (75 + std::rand() % 50) / 100);  // NOLINT(concurrency-mt-unsafe)
     });
   }
 
  private:
   asio::steady_timer timer_;
-  int every_ms_;
+  int interval_ms_;
   std::function<void()> action_;
 };
 
@@ -77,34 +78,34 @@
         ip_("127.1." + std::to_string(number / 250) + "." + std::to_string(number % 250 + 1)),
         controller_(std::move(controller)),
         client_(io, {1}),
-        reports_(io, kReportMs, [this] { report(); }) {
+        heartbeats_(io, kHeartbeatMs, [this] { send_heartbeat(); }) {
     server_ = std::make_unique<net::HttpServer>(
         io, endpoint_of(ip_, kMachinePort), 8,
         [this](std::uint64_t request, const net::HttpServer::Request& r) {
           rapidjson::Document doc;
           if (wire::parse_object(r.body, doc)) execute_commands_of(doc);
-          server_->reply(request, 200, body(), 0);
+          server_->reply(request, 200, heartbeat_body(), 0);
         });
-    reports_.after(std::rand() % kReportMs);  // NOLINT(concurrency-mt-unsafe)
+    heartbeats_.start_after(std::rand() % kHeartbeatMs);  // NOLINT(concurrency-mt-unsafe)
   }
 
   const std::string& id() const { return id_; }
   std::string address() const { return ip_ + ":" + std::to_string(kMachinePort); }
-  int answered() const { return answered_; }
-  int done() const { return done_; }
+  int answered_heartbeats() const { return answered_heartbeats_; }
+  int completed_tasks() const { return completed_tasks_; }
 
  private:
   struct Task {
     std::uint64_t attempt = 0;
-    Ms since = 0;
+    Ms started_at = 0;
   };
 
-  void report() {
-    client_.send({controller_, "POST", "/hello", body(), 4000},
+  void send_heartbeat() {
+    client_.send({controller_, "POST", "/hello", heartbeat_body(), 4000},
                  [this](int status, const std::string& answer) {
                    rapidjson::Document doc;
                    if (status != 200 || !wire::parse_object(answer, doc)) return;
-                   ++answered_;
+                   ++answered_heartbeats_;
                    execute_commands_of(doc);
                  });
   }
@@ -117,11 +118,11 @@
       const std::string verb = order["verb"].GetString();
       const std::string task = order["load"].GetString();
       if (verb == "start") tasks_.try_emplace(task, Task{order["try"].GetUint64(), steady_ms()});
-      if (verb == "clear" && tasks_.erase(task) > 0) ++done_;
+      if (verb == "clear" && tasks_.erase(task) > 0) ++completed_tasks_;
     }
   }
 
-  std::string body() {
+  std::string heartbeat_body() {
     sim::Put report;
     report.str("rig", id_);
     report.str("endpoint", address());
@@ -136,9 +137,9 @@
       sim::Put load;
       load.str("load", name);
       load.num("try", task.attempt);
-      const bool over = steady_ms() - task.since > kTaskMs;
-      load.str("status", over ? "exited" : "running");
-      if (over) load.str("cause", "done");
+      const bool finished = steady_ms() - task.started_at > kTaskDurationMs;
+      load.str("status", finished ? "exited" : "running");
+      if (finished) load.str("cause", "done");
       loads += (loads.empty() ? "" : ",") + load.done();
     }
     report.raw("loads", "[" + loads + "]");
@@ -148,13 +149,13 @@
   std::string id_, ip_, controller_;
   net::HttpClient client_;
   std::unique_ptr<net::HttpServer> server_;
-  Repeater reports_;
+  Repeater heartbeats_;
   std::map<std::string, Task> tasks_;
   std::uint64_t token_ = 0, sequence_ = 0;
-  int answered_ = 0, done_ = 0;
+  int answered_heartbeats_ = 0, completed_tasks_ = 0;
 };
 
-// The process's resources, by the kernel.
+// Resource usage of the controller process, from /proc.
 struct Usage {
   double resident_mb = 0, cpu_s = 0;
   std::size_t sockets = 0;
@@ -170,7 +171,7 @@
   std::ifstream stat(folder + "/stat");
   std::string field;
   constexpr int kUserTime = 14;
-  constexpr int kSystemTime = 15;  // proc(5)
+  constexpr int kSystemTime = 15;  // field numbers of proc(5)
   for (int i = 1; i <= kSystemTime && stat >> field; ++i)
     if (i >= kUserTime) out.cpu_s += std::stod(field) / static_cast<double>(sysconf(_SC_CLK_TCK));
   for ([[maybe_unused]] const auto& entry : std::filesystem::directory_iterator(folder + "/fd"))
@@ -178,7 +179,7 @@
   return out;
 }
 
-void print_times(const char* name, std::vector<double> ms) {
+void print_latencies(const char* name, std::vector<double> ms) {
   if (ms.empty()) return;
   std::sort(ms.begin(), ms.end());
   std::printf("%s: median %.1f ms, 95%% %.1f ms, worst %.1f ms of %zu\n", name, ms[ms.size() / 2],
@@ -226,9 +227,9 @@
          R"("standby":false,"haulS":20,"tipS":0,"stowS":0})";
 }
 
-class Run {
+class LoadRun {
  public:
-  Run(int machines, std::string ram_mb, std::string fd_limit)
+  LoadRun(int machines, std::string ram_mb, std::string fd_limit)
       : ram_mb_(std::move(ram_mb)), fd_limit_(std::move(fd_limit)), users_(io_, {32}) {
     serve_state();
     serve_cloud();
@@ -236,38 +237,39 @@
       machines_.push_back(std::make_unique<Machine>(io_, i, "127.0.0.1:18080"));
   }
 
-  void play(const std::string& binary, int seconds) {
+  void execute(const std::string& binary, int seconds) {
     const std::string path =
         (std::filesystem::temp_directory_path() / "cluster-scheduler-fleet-load.toml").string();
     std::ofstream(path) << settings_text(ram_mb_, fd_limit_);
     const pid_t process = fork();
     if (process == 0) {
-      constexpr unsigned kFirstOfOurs = 3;  // the stand-ins' sockets are not the controller's
-      close_range(kFirstOfOurs, ~0U, 0);
+      // The controller must not inherit the fakes' sockets.
+      constexpr unsigned kFirstClosedDescriptor = 3;
+      close_range(kFirstClosedDescriptor, ~0U, 0);
       execl(binary.c_str(), binary.c_str(), "--config", path.c_str(), nullptr);
       _exit(127);
     }
-    Repeater watches(io_, 5, [this] {
+    Repeater watch_timer(io_, 5, [this] {
       state_.expire_session_leases(steady_ms());
       state_.serve_watchers(steady_ms(), [](std::size_t) { return true; });
     });
-    Repeater submissions(io_, kSubmitEveryMs, [this] { submit(); });
-    Repeater polls(io_, kPollEveryMs, [this] { poll(); });
-    watches.after(5);
-    submissions.after(kReportMs);
-    polls.after(kReportMs);
-    Usage before;
+    Repeater submit_timer(io_, kSubmitIntervalMs, [this] { submit(); });
+    Repeater poll_timer(io_, kPollIntervalMs, [this] { poll(); });
+    watch_timer.start_after(5);
+    submit_timer.start_after(kHeartbeatMs);
+    poll_timer.start_after(kHeartbeatMs);
+    Usage previous;
     std::size_t most_sockets = 0;
     for (int second = 1; second <= seconds; ++second) {
       io_.run_for(milliseconds(1000));
       const Usage now = usage_of(process);
       most_sockets = std::max(most_sockets, now.sockets);
-      if (second % 10 == 0) print_state(second, now, (now.cpu_s - before.cpu_s) / 10.0);
-      if (second % 10 == 0) before = now;
+      if (second % 10 == 0) print_progress(second, now, (now.cpu_s - previous.cpu_s) / 10.0);
+      if (second % 10 == 0) previous = now;
     }
     std::printf("most sockets: %zu\n", most_sockets);
-    print_times("submissions", submitted_ms_);
-    print_times("polls", polled_ms_);
+    print_latencies("submissions", submit_latencies_ms_);
+    print_latencies("polls", poll_latencies_ms_);
     kill(process, SIGKILL);
     waitpid(process, nullptr, 0);
   }
@@ -299,23 +301,23 @@
                 R"({"fleets":[{"label":"t","cpus":16,"memGb":64,"rate":1,"readyS":1,"yards":["a"]}]})",
                 0);
           } else if (r.method == "GET") {
-            cloud_server_->reply(id, 200, page(r.path), 0);
+            cloud_server_->reply(id, 200, machine_page(r.path), 0);
           } else {
             cloud_server_->reply(id, 503, R"({"error":"no capacity"})", 0);
           }
         });
   }
 
-  std::string page(const std::string& path) {
-    auto asked = sim::query(path);
-    const auto most = std::stoul(asked["most"]);
+  std::string machine_page(const std::string& path) {
+    auto parameters = sim::query(path);
+    const auto page_size = std::stoul(parameters["most"]);
     std::string list;
     std::size_t listed = 0;
-    bool more = false;
+    bool has_more = false;
     for (const auto& machine : machines_) {
-      if (machine->id() <= asked["after"]) continue;
-      if (listed++ == most) {
-        more = true;
+      if (machine->id() <= parameters["after"]) continue;
+      if (listed++ == page_size) {
+        has_more = true;
         break;
       }
       sim::Put entry;
@@ -328,43 +330,43 @@
       entry.raw("heldS", "9");
       list += (list.empty() ? "" : ",") + entry.done();
     }
-    return R"({"rigs":[)" + list + R"(],"hasNext":)" + (more ? "true}" : "false}");
+    return R"({"rigs":[)" + list + R"(],"hasNext":)" + (has_more ? "true}" : "false}");
   }
 
   void submit() {
     const int number = 100'000 + jobs_++;
-    timed("POST", "/v1/jobs", job_body(number), 5000, submitted_ms_);
+    send_timed("POST", "/v1/jobs", job_body(number), 5000, submit_latencies_ms_);
   }
 
   void poll() {
     if (jobs_ == 0) return;
     const int number = 100'000 + std::rand() % jobs_;  // NOLINT(concurrency-mt-unsafe)
-    timed("GET", "/v1/jobs/req-" + std::to_string(number), "", 2000, polled_ms_);
+    send_timed("GET", "/v1/jobs/req-" + std::to_string(number), "", 2000, poll_latencies_ms_);
   }
 
-  void timed(const char* method, const std::string& path, const std::string& body, int patience,
-             std::vector<double>& into) {
-    users_.send({"127.0.0.1:18080", method, path, body, patience},
-                [this, &into, began = Clock::now()](int status, const std::string&) {
+  void send_timed(const char* method, const std::string& path, const std::string& body,
+                  int timeout_ms, std::vector<double>& latencies_ms) {
+    users_.send({"127.0.0.1:18080", method, path, body, timeout_ms},
+                [this, &latencies_ms, sent_at = Clock::now()](int status, const std::string&) {
                   if (status == 200 || status == 201) {
-                    into.push_back(Milliseconds(Clock::now() - began).count());
+                    latencies_ms.push_back(Milliseconds(Clock::now() - sent_at).count());
                   } else {
                     ++refused_;
                   }
                 });
   }
 
-  void print_state(int second, const Usage& usage, double cpu) {
-    int heard = 0;
+  void print_progress(int second, const Usage& usage, double cpu) {
+    int answered_machines = 0;
     int done = 0;
     for (const auto& machine : machines_) {
-      heard += machine->answered() > 0 ? 1 : 0;
-      done += machine->done();
+      answered_machines += machine->answered_heartbeats() > 0 ? 1 : 0;
+      done += machine->completed_tasks();
     }
     std::printf(
         "%3d s: %.1f MB, %zu sockets, %.3f of a core, %d heard, %d tasks done, %d jobs, "
         "%d requests refused\n",
-        second, usage.resident_mb, usage.sockets, cpu, heard, done, jobs_, refused_);
+        second, usage.resident_mb, usage.sockets, cpu, answered_machines, done, jobs_, refused_);
     std::fflush(stdout);
   }
 
@@ -375,7 +377,7 @@
   std::unique_ptr<net::HttpServer> state_server_, cloud_server_;
   std::vector<std::unique_ptr<Machine>> machines_;
   int jobs_ = 0, refused_ = 0;
-  std::vector<double> submitted_ms_, polled_ms_;
+  std::vector<double> submit_latencies_ms_, poll_latencies_ms_;
 };
 
 }  // namespace
@@ -387,8 +389,8 @@
     return 2;
   }
   try {
-    scheduler::Run run(std::stoi(argv[2]), argv[4], argv[5]);
-    run.play(argv[1], std::stoi(argv[3]));
+    scheduler::LoadRun run(std::stoi(argv[2]), argv[4], argv[5]);
+    run.execute(argv[1], std::stoi(argv[3]));
   } catch (const std::exception& error) {
     std::cerr << "fleet_load: " << error.what() << "\n";
     return 1;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,4 @@
-// HTTP server and client at their bounds, on loopback.
+// Tests the HTTP server and client at their limits, on loopback.
 #include <gtest/gtest.h>
 
 #include <asio/io_context.hpp>
@@ -28,19 +28,19 @@
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// A machine that sends heartbeats at an interval over a connection of its own, which it keeps if it
-// may, and retries after a second when it is refused.
-class ReportingMachine {
+// A machine that sends heartbeats at an interval. It keeps its connection open unless the server
+// closes it, and retries after a second if a request fails.
+class HeartbeatMachine {
  public:
-  ReportingMachine(asio::io_context& io, std::string address, milliseconds interval)
+  HeartbeatMachine(asio::io_context& io, std::string address, milliseconds interval)
       : client_(io, {1}), timer_(io), address_(std::move(address)), interval_(interval) {}
 
-  void report() {
+  void send_heartbeat() {
     client_.send({address_, "POST", "/hello", "{}", 4000}, [this](int status, const std::string&) {
       if (status == 200) ++answered_;
       timer_.expires_after(status == 200 ? interval_ : milliseconds(1000));
       timer_.async_wait([this](std::error_code error) {
-        if (!error) report();
+        if (!error) send_heartbeat();
       });
     });
   }
@@ -54,8 +54,9 @@
   int answered_ = 0;
 };
 
-// More machines than connections: each is closed with its reply while most are in use, so that all
-// machines are served. Kept open, the first forty would starve all others.
+// With more machines than connections, the server closes each connection after its reply while it
+// is nearly full, so that it serves all machines. If it kept the connections open, the first forty
+// machines would starve all others.
 TEST(HttpServer, ServesMoreMachinesThanItHasConnections) {
   constexpr int kConnections = 40;
   constexpr int kMachines = 200;
@@ -65,10 +66,10 @@
   server = std::make_unique<HttpServer>(
       io, endpoint, kConnections,
       [&server](std::uint64_t id, const HttpServer::Request&) { server->reply(id, 200, "{}", 0); });
-  std::vector<std::unique_ptr<ReportingMachine>> machines;
+  std::vector<std::unique_ptr<HeartbeatMachine>> machines;
   for (int i = 0; i < kMachines; ++i) {
-    machines.push_back(std::make_unique<ReportingMachine>(io, text(endpoint), milliseconds(400)));
-    machines.back()->report();
+    machines.push_back(std::make_unique<HeartbeatMachine>(io, text(endpoint), milliseconds(400)));
+    machines.back()->send_heartbeat();
   }
   std::size_t most_open = 0;
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(6);
@@ -76,9 +77,9 @@
     io.run_for(milliseconds(20));
     most_open = std::max(most_open, server->connections());
   }
-  int unheard = 0;
-  for (const auto& machine : machines) unheard += machine->answered() == 0 ? 1 : 0;
-  EXPECT_EQ(unheard, 0);
+  int never_answered = 0;
+  for (const auto& machine : machines) never_answered += machine->answered() == 0 ? 1 : 0;
+  EXPECT_EQ(never_answered, 0);
   EXPECT_LE(most_open, static_cast<std::size_t>(kConnections));
   EXPECT_GT(server->closed_early(), 0U);
 }
@@ -92,19 +93,19 @@
         server->reply(id, 200, std::string(request.path == "/large" ? 5000 : 100, 'x'), 0);
       });
   HttpClient client(io, {4, 1000});
-  const auto ask = [&](const std::string& address, const std::string& path) {
+  const auto request_status = [&](const std::string& address, const std::string& path) {
     int status = 1;
     bool answered = false;
-    client.send({address, "GET", path, "", 500}, [&](int got, const std::string&) {
-      status = got;
+    client.send({address, "GET", path, "", 500}, [&](int received_status, const std::string&) {
+      status = received_status;
       answered = true;
     });
     for (int i = 0; i < 200 && !answered; ++i) io.run_for(milliseconds(10));
     return status;
   };
-  EXPECT_EQ(ask(text(endpoint), "/large"), HttpClient::kTooLarge);
-  EXPECT_EQ(ask(text(endpoint), "/small"), 200);
-  EXPECT_EQ(ask(text(free_endpoint(io)), "/small"), HttpClient::kNoAnswer);
+  EXPECT_EQ(request_status(text(endpoint), "/large"), HttpClient::kTooLarge);
+  EXPECT_EQ(request_status(text(endpoint), "/small"), 200);
+  EXPECT_EQ(request_status(text(free_endpoint(io)), "/small"), HttpClient::kNoReply);
 }
 
 }  // namespace
--- a/tests/run_tests_test.py
+++ b/tests/run_tests_test.py
@@ -1,4 +1,4 @@
-"""Tests of .ci/run_tests, on small folders of tests that only ctest needs to know."""
+"""Tests of .ci/run_tests, which run it on temporary build folders with ctest files."""
 
 import pathlib
 import subprocess
@@ -20,7 +20,7 @@
         self.known_red = self.build / "KNOWN-RED.txt"
 
     def run_tests(self, tests, known_red=None):
-        """Runs the script on the tests, a map from name to command, and the list, if any."""
+        """Runs the script on `tests` (command by test name) with the text of the list, if any."""
         lines = [f"add_test([=[{name}]=] {command})" for name, command in tests.items()]
         (self.build / "CTestTestfile.cmake").write_text("\n".join(lines) + "\n")
         if known_red is not None:
@@ -33,7 +33,7 @@
         )
 
     def assert_refused(self, result, reason):
-        """The run failed for a faulty list, and says so instead of a summary of other tests."""
+        """Asserts that the run failed with this reason, before the unlisted tests were run."""
         self.assertEqual(result.returncode, 1)
         self.assertIn(reason, result.stderr)
         self.assertFalse(result.stdout.rstrip().endswith("sec"), result.stdout)
@@ -63,9 +63,9 @@
 
     def test_output_ends_in_the_summary_of_the_other_tests(self):
         result = self.run_tests({"a": PASSES, "b": FAILS}, "b | a fault | 17\n")
-        closing = [line for line in result.stdout.splitlines() if line][-2:]
-        self.assertEqual(closing[0], ALL_PASSED + "1")
-        self.assertTrue(closing[1].startswith("Total Test time (real) ="), closing)
+        last_lines = [line for line in result.stdout.splitlines() if line][-2:]
+        self.assertEqual(last_lines[0], ALL_PASSED + "1")
+        self.assertTrue(last_lines[1].startswith("Total Test time (real) ="), last_lines)
 
     def test_other_failure_fails_beside_a_known_red(self):
         result = self.run_tests({"a": FAILS, "b": FAILS}, "b | a fault | 17\n")
@@ -73,7 +73,8 @@
         self.assertIn("0% tests passed, 1 tests failed out of 1", result.stdout)
 
     def test_only_the_named_test_is_excused(self):
-        # Characters of regular expressions in the name, and names that contain the name.
+        # The listed name has special characters of regular expressions. The other names contain the
+        # listed name or would match it as a regular expression.
         for other in ("Suite/T.ab/1", "Suite/T.a+b/10", "xSuite/T.a+b/1", "Suite/Tza+b/1"):
             with self.subTest(other=other):
                 tests = {"a": PASSES, "Suite/T.a+b/1": FAILS, other: FAILS}
