--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -1,5 +1,5 @@
-// The invariant checker must be able to fail: with a safeguard of the simulation taken out, or a
-// controller's replies forged, it reports the violation.
+// Tests that the invariant checker detects violations: each test disables a safeguard of the
+// simulation or alters the replies of controllers, and expects the matching violation.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -11,141 +11,147 @@
 namespace {
 
 TEST(InvariantChecker, DetectsUnconditionalWrites) {
-  Options o;
-  o.state_ignores_conditions = true;
-  EXPECT_GT(runs_with_violations(o, "", 10), 0);
+  Options options;
+  options.state_ignores_conditions = true;
+  EXPECT_GT(runs_with_violations(options, "", 10), 0);
 }
 
 TEST(InvariantChecker, DetectsCommandsUnderStaleTokens) {
-  Options o;
-  o.workers_ignore_tokens = true;
-  o.workers_ignore_incarnations = true;
-  o.duplicated_requests = 0.5;
-  EXPECT_GT(runs_with_violations(o, "ran_twice", 10), 0);
+  Options options;
+  options.workers_ignore_tokens = true;
+  options.workers_ignore_incarnations = true;
+  options.duplicated_requests = 0.5;
+  EXPECT_GT(runs_with_violations(options, "ran_twice", 10), 0);
 }
 
 TEST(InvariantChecker, DetectsLeasesCountedTooShort) {
-  Options o;
-  o.believed_lease_share = 0.2;
-  EXPECT_GT(runs_with_violations(o, "ran_twice", 10), 0);
+  Options options;
+  options.believed_lease_share = 0.2;
+  EXPECT_GT(runs_with_violations(options, "ran_twice", 10), 0);
 }
 
-// Replies of controllers to users are changed, as a fault of the controller would.
-Options forged(std::function<void(const Request&, Ms, int&, std::string&)> forge) {
-  Options o;
-  o.faults = false;
-  o.fault_ms = 60'000;
-  o.recovery_ms = 120'000;
-  o.forge_reply = std::move(forge);
-  return o;
+// Options of a run without faults in which `forge` alters the controllers' replies to users, to
+// simulate a fault of the controller.
+Options forged_replies(std::function<void(const Request&, Ms, int&, std::string&)> forge) {
+  Options options;
+  options.faults = false;
+  options.fault_ms = 60'000;
+  options.recovery_ms = 120'000;
+  options.forge_reply = std::move(forge);
+  return options;
 }
 
-bool cancels(const Request& r) { return r.path.ends_with("/withdraw"); }
+bool is_cancellation(const Request& request) { return request.path.ends_with("/withdraw"); }
 
 std::string reply_of(const std::string& path, const std::string& status) {
   const std::string id = path.substr(std::string("/v1/jobs/").size(), 10);
   return R"({"id":")" + id + R"(","status":")" + status + R"("})";
 }
 
-// Cancellations are confirmed at once; the stop commands follow.
-Options cancelled_too_early() {
-  return forged([](const Request& r, Ms, int& status, std::string& body) {
-    if (!cancels(r) || status != 503) return;
+// Changes the 503 that delays the confirmation of a cancellation to a confirmation, so that users
+// get it before the tasks have stopped.
+Options early_confirmations() {
+  return forged_replies([](const Request& request, Ms, int& status, std::string& body) {
+    if (!is_cancellation(request) || status != 503) return;
     status = 200;
-    body = reply_of(r.path, "withdrawn");
+    body = reply_of(request.path, "withdrawn");
   });
 }
 
-// Reads of pending jobs are answered "withdrawn", and then the jobs start.
+// Reads of pending jobs get the reply "withdrawn", and the jobs start afterwards.
 TEST(InvariantChecker, DetectsStartsAfterCancellation) {
-  Options o = forged([](const Request& r, Ms, int& status, std::string& body) {
-    if (r.method == "GET" && status == 200 && body.find("pending") != std::string::npos)
-      body = reply_of(r.path, "withdrawn");
+  Options options = forged_replies([](const Request& request, Ms, int& status, std::string& body) {
+    if (request.method == "GET" && status == 200 && body.find("pending") != std::string::npos)
+      body = reply_of(request.path, "withdrawn");
   });
-  EXPECT_GT(runs_with_violations(o, "started_cancelled", 3), 0);
+  EXPECT_GT(runs_with_violations(options, "started_cancelled", 3), 0);
 }
 
-// A machine hangs with cancelled tasks and resumes within its lease.
+// Machines hang while they run cancelled tasks, and resume within their lease.
 TEST(InvariantChecker, DetectsCancelledTasksOnHangingMachines) {
-  Options o = cancelled_too_early();
-  o.cancel_s = 3;  // the refusals that are forged come up to a second after the request
-  o.longest_task_s = 20;
+  Options options = early_confirmations();
+  options.cancel_s = 3;  // the altered 503 arrives up to a second after the request
+  options.longest_task_s = 20;
   for (Ms at = 10'000; at < 55'000; at += 4000)
-    o.planned_faults.push_back({at, Fault::cancel_now, 0, 7600});
-  EXPECT_GE(runs_with_violations(o, "ran_cancelled", 24), 12);
-  for (auto& p : o.planned_faults) p.lasts = 100;
-  EXPECT_LT(runs_with_violations(o, "ran_cancelled", 24), 2);  // it is the hang that it sees
+    options.planned_faults.push_back({at, Fault::cancel_now, 0, 7600});
+  EXPECT_GE(runs_with_violations(options, "ran_cancelled", 24), 12);
+  for (auto& p : options.planned_faults) p.lasts = 100;
+  // With hangs of only 100 ms there are hardly any violations.
+  EXPECT_LT(runs_with_violations(options, "ran_cancelled", 24), 2);
 }
 
 TEST(InvariantChecker, DetectsStaleReplies) {
-  // To a repeated submission.
-  EXPECT_GT(runs_with_violations(forged([](const Request& r, Ms, int& status, std::string& body) {
-                                   if (r.method != "POST" || cancels(r) || status != 200) return;
-                                   const auto at = body.find("done");
-                                   if (at != std::string::npos) body.replace(at, 4, "pending");
-                                 }),
-                                 "went_back", 3),
-            0);
-  // To a request to cancel: what is done is not withdrawn.
-  Options o = forged([](const Request& r, Ms, int& status, std::string& body) {
-    const auto at = body.find("\"done\"");
-    if (cancels(r) && status == 200 && at != std::string::npos)
-      body = reply_of(r.path, "withdrawn");
-  });
-  o.planned_faults = {{10'000, Fault::invalid_requests, 0, 40'000}};
-  EXPECT_GT(runs_with_violations(o, "went_back", 3), 0);
-  // To one read in a hundred.
-  int n = 0;
+  // Stale reply to a repeated submission.
   EXPECT_GT(runs_with_violations(
-                forged([n](const Request& r, Ms, int& status, std::string& body) mutable {
-                  if (r.method != "GET" || status != 200 || ++n % 100) return;
-                  body = reply_of(r.path, "running");
+                forged_replies([](const Request& request, Ms, int& status, std::string& body) {
+                  if (request.method != "POST" || is_cancellation(request) || status != 200) return;
+                  const auto at = body.find("done");
+                  if (at != std::string::npos) body.replace(at, 4, "pending");
                 }),
                 "went_back", 3),
             0);
+  // Wrong reply to a cancellation of a done job, which can't be cancelled any more.
+  Options options = forged_replies([](const Request& request, Ms, int& status, std::string& body) {
+    const auto at = body.find("\"done\"");
+    if (is_cancellation(request) && status == 200 && at != std::string::npos)
+      body = reply_of(request.path, "withdrawn");
+  });
+  options.planned_faults = {{10'000, Fault::invalid_requests, 0, 40'000}};
+  EXPECT_GT(runs_with_violations(options, "went_back", 3), 0);
+  // Stale reply to one read in a hundred.
+  int reads = 0;
+  EXPECT_GT(runs_with_violations(forged_replies([reads](const Request& request, Ms, int& status,
+                                                        std::string& body) mutable {
+                                   if (request.method != "GET" || status != 200 || ++reads % 100)
+                                     return;
+                                   body = reply_of(request.path, "running");
+                                 }),
+                                 "went_back", 3),
+            0);
 }
 
 TEST(InvariantChecker, DetectsAcceptedJobsThatCannotRun) {
   for (const int refusal : {400, 422}) {
-    Options o = forged([refusal](const Request& r, Ms, int& status, std::string& body) {
-      if (r.path != "/v1/jobs" || status != refusal) return;
-      status = 201;
-      body = R"({"id":"req-000001","status":"pending"})";
-    });
-    o.planned_faults = {{10'000, Fault::invalid_requests, 0, 40'000}};
-    EXPECT_EQ(runs_with_violations(o, "accepted_wrong", 2), 2) << refusal;
+    Options options =
+        forged_replies([refusal](const Request& request, Ms, int& status, std::string& body) {
+          if (request.path != "/v1/jobs" || status != refusal) return;
+          status = 201;
+          body = R"({"id":"req-000001","status":"pending"})";
+        });
+    options.planned_faults = {{10'000, Fault::invalid_requests, 0, 40'000}};
+    EXPECT_EQ(runs_with_violations(options, "accepted_wrong", 2), 2) << refusal;
   }
 }
 
-TEST(InvariantChecker, DetectsJobsNobodySubmitted) {
-  Options o = forged([](const Request& r, Ms, int& status, std::string& body) {
+TEST(InvariantChecker, DetectsRepliesAboutUnknownJobs) {
+  Options options = forged_replies([](const Request& request, Ms, int& status, std::string& body) {
     if (status != 404) return;
     status = 200;
-    body = reply_of(r.path, "pending");
+    body = reply_of(request.path, "pending");
   });
-  o.planned_faults = {{10'000, Fault::invalid_requests, 0, 40'000}};
-  EXPECT_EQ(runs_with_violations(o, "invented", 2), 2);
+  options.planned_faults = {{10'000, Fault::invalid_requests, 0, 40'000}};
+  EXPECT_EQ(runs_with_violations(options, "invented", 2), 2);
 }
 
 TEST(InvariantChecker, DetectsForgottenJobs) {
-  EXPECT_GT(
-      runs_with_violations(forged([](const Request& r, Ms now, int& status, std::string&) {
-                             if (now > 55'000 && (r.path.find("req-000005") != std::string::npos ||
-                                                  r.body.find("req-000005") != std::string::npos))
-                               status = 503;
-                           }),
-                           "forgotten", 3),
-      0);
+  EXPECT_GT(runs_with_violations(
+                forged_replies([](const Request& request, Ms now, int& status, std::string&) {
+                  if (now > 55'000 && (request.path.find("req-000005") != std::string::npos ||
+                                       request.body.find("req-000005") != std::string::npos))
+                    status = 503;
+                }),
+                "forgotten", 3),
+            0);
 }
 
-TEST(InvariantChecker, DetectsWaitingBesideFreeCapacity) {
-  Options o;
-  o.faults = false;
-  o.fault_ms = 60'000;
-  o.recovery_ms = 150'000;
-  EXPECT_EQ(runs_with_violations(o, "waited", 3), 0);
-  o.starts_ignored_from = 55'000;
-  EXPECT_EQ(runs_with_violations(o, "waited", 3), 3);
+TEST(InvariantChecker, DetectsJobsWaitingDespiteFreeCapacity) {
+  Options options;
+  options.faults = false;
+  options.fault_ms = 60'000;
+  options.recovery_ms = 150'000;
+  EXPECT_EQ(runs_with_violations(options, "waited", 3), 0);
+  options.starts_ignored_from = 55'000;
+  EXPECT_EQ(runs_with_violations(options, "waited", 3), 3);
 }
 
 }  // namespace
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -1,4 +1,4 @@
-// The simulated cloud: its catalog, scale out and in, and the paged list of machines.
+// The simulated cloud: its catalog, scale-out and scale-in, and the paged list of machines.
 #include <algorithm>
 
 #include "sim/cluster_members.h"
@@ -25,7 +25,8 @@
   }
 }
 
-// Idempotent by the request's name. One machine in twenty never starts.
+// Idempotent: a repeated request with the same name returns the same machines. One machine in
+// twenty never starts.
 void SimulatedCluster::scale_out(const Call& call, const Respond& respond) {
   rapidjson::Document doc;
   wire::parse_object(call.body, doc);
@@ -66,22 +67,23 @@
   const bool works = w.up && !w.dead && !w.hanging && !w.fails_tasks && !w.preempted_at;
   if (recovering_ || !works) return;
   if (!w.unreachable_since) ++result_.healthy_scale_ins;
-  result_.running_tasks_returned += static_cast<int>(std::count_if(
-      w.tasks.begin(), w.tasks.end(), [](const auto& t) { return t.second.present; }));
+  result_.running_tasks_returned += static_cast<int>(
+      std::count_if(w.tasks.begin(), w.tasks.end(), [](const auto& t) { return t.second.active; }));
 }
 
 void SimulatedCluster::list_machines(const Call& call, const Respond& respond) {
-  constexpr std::size_t kPage = 500;
+  constexpr std::size_t kDefaultPageSize = 500;
   ++result_.list_pages;
   auto parameters = query(call.path);
-  const std::size_t most = parameters["most"].empty() ? kPage : std::stoul(parameters["most"]);
+  const std::size_t most =
+      parameters["most"].empty() ? kDefaultPageSize : std::stoul(parameters["most"]);
   std::string list;
   std::size_t listed = 0;
   bool more = false;
   for (auto it = cloud_->machines.upper_bound(parameters["after"]); it != cloud_->machines.end();
        ++it) {
     const auto& [id, m] = *it;
-    if (m.listed > now_) continue;
+    if (m.listed_from > now_) continue;
     if (listed++ == most) {
       more = true;
       break;
@@ -92,8 +94,8 @@
     p.str("fleet", "t");
     p.str("yard", m.zone);
     p.raw("standby", m.spot ? "true" : "false");
-    p.str("status", m.failed ? "failed" : m.up > now_ ? "starting" : "running");
-    p.raw("heldS", std::to_string(static_cast<double>(now_ - m.provided) / 1000.0));
+    p.str("status", m.failed ? "failed" : m.running_from > now_ ? "starting" : "running");
+    p.raw("heldS", std::to_string(static_cast<double>(now_ - m.requested_at) / 1000.0));
     list += (list.empty() ? "" : ",") + p.done();
   }
   respond(200, R"({"rigs":[)" + list + R"(],"hasNext":)" + (more ? "true}" : "false}"));
--- a/tests/sim/fake_state_service.h
+++ b/tests/sim/fake_state_service.h
@@ -1,5 +1,5 @@
-// A fake of the state service, written from PROTOCOL: compare-and-swap transactions, pages, watches
-// and session leases. Time is an argument, and replies go to callbacks.
+// A fake of the state service that implements PROTOCOL: compare-and-swap transactions, paged reads,
+// watches and session leases. Callers pass the current time and receive replies through callbacks.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 using Respond = std::function<void(int status, std::string body)>;
 
-// The members of a JSON object, one after the other.
+// Builds the text of a JSON object, member by member.
 struct Put {
   std::string text;
   void key(const char* name) {
@@ -42,22 +42,23 @@
   return out;
 }
 
-// What one transaction may hold, and how much may change in a second (PROTOCOL, "Limits and
-// errors"). Every request is checked against the limits of its moment; what is stored stays.
+// The largest allowed transaction and the allowed write rate (PROTOCOL, "Limits and errors"). Each
+// request is checked against the current limits; stored values are kept when the limits are
+// reduced.
 struct StateLimits {
-  unsigned txn_ops = 24;  // puts and deletes; four times as many conditions
+  unsigned txn_ops = 24;  // most puts and deletes; four times as many conditions are allowed
   std::size_t value_bytes = std::size_t{8} * 1024;
   double writes_per_s = 0;  // 0: no limit
 };
 
 struct FakeStateService {
   StateLimits limits;
-  int oversized_txns = 0;  // transactions refused with 400 for their size
-  int throttled_txns = 0;  // transactions refused with 429 for their rate
+  int oversized_txns = 0;  // transactions refused with 400 because of their size
+  int throttled_txns = 0;  // transactions refused with 429 because of the write rate
   struct Item {
     std::string value;
     std::uint64_t version = 0;
-    std::uint64_t lease_id = 0;  // it is removed when the lease expires; 0: none
+    std::uint64_t lease_id = 0;  // the item is removed when this session lease expires; 0: none
   };
   struct Change {
     std::uint64_t revision;
@@ -70,24 +71,24 @@
   struct Watcher {
     std::uint64_t after;
     Ms until;
-    std::size_t node;
+    std::size_t controller_index;
     Respond respond;
   };
   std::map<std::string, Item> items;
   std::vector<Change> changes;
-  std::map<std::uint64_t, SessionLease> session_leases;  // by id
+  std::map<std::uint64_t, SessionLease> session_leases;  // session leases by id
   std::vector<Watcher> watchers;
   std::uint64_t revision = 0, next_lease_id = 1, writes = 0;
   bool outage = false;
-  bool leases_suspended = false;  // none expires in this outage
+  bool leases_suspended = false;  // session leases don't expire during the current outage
   bool ignore_conditions = false;
-  std::uint64_t changes_kept = 10'000;  // watches that need older ones are answered 410
-  int compacted_watches = 0;            // answered 410
-  // Of the changes that the rate allows now, and when that was counted.
-  double burst_left = 0;
-  Ms burst_counted_at = 0;
+  std::uint64_t changes_kept = 10'000;  // a watch that needs older changes gets the reply 410
+  int compacted_watches = 0;            // watches that got the reply 410
+  // Token bucket of the write rate: the number of changes allowed now, and the time of its update.
+  double write_tokens = 0;
+  Ms write_tokens_at = 0;
 
-  // Called at every change.
+  // Called for each change; no value means that the key was removed.
   std::function<void(const std::string& key, const std::optional<std::string>& value)> on_change;
 
   void change(const std::string& key, std::optional<std::string> value) {
@@ -127,7 +128,7 @@
     std::vector<Watcher> keep;
     std::vector<std::pair<Respond, std::string>> ready;
     for (auto& w : watchers) {
-      if (outage || !reachable(w.node) || (revision <= w.after && now < w.until)) {
+      if (outage || !reachable(w.controller_index) || (revision <= w.after && now < w.until)) {
         keep.push_back(std::move(w));
         continue;
       }
@@ -158,19 +159,18 @@
 
   void set_limits(Ms now, const StateLimits& next) {
     limits = next;
-    burst_left = limits.writes_per_s;
-    burst_counted_at = now;
+    write_tokens = limits.writes_per_s;
+    write_tokens_at = now;
   }
 
-  // Whether the rate allows these changes; bursts of a second's worth are allowed.
+  // Whether the write rate allows these changes. The bucket holds the changes of one second.
   bool within_rate(Ms now, unsigned changes_wanted) {
     if (limits.writes_per_s <= 0) return true;
-    const double refill =
-        static_cast<double>(now - burst_counted_at) / 1000.0 * limits.writes_per_s;
-    burst_left = std::min(limits.writes_per_s, burst_left + refill);
-    burst_counted_at = now;
-    if (burst_left < changes_wanted) return false;
-    burst_left -= changes_wanted;
+    const double refill = static_cast<double>(now - write_tokens_at) / 1000.0 * limits.writes_per_s;
+    write_tokens = std::min(limits.writes_per_s, write_tokens + refill);
+    write_tokens_at = now;
+    if (write_tokens < changes_wanted) return false;
+    write_tokens -= changes_wanted;
     return true;
   }
 
@@ -181,7 +181,7 @@
       ++oversized_txns;
       return respond(400, R"({"error":"too large"})");
     }
-    // Before the conditions: transactions that fail theirs count as well.
+    // Checked before the conditions: transactions whose conditions fail count towards the rate too.
     if (!within_rate(now, doc["writes"].Size())) {
       ++throttled_txns;
       return respond(429, "{}");
@@ -201,7 +201,8 @@
     respond(200, p.done());
   }
 
-  // Keys whose version is another than the transaction expects, as members of a JSON array.
+  // Keys whose version differs from the one that the transaction expects, as members of a JSON
+  // array.
   [[nodiscard]] std::string failed_conditions(const wire::Json& conditions) const {
     std::string failed;
     for (const auto& g : conditions.GetArray()) {
@@ -229,26 +230,26 @@
     }
   }
 
-  // Requests and changes of the second that began at `second`.
-  Ms second = 0;
-  int requests_now = 0, peak_requests = 0, peak_writes = 0;
+  // Counts of requests and writes in the second that starts at `second_start`.
+  Ms second_start = 0;
+  int requests_this_second = 0, peak_requests = 0, peak_writes = 0;
   std::uint64_t writes_before = 0;
 
   void count(Ms now) {
-    if (now >= second + 1000) {
-      second = now;
-      requests_now = 0;
+    if (now >= second_start + 1000) {
+      second_start = now;
+      requests_this_second = 0;
       writes_before = writes;
     }
-    peak_requests = std::max(peak_requests, ++requests_now);
+    peak_requests = std::max(peak_requests, ++requests_this_second);
     peak_writes = std::max(peak_writes, static_cast<int>(writes - writes_before));
   }
 
-  void serve(Ms now, const Call& call, std::size_t node, const Respond& respond) {
+  void serve(Ms now, const Call& call, std::size_t controller_index, const Respond& respond) {
     expire_session_leases(now);
     count(now);
     if (call.path.starts_with("/changes")) {
-      watch(now, call.path, node, respond);
+      watch(now, call.path, controller_index, respond);
     } else if (call.path == "/multi") {
       transact(now, call.body, respond);
     } else if (call.path == "/holds") {
@@ -262,14 +263,15 @@
     }
   }
 
-  void watch(Ms now, const std::string& path, std::size_t node, const Respond& respond) {
+  void watch(Ms now, const std::string& path, std::size_t controller_index,
+             const Respond& respond) {
     auto q = query(path);
     const std::uint64_t after = std::stoull(q["after"]);
     if (revision > after + changes_kept) {
       ++compacted_watches;
       return respond(410, "{}");
     }
-    watchers.push_back({after, now + std::stoll(q["blockMs"]), node, respond});
+    watchers.push_back({after, now + std::stoll(q["blockMs"]), controller_index, respond});
   }
 
   void grant_session_lease(Ms now, const std::string& body, const Respond& respond) {
@@ -283,13 +285,13 @@
   }
 
   void renew_session_lease(Ms now, const std::string& path, const Respond& respond) {
-    const auto it = session_leases.find(std::stoull(path.substr(7)));  // after "/holds/"
+    const auto it = session_leases.find(std::stoull(path.substr(7)));  // the id follows "/holds/"
     if (it == session_leases.end()) return respond(404, "{}");
     it->second.expires_at = now + it->second.lasts;
     respond(200, "{}");
   }
 
-  // Session leases that are left have their full time again.
+  // Extends all remaining session leases to their full duration from now.
   void renew_all_session_leases(Ms now) {
     for (auto& [id, lease] : session_leases) lease.expires_at = now + lease.lasts;
   }
@@ -316,7 +318,7 @@
   }
 
   void read(const std::string& path, const Respond& respond) const {
-    const auto it = items.find(path.substr(7));  // after "/store/"
+    const auto it = items.find(path.substr(7));  // the key follows "/store/"
     if (it != items.end()) return respond(200, entry(it->first, it->second).done());
     Put p;
     p.num("ledger", revision);
--- a/tests/sim/faults.cpp
+++ b/tests/sim/faults.cpp
@@ -1,19 +1,20 @@
-// Faults: what each kind does to controllers, the state service, the network, machines and users.
+// Fault injection: the effect of each fault on controllers, the state service, the network,
+// machines and users.
 #include "sim/cluster_members.h"
 #include "sim/simulated_cluster.h"
 
 namespace scheduler::sim {
 
 void SimulatedCluster::inject_fault() {
-  const auto n = any_controller_index();
+  const auto n = random_controller_index();
   const Ms lasts = chance(0.2) ? 10'000 + random(30'000) : 2000 + random(14'000);
   inject_fault(static_cast<Fault>(random(static_cast<int>(options_.random_faults_before))), n,
                lasts);
 }
 
-// The injections by kind. Each takes the controller that is concerned, if any, and how long the
-// fault lasts.
-void SimulatedCluster::inject_fault(Fault kind, std::size_t node, Ms lasts) {
+// Calls the injection function of the kind. The functions take the index of the affected
+// controller, if any, and the duration of the fault.
+void SimulatedCluster::inject_fault(Fault kind, std::size_t controller_index, Ms lasts) {
   using Self = SimulatedCluster;
   using Controller = SimulatedController;
   using Injection = void (Self::*)(std::size_t, Ms);
@@ -65,117 +66,127 @@
       {Fault::concurrent_reads, &Self::set_until<&Self::concurrent_reads_until_>},
   };
   if (recovering_) return;
-  trace("fault " + std::to_string(static_cast<int>(kind)) + " node " + std::to_string(node) +
-        " for " + std::to_string(lasts));
-  (this->*kInjections.at(kind))(node, lasts);
+  trace("fault " + std::to_string(static_cast<int>(kind)) + " controller " +
+        std::to_string(controller_index) + " for " + std::to_string(lasts));
+  (this->*kInjections.at(kind))(controller_index, lasts);
 }
 
 template <Ms SimulatedCluster::*Deadline>
-void SimulatedCluster::set_until(std::size_t /*node*/, Ms lasts) {
+void SimulatedCluster::set_until(std::size_t /*controller_index*/, Ms lasts) {
   this->*Deadline = now_ + lasts;
 }
 
 template <bool SimulatedCluster::*Flag>
-void SimulatedCluster::set_for(std::size_t /*node*/, Ms lasts) {
+void SimulatedCluster::set_for(std::size_t /*controller_index*/, Ms lasts) {
   this->*Flag = true;
-  at(now_ + lasts, [this] { this->*Flag = false; });
+  schedule_event(now_ + lasts, [this] { this->*Flag = false; });
 }
 
 template <bool SimulatedCluster::SimulatedController::*Flag>
-void SimulatedCluster::set_on_controller(std::size_t node, Ms lasts) {
-  (*controllers_[node]).*Flag = true;
-  at(now_ + lasts, [this, node] { (*controllers_[node]).*Flag = false; });
+void SimulatedCluster::set_on_controller(std::size_t controller_index, Ms lasts) {
+  (*controllers_[controller_index]).*Flag = true;
+  schedule_event(now_ + lasts,
+                 [this, controller_index] { (*controllers_[controller_index]).*Flag = false; });
 }
 
 // ---- controllers ----
 
-void SimulatedCluster::crash_one_controller(std::size_t node, Ms /*lasts*/) {
-  crash_controller(node);
+void SimulatedCluster::crash_one_controller(std::size_t controller_index, Ms /*duration_ms*/) {
+  crash_controller(controller_index);
 }
 
-void SimulatedCluster::crash_all_controllers(std::size_t /*node*/, Ms /*lasts*/) {
+void SimulatedCluster::crash_all_controllers(std::size_t /*controller_index*/, Ms /*duration_ms*/) {
   for (std::size_t i = 0; i < controllers_.size(); ++i) crash_controller(i);
 }
 
-// The second crash falls into the time in which the controller joins the view.
-void SimulatedCluster::restart_controller_twice(std::size_t node, Ms /*lasts*/) {
-  crash_controller(node, 30 + random(300));
-  at(now_ + 350 + random(500), [this, node] {
-    if (!recovering_) crash_controller(node, 30 + random(300));
+// The second crash happens while the restarted controller joins the view.
+void SimulatedCluster::restart_controller_twice(std::size_t controller_index, Ms /*duration_ms*/) {
+  crash_controller(controller_index, 30 + random(300));
+  schedule_event(now_ + 350 + random(500), [this, controller_index] {
+    if (!recovering_) crash_controller(controller_index, 30 + random(300));
   });
 }
 
-void SimulatedCluster::restart_controllers_in_turn(std::size_t /*node*/, Ms /*lasts*/) {
+void SimulatedCluster::restart_controllers_in_turn(std::size_t /*controller_index*/,
+                                                   Ms /*duration_ms*/) {
   for (std::size_t i = 0; i < controllers_.size(); ++i)
-    at(now_ + static_cast<Ms>(i) * 5000, [this, i] {
+    schedule_event(now_ + static_cast<Ms>(i) * 5000, [this, i] {
       if (!recovering_) crash_controller(i);
     });
 }
 
-void SimulatedCluster::pause_controller(std::size_t node, Ms lasts) {
-  controllers_[node]->paused = true;
-  at(now_ + lasts, [this, node, generation = controllers_[node]->generation] {
-    if (controllers_[node]->generation == generation) resume_controller(node);
-  });
+void SimulatedCluster::pause_controller(std::size_t controller_index, Ms lasts) {
+  controllers_[controller_index]->paused = true;
+  schedule_event(now_ + lasts,
+                 [this, controller_index, generation = controllers_[controller_index]->generation] {
+                   if (controllers_[controller_index]->generation == generation)
+                     resume_controller(controller_index);
+                 });
 }
 
-// They restart one after the other.
-void SimulatedCluster::keep_all_controllers_down(std::size_t node, Ms lasts) {
+// The controllers restart one after the other, 300 ms apart.
+void SimulatedCluster::keep_all_controllers_down(std::size_t controller_index, Ms lasts) {
   for (std::size_t i = 0; i < controllers_.size(); ++i)
-    keep_down((node + i) % controllers_.size(), lasts + static_cast<Ms>(i) * 300);
+    keep_down((controller_index + i) % controllers_.size(), lasts + static_cast<Ms>(i) * 300);
 }
 
-void SimulatedCluster::crash_controllers_by_turns(std::size_t node, Ms lasts) {
+void SimulatedCluster::crash_controllers_by_turns(std::size_t controller_index, Ms lasts) {
   constexpr std::size_t kCrashes = 10;
   for (std::size_t i = 0; i < kCrashes; ++i)
-    at(now_ + static_cast<Ms>(i) * lasts / static_cast<Ms>(kCrashes), [this, i, node] {
-      if (!recovering_) crash_controller((node + i) % controllers_.size());
-    });
-}
-
-// The controller is down for longer than its session lease, so that others take its shard over,
-// and the shard returns to it (failback). Then all crash, and it alone restarts within a second.
-void SimulatedCluster::fail_over_and_back(std::size_t node, Ms lasts) {
-  keep_down(node, 6500);
-  at(now_ + 9000, [this, node, lasts] {
+    schedule_event(now_ + static_cast<Ms>(i) * lasts / static_cast<Ms>(kCrashes),
+                   [this, i, controller_index] {
+                     if (!recovering_)
+                       crash_controller((controller_index + i) % controllers_.size());
+                   });
+}
+
+// The controller is down for longer than its session lease, so that peers take over its shard,
+// which returns to the controller after its restart (failback). Then all controllers crash, and
+// only this controller restarts within a second.
+void SimulatedCluster::fail_over_and_back(std::size_t controller_index, Ms lasts) {
+  keep_down(controller_index, 6500);
+  schedule_event(now_ + 9000, [this, controller_index, lasts] {
     if (recovering_) return;
-    keep_down(node, 100 + random(800));
+    keep_down(controller_index, 100 + random(800));
     for (std::size_t i = 1; i < controllers_.size(); ++i)
-      keep_down((node + i) % controllers_.size(), lasts);
+      keep_down((controller_index + i) % controllers_.size(), lasts);
   });
 }
 
 // ---- the state service ----
 
-// Session leases run on during this outage; those that are left at its end have their full time
-// again.
-void SimulatedCluster::random_state_outage(std::size_t node, Ms lasts) {
+// Session leases expire during this outage. At its end, the remaining leases are extended to their
+// full duration.
+void SimulatedCluster::random_state_outage(std::size_t controller_index, Ms lasts) {
   state_->outage = true;
-  at(now_ + lasts / 2, [this] {
+  schedule_event(now_ + lasts / 2, [this] {
     if (state_->outage) state_->renew_all_session_leases(now_);
     state_->outage = false;
   });
-  if (options_.faults && chance(0.4)) crash_controller(node);
+  if (options_.faults && chance(0.4)) crash_controller(controller_index);
 }
 
-void SimulatedCluster::refuse_one_then_all(std::size_t node, Ms lasts) {
-  controllers_[node]->refused_by_state = true;
-  at(now_ + 1000, [this, lasts] {
-    if (!recovering_) outage(lasts);
+void SimulatedCluster::refuse_one_then_all(std::size_t controller_index, Ms lasts) {
+  controllers_[controller_index]->refused_by_state = true;
+  schedule_event(now_ + 1000, [this, lasts] {
+    if (!recovering_) start_state_outage(lasts);
+  });
+  schedule_event(now_ + 1000 + lasts, [this, controller_index] {
+    controllers_[controller_index]->refused_by_state = false;
   });
-  at(now_ + 1000 + lasts, [this, node] { controllers_[node]->refused_by_state = false; });
 }
 
-void SimulatedCluster::slow_state_service(std::size_t /*node*/, Ms lasts) {
-  constexpr int kSlower = 20;
-  state_slower_ = kSlower;
-  at(now_ + lasts, [this] { state_slower_ = 1; });
+void SimulatedCluster::slow_state_service(std::size_t /*controller_index*/, Ms lasts) {
+  constexpr int kDelayFactor = 20;
+  state_delay_factor_ = kDelayFactor;
+  schedule_event(now_ + lasts, [this] { state_delay_factor_ = 1; });
 }
 
-// Session leases are suspended meanwhile, and have their full time again afterwards (PROTOCOL).
-void SimulatedCluster::outage(Ms lasts) {
+// Session leases don't expire during this outage. At its end they are extended to their full
+// duration (PROTOCOL).
+void SimulatedCluster::start_state_outage(Ms lasts) {
   state_->outage = state_->leases_suspended = true;
-  at(now_ + lasts, [this] {
+  schedule_event(now_ + lasts, [this] {
     if (state_->outage) state_->renew_all_session_leases(now_);
     state_->outage = state_->leases_suspended = false;
   });
@@ -183,24 +194,26 @@
 
 // ---- network and cloud ----
 
-void SimulatedCluster::isolate_controller(std::size_t node, Ms lasts) {
-  controllers_[node]->cut_from_state = controllers_[node]->cut_from_peers = true;
-  controllers_[node]->isolated_since = now_;
-  at(now_ + lasts, [this, node] {
-    controllers_[node]->cut_from_state = controllers_[node]->cut_from_peers = false;
-    controllers_[node]->isolated_since = 0;
+void SimulatedCluster::isolate_controller(std::size_t controller_index, Ms lasts) {
+  controllers_[controller_index]->cut_from_state = controllers_[controller_index]->cut_from_peers =
+      true;
+  controllers_[controller_index]->isolated_since = now_;
+  schedule_event(now_ + lasts, [this, controller_index] {
+    controllers_[controller_index]->cut_from_state =
+        controllers_[controller_index]->cut_from_peers = false;
+    controllers_[controller_index]->isolated_since = 0;
   });
 }
 
-// Zone c has no controller, zone a has two, zone b has one.
-void SimulatedCluster::cut_off_zone(std::size_t node, Ms lasts) {
-  cut_zone_ = kZones[(node + 2) % 3];
-  at(now_ + lasts, [this] { cut_zone_.clear(); });
+// With three controllers, zone a has two of them, zone b one and zone c none.
+void SimulatedCluster::cut_off_zone(std::size_t controller_index, Ms lasts) {
+  cut_zone_ = kZones[(controller_index + 2) % 3];
+  schedule_event(now_ + lasts, [this] { cut_zone_.clear(); });
 }
 
-void SimulatedCluster::start_cloud_outage(std::size_t /*node*/, Ms lasts) {
+void SimulatedCluster::start_cloud_outage(std::size_t /*controller_index*/, Ms lasts) {
   cloud_->outage = true;
-  at(now_ + lasts, [this] { cloud_->outage = false; });
+  schedule_event(now_ + lasts, [this] { cloud_->outage = false; });
 }
 
 // ---- machines ----
@@ -213,72 +226,74 @@
   return running[static_cast<std::size_t>(random(static_cast<int>(running.size())))];
 }
 
-void SimulatedCluster::hang_machine(std::size_t /*node*/, Ms lasts) {
+void SimulatedCluster::hang_machine(std::size_t /*controller_index*/, Ms lasts) {
   if (SimulatedWorker* w = random_running_machine()) hang(*w, lasts);
 }
 
-void SimulatedCluster::fail_machine(std::size_t /*node*/, Ms /*lasts*/) {
-  if (SimulatedWorker* w = random_running_machine()) machine_dies(*w);
+void SimulatedCluster::fail_machine(std::size_t /*controller_index*/, Ms /*duration_ms*/) {
+  if (SimulatedWorker* w = random_running_machine()) kill_machine(*w);
 }
 
-// The agent loses its tasks and all counters.
-void SimulatedCluster::restart_machine(std::size_t /*node*/, Ms /*lasts*/) {
+// The restarted agent has lost its tasks and all counters.
+void SimulatedCluster::restart_machine(std::size_t /*controller_index*/, Ms /*duration_ms*/) {
   SimulatedWorker* w = random_running_machine();
   if (!w) return;
-  w->up = w->reporting = false;
+  w->up = w->heartbeat_in_flight = false;
   clear_tasks(*w);
   w->incarnation = 1;
   w->sequence = w->token = 0;
   ++w->heartbeat_number;
-  ++w->life;
-  at(now_ + 50 + random(600), [this, id = w->id] {
+  ++w->agent_generation;
+  schedule_event(now_ + 50 + random(600), [this, id = w->id] {
     SimulatedWorker& restarted = *workers_.at(id);
     if (restarted.dead) return;
     restarted.up = true;
-    restarted.lease_from = now_;
-    restarted.next_heartbeat_at = restarted.no_heartbeat_before = now_;
-    tick_worker(id, restarted.life);
+    restarted.lease_start = now_;
+    restarted.next_heartbeat_at = restarted.backoff_until = now_;
+    tick_worker(id, restarted.agent_generation);
   });
 }
 
-void SimulatedCluster::make_machine_unreachable(std::size_t /*node*/, Ms lasts) {
+void SimulatedCluster::make_machine_unreachable(std::size_t /*controller_index*/, Ms lasts) {
   SimulatedWorker* w = random_running_machine();
   if (!w || w->unreachable_since != 0) return;
   w->unreachable_since = now_;
-  at(now_ + lasts, [this, id = w->id] { workers_.at(id)->unreachable_since = 0; });
+  schedule_event(now_ + lasts, [this, id = w->id] { workers_.at(id)->unreachable_since = 0; });
 }
 
-void SimulatedCluster::lose_heartbeats(std::size_t /*node*/, Ms lasts) {
+void SimulatedCluster::lose_heartbeats(std::size_t /*controller_index*/, Ms lasts) {
   SimulatedWorker* w = random_running_machine();
   if (!w || w->heartbeats_lost_since != 0) return;
   w->heartbeats_lost_since = now_;
-  at(now_ + lasts, [this, id = w->id] { workers_.at(id)->heartbeats_lost_since = 0; });
+  schedule_event(now_ + lasts, [this, id = w->id] { workers_.at(id)->heartbeats_lost_since = 0; });
 }
 
-void SimulatedCluster::make_machine_fail_tasks(std::size_t /*node*/, Ms /*lasts*/) {
+void SimulatedCluster::make_machine_fail_tasks(std::size_t /*controller_index*/,
+                                               Ms /*duration_ms*/) {
   if (SimulatedWorker* w = random_running_machine()) w->fails_tasks = true;
 }
 
-void SimulatedCluster::give_preemption_notice(std::size_t /*node*/, Ms /*lasts*/) {
+void SimulatedCluster::give_preemption_notice(std::size_t /*controller_index*/,
+                                              Ms /*duration_ms*/) {
   if (SimulatedWorker* w = random_running_machine()) w->preempted_at = now_ + 2000 + random(3000);
 }
 
-void SimulatedCluster::preempt_spot_machines(std::size_t /*node*/, Ms /*lasts*/) {
+void SimulatedCluster::preempt_spot_machines(std::size_t /*controller_index*/, Ms /*duration_ms*/) {
   for (auto& [id, w] : workers_)
     if (w->spot && w->up && !w->dead && chance(0.33))
       w->preempted_at = now_ + (chance(0.3) ? 1 : 1000 + random(4000));
 }
 
-// The cloud goes on listing it as running for a while.
-void SimulatedCluster::machine_dies(SimulatedWorker& w) {
+// The cloud lists the failed machine as running for Options::dead_listed_ms.
+void SimulatedCluster::kill_machine(SimulatedWorker& w) {
   for (const auto& [task, t] : w.tasks) {
     const auto& spec = jobs_.at(task.job).spec;
-    result_.zone_bound_tasks_lost += t.present && (spec.one_zone || !spec.zone.empty());
-    if (t.present && spec.is_service()) replica_lost_at_[task] = now_;
+    result_.zone_bound_tasks_lost += t.active && (spec.one_zone || !spec.zone.empty());
+    if (t.active && spec.is_service()) replica_lost_at_[task] = now_;
   }
   w.dead = true;
   clear_tasks(w);
-  at(now_ + options_.dead_listed_ms, [this, id = w.id] {
+  schedule_event(now_ + options_.dead_listed_ms, [this, id = w.id] {
     const auto machine = cloud_->machines.find(id);
     if (machine != cloud_->machines.end()) machine->second.failed = true;
   });
@@ -286,42 +301,43 @@
 
 void SimulatedCluster::hang(SimulatedWorker& w, Ms lasts) {
   w.hanging = true;
-  w.reporting = false;
-  at(now_ + lasts, [this, id = w.id] { workers_.at(id)->hanging = false; });
+  w.heartbeat_in_flight = false;
+  schedule_event(now_ + lasts, [this, id = w.id] { workers_.at(id)->hanging = false; });
 }
 
 // ---- users ----
 
-void SimulatedCluster::submit_burst(std::size_t /*node*/, Ms lasts) {
+void SimulatedCluster::submit_burst(std::size_t /*controller_index*/, Ms lasts) {
   for (Ms t = 0; t < lasts / 2; t += 400)
-    at(now_ + t, [this] {
-      if (!recovering_) new_job();
+    schedule_event(now_ + t, [this] {
+      if (!recovering_) submit_random_job();
     });
 }
 
-void SimulatedCluster::send_invalid_requests(std::size_t /*node*/, Ms lasts) {
-  for (Ms t = 0; t < lasts; t += 100) at(now_ + t, [this] { send_invalid_request(); });
+void SimulatedCluster::send_invalid_requests(std::size_t /*controller_index*/, Ms lasts) {
+  for (Ms t = 0; t < lasts; t += 100) schedule_event(now_ + t, [this] { send_invalid_request(); });
 }
 
-// Users cancel many jobs that run and have long to go; most of their machines hang.
-void SimulatedCluster::cancel_running(std::size_t /*node*/, Ms lasts) {
-  constexpr std::size_t kMostJobs = 20;
-  constexpr std::size_t kMostMachines = 8;
-  constexpr double kLongMs = 3000;
+// Users cancel up to 20 running jobs with at least 3 s of work left; most of their machines hang.
+void SimulatedCluster::cancel_running(std::size_t /*controller_index*/, Ms lasts) {
+  constexpr std::size_t kMaxJobs = 20;
+  constexpr std::size_t kMaxMachines = 8;
+  constexpr double kMinRemainingMs = 3000;
   std::set<std::string> jobs;
   std::vector<SimulatedWorker*> machines;
   for (auto& [id, w] : workers_) {
     if (!w->up || w->dead) continue;
-    bool concerned = false;
+    bool affected = false;
     for (const auto& [task, t] : w->tasks) {
       const SubmittedJob& j = jobs_.at(task.job);
-      if (!t.present || !j.accepted || j.work_ms - t.work_ms < kLongMs || jobs.size() >= kMostJobs)
+      if (!t.active || !j.accepted || j.work_ms - t.work_ms < kMinRemainingMs ||
+          jobs.size() >= kMaxJobs)
         continue;
-      concerned = jobs.insert(task.job).second || concerned;
+      affected = jobs.insert(task.job).second || affected;
     }
-    if (concerned && machines.size() < kMostMachines) machines.push_back(w.get());
+    if (affected && machines.size() < kMaxMachines) machines.push_back(w.get());
   }
-  for (const auto& id : jobs) at(now_ + random(200), [this, id] { cancel(id, 0); });
+  for (const auto& id : jobs) schedule_event(now_ + random(200), [this, id] { cancel(id, 0); });
   for (SimulatedWorker* w : machines) {
     if (!chance(0.7)) continue;
     ++result_.hangs_during_cancellation;
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -1,4 +1,4 @@
-// The invariants of PROTOCOL, checked at every step.
+// Checks of the invariants of PROTOCOL, at every step of a run.
 #include <algorithm>
 
 #include "sim/cluster_members.h"
@@ -11,7 +11,8 @@
 void SimulatedCluster::check_start(const SimulatedWorker& w, const wire::TaskId& task) {
   auto& job = jobs_.at(task.job);
   const std::string name = wire::task_name(task.job, task.index);
-  if (!job.accepted && !job.asked_cancel && job.spec.id.empty()) report_violation("invented", name);
+  if (!job.accepted && !job.cancel_requested && job.spec.id.empty())
+    report_violation("invented", name);
   check_cancelled_start(job, task, w);
   if (w.spot && !job.spec.spot) report_violation("wrong_place", name + " on a spot machine");
   if (!job.spec.zone.empty() && w.zone != job.spec.zone)
@@ -24,13 +25,13 @@
   for (const auto& id : started_on_[task]) {
     const SimulatedWorker& other = *workers_.at(id);
     const auto there = other.tasks.find(task);
-    if (&other != &w && !other.dead && there != other.tasks.end() && there->second.present)
+    if (&other != &w && !other.dead && there != other.tasks.end() && there->second.active)
       report_violation("ran_twice", wire::task_name(task.job, task.index) + " starts on " + w.id +
-                                        " while on " + id);
+                                        " while active on " + id);
   }
 }
 
-// Of a job whose tasks must all be in one zone, or be spread.
+// Checks the zones of a job whose tasks must all be in one zone or be spread over zones.
 void SimulatedCluster::check_zones(const SimulatedWorker& w, const wire::TaskId& task) {
   const auto& spec = jobs_.at(task.job).spec;
   const std::string name = wire::task_name(task.job, task.index);
@@ -38,25 +39,25 @@
   for (const auto& [id, other] : workers_) {
     if (other->dead) continue;
     for (const auto& [t, state] : other->tasks) {
-      if (t.job != task.job || !state.present || t.index == task.index) continue;
+      if (t.job != task.job || !state.active || t.index == task.index) continue;
       if (spec.one_zone && other->zone != w.zone)
         report_violation("wrong_place",
-                         name + " starts in " + w.zone + ", others are in " + other->zone);
+                         name + " starts in " + w.zone + ", other tasks are in " + other->zone);
       if (other->zone == w.zone) ++here;
     }
   }
   if (spec.spread && here > (spec.tasks + 1) / 2)
-    report_violation("wrong_place", name + ": too many in " + w.zone);
+    report_violation("wrong_place", name + ": more than half of the tasks in " + w.zone);
 }
 
-// Once its user was told that the job is cancelled, nothing of it may start, not even for a moment.
+// No task of a job may start, however briefly, once the cancellation was confirmed to the user.
 void SimulatedCluster::check_cancelled_start(const SubmittedJob& job, const wire::TaskId& task,
                                              const SimulatedWorker& w) {
-  if (job.told_cancelled)
+  if (job.reported_cancelled)
     report_violation("started_cancelled", wire::task_name(task.job, task.index) + " on " + w.id);
 }
 
-// Why the job can never run, or "".
+// The reason why the job can never run; "": it can run.
 std::string SimulatedCluster::reason_never_to_run(const wire::JobSpec& s) const {
   const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
                                  [&](const auto& t) { return t.name == s.team; });
@@ -64,16 +65,16 @@
       s.zone.empty() || std::find(std::begin(kZones), std::end(kZones), s.zone) != std::end(kZones);
   if (s.cpus > kMachineCpus || s.gpus > 0 || s.memory_gb > kMachineMemoryGb || !zone ||
       team == settings_.teams.end())
-    return "fits nothing";
+    return "fits no machine, zone or team";
   const bool all_at_once = s.is_gang() || s.is_service();
   if (team->cpus_max > 0 && s.cpus * (all_at_once ? s.tasks : 1) > team->cpus_max)
-    return "needs more than its team may use";
+    return "exceeds its team's quota";
   if (s.is_gang() && s.spread && s.tasks > 1 && (s.one_zone || !s.zone.empty()))
-    return "can never be whole";
+    return "is spread, but limited to one zone";
   return "";
 }
 
-// What can never run must not be accepted.
+// A job that can never run must not be accepted.
 void SimulatedCluster::check_accepted(const SubmittedJob& job) {
   const std::string reason = reason_never_to_run(job.spec);
   if (!reason.empty()) report_violation("accepted_wrong", job.spec.id + " " + reason);
@@ -84,7 +85,7 @@
   return kMachineCpus - cpus_in_use(w);
 }
 
-// Whether anything of the job could start now: one task of an array, all of a gang.
+// Whether the job could start now: one task of an array, or all tasks of a gang.
 bool SimulatedCluster::has_capacity(const SubmittedJob& job,
                                     const std::map<std::string, double>& used) const {
   const auto& s = job.spec;
@@ -108,7 +109,7 @@
   return (s.one_zone ? most : all) >= needed;
 }
 
-// By team; tasks that still fetch their image count.
+// CPUs in use by team, including tasks that still fetch their image.
 std::map<std::string, double> SimulatedCluster::used_cpus() const {
   std::map<std::string, double> used;
   for (const auto& [id, w] : workers_)
@@ -119,53 +120,53 @@
 }
 
 void SimulatedCluster::check_waiting() {
-  constexpr Ms kPatience = 90'000;
+  constexpr Ms kMaxWaitMs = 90'000;
   const std::map<std::string, double> used = used_cpus();
   std::set<std::string> placed;
   for (const auto& [id, w] : workers_)
     for (const auto& [task, t] : w->tasks)
       if (!w->dead && t.state != TaskState::exited) placed.insert(task.job);
   for (auto& [id, j] : jobs_) {
-    // Attempts of jobs that fail everywhere are backed off.
-    const bool waits = j.accepted && !j.asked_cancel && !j.fails_everywhere &&
+    // Jobs that fail on every machine wait because of the back-off between attempts.
+    const bool waits = j.accepted && !j.cancel_requested && !j.fails_everywhere &&
                        !placed.contains(id) && j.completed.size() < j.spec.tasks &&
                        has_capacity(j, used);
-    if (!waits) j.waits_since = 0;
-    if (waits && j.waits_since == 0) j.waits_since = now_;
-    if (waits && now_ - j.waits_since > kPatience) {
-      report_violation("waited", id + ": 90 s without a start, with room for it");
-      j.waits_since = now_;
+    if (!waits) j.waiting_since = 0;
+    if (waits && j.waiting_since == 0) j.waiting_since = now_;
+    if (waits && now_ - j.waiting_since > kMaxWaitMs) {
+      report_violation("waited", id + ": not started for 90 s despite free capacity");
+      j.waiting_since = now_;
     }
   }
-  const bool over = std::all_of(jobs_.begin(), jobs_.end(), [](const auto& entry) {
+  const bool ended = std::all_of(jobs_.begin(), jobs_.end(), [](const auto& entry) {
     const SubmittedJob& j = entry.second;
-    return !j.accepted || j.told_done || j.told_cancelled;
+    return !j.accepted || j.reported_done || j.reported_cancelled;
   });
-  if (options_.until_finished && over && finished_since_ == 0) finished_since_ = now_;
+  if (options_.until_finished && ended && finished_since_ == 0) finished_since_ = now_;
 }
 
 void SimulatedCluster::check_all() {
   std::map<std::string, double> used;
   for (auto& [id, w] : workers_) {
     if (w->dead || !w->up) continue;
-    expire_worker_lease(*w);  // a hanging machine's lease expires as well
+    expire_worker_lease(*w);  // the lease of a hanging machine expires too
     for (const auto& [task, t] : w->tasks) {
-      if (!t.present) continue;
+      if (!t.active) continue;
       const auto& job = jobs_.at(task.job);
       used[job.spec.team] += job.spec.cpus;
-      if (job.cancelled_at && now_ - job.cancelled_at > to_ms(settings_.cancel_s))
+      if (job.cancel_confirmed_at && now_ - job.cancel_confirmed_at > to_ms(settings_.cancel_s))
         report_violation("ran_cancelled", wire::task_name(task.job, task.index) + " on " + id);
     }
   }
-  if (recovering_) check_answered();
+  if (recovering_) check_reads_answered();
   check_quotas(used);
 }
 
-void SimulatedCluster::check_answered() {
+void SimulatedCluster::check_reads_answered() {
   for (auto& [id, j] : jobs_) {
-    if (!j.accepted || now_ - j.answered_at <= 75'000) continue;
-    report_violation("forgotten", id + ": no question answered for 75 s");
-    j.answered_at = now_;
+    if (!j.accepted || now_ - j.last_reply_at <= 75'000) continue;
+    report_violation("forgotten", id + ": no reply to any request for 75 s");
+    j.last_reply_at = now_;
   }
 }
 
@@ -180,8 +181,8 @@
   }
 }
 
-void SimulatedCluster::note_result(const std::string& key,
-                                   const std::optional<std::string>& value) {
+void SimulatedCluster::record_final_state(const std::string& key,
+                                          const std::optional<std::string>& value) {
   if (!key.starts_with(wire::kFinalStatePrefix)) return;
   const std::string id = key.substr(wire::kFinalStatePrefix.size());
   if (!value) {
@@ -192,10 +193,11 @@
     history_.add(now_, history::ResultRecorded{id, record->done});
 }
 
-// Every job that users know to have ended must have its final state; of a run that ends before all
-// jobs have, only what was observed is checked.
+// Every job reported as ended must have a recorded final state. If a run ends before all jobs have
+// ended, only the recorded history is checked.
 void SimulatedCluster::report_history() {
-  // A cancellation is recorded with the job; its final state follows when there is write headroom.
+  // A cancellation is recorded in the job record; its final state is written when the write rate
+  // allows it.
   for (const auto& [key, item] : state_->items) {
     if (!key.starts_with(wire::kJobPrefix)) continue;
     const auto record = wire::decode<wire::JobRecord>(item.value);
@@ -207,32 +209,34 @@
     report_violation("history", std::string(history::name(finding.fault)) + " " + finding.what);
 }
 
-void SimulatedCluster::on_told(const std::string& id, const std::string& status, Ms asked) {
+void SimulatedCluster::on_job_state(const std::string& id, const std::string& status,
+                                    Ms requested_at) {
   auto& job = jobs_.at(id);
   history_.add(now_, history::Answered{id,
                                        status == "done"        ? wire::JobState::done
                                        : status == "withdrawn" ? wire::JobState::cancelled
                                                                : wire::JobState::running,
-                                       asked});
+                                       requested_at});
   if (status == "done") {
     if (job.spec.is_service()) report_violation("not_done", id + " is a service");
     if (job.completed.size() < job.spec.tasks) report_violation("not_done", id);
-    if (job.told_cancelled) report_violation("went_back", id + " cancelled, then done");
-    if (!job.told_done) job.told_at = now_;
-    job.told_done = true;
+    if (job.reported_cancelled) report_violation("went_back", id + " cancelled, then done");
+    if (!job.reported_done) job.end_reported_at = now_;
+    job.reported_done = true;
   } else if (status == "withdrawn") {
-    if (job.told_done) report_violation("went_back", id + " done, then cancelled");
-    if (!job.asked_cancel) report_violation("went_back", id + " cancelled by nobody");
-    if (!job.told_cancelled) {
-      job.cancelled_at = job.told_at = now_;
-      result_.cancellations.emplace_back(job.cancel_asked_at, now_);
+    if (job.reported_done) report_violation("went_back", id + " done, then cancelled");
+    if (!job.cancel_requested) report_violation("went_back", id + " cancelled without a request");
+    if (!job.reported_cancelled) {
+      job.cancel_confirmed_at = job.end_reported_at = now_;
+      result_.cancellations.emplace_back(job.cancel_requested_at, now_);
     }
-    job.told_cancelled = true;
+    job.reported_cancelled = true;
   } else if (status != "pending" && status != "running") {
-    report_violation("answer", id + " is " + status);
-  } else if ((job.told_done || job.told_cancelled) && asked > job.told_at) {
-    // Asked after the user was told; replies to earlier requests may arrive later.
-    report_violation("went_back", id + " over, then " + status);
+    report_violation("answer", id + " has the status " + status);
+  } else if ((job.reported_done || job.reported_cancelled) && requested_at > job.end_reported_at) {
+    // Only for requests sent after the end was reported: replies to earlier requests may arrive
+    // later.
+    report_violation("went_back", id + " ended, then " + status);
   }
 }
 
--- a/tests/sim/link_cuts.h
+++ b/tests/sim/link_cuts.h
@@ -10,12 +10,14 @@
 
 namespace scheduler::sim {
 
-// A link that is down for a while, in one direction. The ends are the name of a controller,
-// "state", "cloud", "workers/ZONE", or "workers" for those of all zones. Messages on it are lost.
+// A link that is down in one direction for a limited time. Messages on the link are lost. Each end
+// is the name of a controller, "state", "cloud", "workers/ZONE", or "workers" for the workers of
+// all zones.
 struct LinkCut {
   Ms at = 0, lasts = 0;
   std::string from, to;
-  // If set, the link is down and up by turns meanwhile, each turn for a time between the two.
+  // If set, the link alternates between down and up during the cut. The length of each interval is
+  // random, between these two times.
   Ms flap_least = 0, flap_most = 0;
 };
 
@@ -35,10 +37,10 @@
   }
 
  private:
-  // "workers" for those of any zone.
+  // Maps "workers/ZONE" to "workers"; leaves other ends as they are.
   static std::string all_of(const std::string& end) { return end.substr(0, end.find('/')); }
 
-  std::map<std::pair<std::string, std::string>, int> down_;  // how many cuts hold it down
+  std::map<std::pair<std::string, std::string>, int> down_;  // number of active cuts by link
 };
 
 }  // namespace scheduler::sim
--- a/tests/sim/machines.cpp
+++ b/tests/sim/machines.cpp
@@ -1,4 +1,4 @@
-// Machines and the agents on them: start, leases and heartbeats.
+// Machines and their agents: start, leases and heartbeats.
 #include <algorithm>
 
 #include "sim/cluster_members.h"
@@ -11,55 +11,57 @@
 void SimulatedCluster::add_machine(const std::string& zone, bool spot, Ms up_at,
                                    const std::string& scale_out_name) {
   auto w = std::make_unique<SimulatedWorker>();
-  w->id = "n-" + pad(next_machine_++);
+  w->id = "n-" + six_digits(next_machine_++);
   w->zone = zone;
   w->spot = spot;
   w->address = w->id + ":1";
-  w->node = any_controller_index();
+  w->controller_index = random_controller_index();
   cloud_->machines[w->id] = {zone, spot, false, now_, up_at, now_ + random(2000)};
   if (!scale_out_name.empty()) cloud_->scale_outs[scale_out_name].push_back(w->id);
   const int provided = static_cast<int>(cloud_->machines.size());
   result_.most_machines = std::max(result_.most_machines, provided);
   const std::string id = w->id;
   workers_[id] = std::move(w);
-  at(up_at, [this, id] {
-    SimulatedWorker& x = *workers_.at(id);
-    if (x.dead) return;
-    x.up = true;
-    x.lease_from = now_;
-    tick_worker(id, x.life);
+  schedule_event(up_at, [this, id] {
+    SimulatedWorker& started = *workers_.at(id);
+    if (started.dead) return;
+    started.up = true;
+    started.lease_start = now_;
+    tick_worker(id, started.agent_generation);
   });
 }
 
 void SimulatedCluster::expire_worker_lease(SimulatedWorker& w) {
-  // The worker's clock may be as much as 0.05% slow: it keeps its tasks a little longer.
+  // The worker's clock may be up to 0.05% slow, so that the worker keeps its tasks longer by as
+  // much.
   const auto lease = static_cast<Ms>(options_.lease_s * 1000 * 1.0005);
-  if (now_ - w.lease_from <= lease) return;
+  if (now_ - w.lease_start <= lease) return;
   trace(w.id + " lease expired, incarnation " + std::to_string(w.incarnation + 1));
   for (const auto& [task, t] : w.tasks)
-    if (t.present && t.state != TaskState::exited) note_lease_expiry(task);
+    if (t.active && t.state != TaskState::exited) record_lease_expiry(task);
   clear_tasks(w);
   ++w.incarnation;
-  w.lease_from = now_;
-  w.changed = true;
+  w.lease_start = now_;
+  w.changed_since_heartbeat = true;
 }
 
 void SimulatedCluster::clear_tasks(SimulatedWorker& w) {
   for (const auto& [task, t] : w.tasks)
-    if (t.present) history_.add(now_, history::TaskEnded{task, w.id, false});
+    if (t.active) history_.add(now_, history::TaskEnded{task, w.id, false});
   w.tasks.clear();
 }
 
-void SimulatedCluster::tick_worker(const std::string& id, std::uint64_t life) {
+void SimulatedCluster::tick_worker(const std::string& id, std::uint64_t agent_generation) {
   SimulatedWorker& w = *workers_.at(id);
-  if (w.dead || w.life != life) return;
+  if (w.dead || w.agent_generation != agent_generation) return;
   if (!w.hanging) {
     expire_worker_lease(w);
     step_worker(w);
     const bool due = now_ >= w.next_heartbeat_at;
-    if (!w.reporting && now_ >= w.no_heartbeat_before && due) send_heartbeat(w);
+    if (!w.heartbeat_in_flight && now_ >= w.backoff_until && due) send_heartbeat(w);
   }
-  at(now_ + options_.worker_step_ms, [this, id, life] { tick_worker(id, life); });
+  schedule_event(now_ + options_.worker_step_ms,
+                 [this, id, agent_generation] { tick_worker(id, agent_generation); });
 }
 
 std::string SimulatedCluster::heartbeat_body(SimulatedWorker& w) const {
@@ -80,43 +82,45 @@
                                  "error", "no_room", "busy",    "no_such"};
   std::string list;
   for (const auto& [task, t] : w.tasks) {
-    Put l;
-    l.str("load", wire::task_name(task.job, task.index));
-    l.num("try", t.attempt);
-    l.str("status", states[static_cast<int>(t.state)]);
-    if (t.state == TaskState::exited) l.str("cause", causes[static_cast<int>(t.cause)]);
-    if (t.saved) l.raw("saved", "true");
-    list += (list.empty() ? "" : ",") + l.done();
+    Put task_json;
+    task_json.str("load", wire::task_name(task.job, task.index));
+    task_json.num("try", t.attempt);
+    task_json.str("status", states[static_cast<int>(t.state)]);
+    if (t.state == TaskState::exited) task_json.str("cause", causes[static_cast<int>(t.cause)]);
+    if (t.saved) task_json.raw("saved", "true");
+    list += (list.empty() ? "" : ",") + task_json.done();
   }
   p.raw("loads", "[" + list + "]");
   return p.done();
 }
 
 void SimulatedCluster::send_heartbeat(SimulatedWorker& w) {
-  w.reporting = true;
+  w.heartbeat_in_flight = true;
   const Heartbeat heartbeat{w.id, ++w.heartbeat_number, now_, w.incarnation};
   const Request request{"POST", "/hello", heartbeat_body(w)};
   if (now_ < duplicate_heartbeats_until_ && chance(options_.duplicated_heartbeats)) {
-    at(now_ + 1000 + random(24'000), [this, request] {
+    schedule_event(now_ + 1000 + random(24'000), [this, request] {
       ++result_.duplicate_heartbeats_arrived;
-      deliver_request(any_controller_index(), request);
+      deliver_request(random_controller_index(), request);
     });
   }
   const bool delayed = now_ < heartbeats_delayed_until_ && chance(0.4);
   if (delayed) delay_heartbeat(w.token, request, now_ + 40'000);
-  // Half of those that are delayed do not arrive in time as well.
+  // Half of the delayed heartbeats arrive only late; of the other half, a copy also arrives in
+  // time.
   const bool lost = w.heartbeats_lost_since != 0 || (delayed && chance(0.5));
-  at(now_ + worker_network_delay(), [this, heartbeat, request, lost] {
+  schedule_event(now_ + worker_network_delay(), [this, heartbeat, request, lost] {
     SimulatedWorker& sender = *workers_.at(heartbeat.worker);
     if (!lost) {
-      send_to_controller(sender.node, request, sender.zone,
+      send_to_controller(sender.controller_index, request, sender.zone,
                          [this, heartbeat](int status, const std::string& body) {
                            on_heartbeat_reply(heartbeat, status, body);
                          });
       return;
     }
-    if (sender.dead || heartbeat.number != sender.heartbeat_number || !sender.reporting) return;
-    sender.reporting = false;
+    if (sender.dead || heartbeat.number != sender.heartbeat_number || !sender.heartbeat_in_flight)
+      return;
+    sender.heartbeat_in_flight = false;
     try_next_controller(sender);
   });
 }
@@ -124,14 +128,15 @@
 void SimulatedCluster::on_heartbeat_reply(const Heartbeat& heartbeat, int status,
                                           const std::string& body) {
   SimulatedWorker& w = *workers_.at(heartbeat.worker);
-  if (w.dead || heartbeat.number != w.heartbeat_number || !w.reporting) return;
-  w.reporting = false;
+  if (w.dead || heartbeat.number != w.heartbeat_number || !w.heartbeat_in_flight) return;
+  w.heartbeat_in_flight = false;
   if (w.hanging) return;
   if (w.unreachable_since) status = 0;
   const Ms interval = to_ms(options_.heartbeat_interval_s);
   w.next_heartbeat_at =
-      now_ + (w.changed ? 500 : interval * 3 / 4 + random(static_cast<int>(interval / 2)));
-  w.changed = false;
+      now_ +
+      (w.changed_since_heartbeat ? 500 : interval * 3 / 4 + random(static_cast<int>(interval / 2)));
+  w.changed_since_heartbeat = false;
   rapidjson::Document doc;
   if (status == 200 && wire::parse_object(body, doc) && doc.HasMember("baton")) {
     renew_worker_lease(w, heartbeat, doc);
@@ -143,43 +148,43 @@
   try_next_controller(w);
 }
 
-// The lease counts from when the heartbeat was sent.
+// The lease starts when the worker sends the heartbeat.
 void SimulatedCluster::renew_worker_lease(SimulatedWorker& w, const Heartbeat& heartbeat,
                                           const wire::Json& reply) {
-  if (heartbeat.incarnation != w.incarnation || now_ - heartbeat.sent_at > kHeartbeatReplyMs)
-    return;
+  if (heartbeat.incarnation != w.incarnation || now_ - heartbeat.sent_at > kReplyTimeoutMs) return;
   const std::uint64_t token = reply["baton"].GetUint64();
   if (token < w.token && !options_.workers_ignore_tokens) return;
   w.token = std::max(w.token, token);
-  w.lease_from = std::max(w.lease_from, heartbeat.sent_at);
-  note_contact(w);
+  w.lease_start = std::max(w.lease_start, heartbeat.sent_at);
+  record_contact(w);
   execute_commands(w, reply["orders"]);
 }
 
 bool SimulatedCluster::follow_redirect(SimulatedWorker& w, const std::string& owner) {
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
-    if (controllers_[i]->name != owner || i == w.node) continue;
-    w.node = i;
-    w.next_heartbeat_at = w.no_heartbeat_before = now_ + random(500);
+    if (controllers_[i]->name != owner || i == w.controller_index) continue;
+    w.controller_index = i;
+    w.next_heartbeat_at = w.backoff_until = now_ + random(500);
     return true;
   }
   return false;
 }
 
 void SimulatedCluster::try_next_controller(SimulatedWorker& w) {
-  w.node = (w.node + 1) % controllers_.size();
-  w.next_heartbeat_at = w.no_heartbeat_before = now_ + 1000;
+  w.controller_index = (w.controller_index + 1) % controllers_.size();
+  w.next_heartbeat_at = w.backoff_until = now_ + 1000;
 }
 
-// Arrives once a controller has acted on a newer view: at all controllers, so at the machine's
-// owner of then.
+// Delivers the heartbeat once a worker has received a token of a newer view, or not at all if that
+// does not happen until the given time. The heartbeat goes to all controllers, so that the
+// machine's new owner receives it.
 void SimulatedCluster::delay_heartbeat(std::uint64_t token, const Request& request, Ms until) {
-  at(now_ + 20, [this, token, request, until] {
+  schedule_event(now_ + 20, [this, token, request, until] {
     if (newest_epoch_ <= ClusterView::epoch_of(token)) {
       if (now_ < until) delay_heartbeat(token, request, until);
       return;
     }
-    at(now_ + random(chance(0.5) ? 100 : 3000), [this, request] {
+    schedule_event(now_ + random(chance(0.5) ? 100 : 3000), [this, request] {
       ++result_.delayed_heartbeats_arrived;
       for (std::size_t i = 0; i < controllers_.size(); ++i) deliver_request(i, request);
     });
--- a/tests/sim/measurements.cpp
+++ b/tests/sim/measurements.cpp
@@ -1,4 +1,4 @@
-// What a run measures besides invariants: how many jobs were served, and answers to health checks.
+// Measurements of a run besides the invariants: completed jobs and replies to health checks.
 #include <algorithm>
 
 #include "sim/cluster_members.h"
@@ -7,25 +7,25 @@
 namespace scheduler::sim {
 
 void SimulatedCluster::count_served() {
-  constexpr Ms kBeginWithin = 240'000;  // PROTOCOL: four minutes
+  constexpr Ms kStartWithinMs = 240'000;  // PROTOCOL: four minutes
   std::map<std::string, std::vector<const SubmittedJob*>> classes;
   for (const auto& [id, j] : jobs_) {
-    // Jobs of the last minutes may well be running.
     if (!j.accepted || j.fails_everywhere) continue;
     if (j.spec.is_service()) {
-      // A service has been served when its user has the confirmation of its cancellation.
-      auto& [all, over] = result_.served["services"];
+      // A service counts as served once its cancellation was confirmed to the user.
+      auto& [all, cancelled] = result_.served["services"];
       ++all;
-      over += j.told_cancelled ? 1 : 0;
+      cancelled += j.reported_cancelled ? 1 : 0;
       continue;
     }
-    if (j.asked_cancel || now_ - j.submitted_at < kBeginWithin) continue;
+    // Jobs submitted in the last four minutes may still be running.
+    if (j.cancel_requested || now_ - j.submitted_at < kStartWithinMs) continue;
     classes[j.spec.job_class].push_back(&j);
   }
   auto count = [this](const std::string& what, const SubmittedJob& j) {
     auto& [all, done] = result_.served[what];
     ++all;
-    done += j.told_done ? 1 : 0;
+    done += j.reported_done ? 1 : 0;
   };
   for (auto& [name, list] : classes) {
     std::sort(list.begin(), list.end(), [](const SubmittedJob* a, const SubmittedJob* b) {
@@ -39,7 +39,8 @@
       const SubmittedJob& j = *list[i];
       count("largest " + name, j);
       ++result_.large_jobs;
-      if (j.begun_at == 0 || j.begun_at - j.submitted_at > kBeginWithin) ++result_.large_jobs_late;
+      if (j.first_start_at == 0 || j.first_start_at - j.submitted_at > kStartWithinMs)
+        ++result_.large_jobs_late;
     }
   }
 }
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -1,4 +1,4 @@
-// The simulated network: which links are up, and how messages are delayed, lost and duplicated.
+// The simulated network: state of the links, and delay, loss and duplication of messages.
 #include "sim/cluster_members.h"
 #include "sim/simulated_cluster.h"
 
@@ -13,37 +13,37 @@
 
 void SimulatedCluster::plan_link_cut(const LinkCut& cut) {
   if (cut.flap_most > 0) {
-    at(cut.at, [this, cut] { flap(cut, cut.at + cut.lasts); });
+    schedule_event(cut.at, [this, cut] { flap(cut, cut.at + cut.lasts); });
     return;
   }
-  at(cut.at, [this, cut] {
+  schedule_event(cut.at, [this, cut] {
     if (recovering_) return;
     link_cuts_.cut(cut.from, cut.to);
     for (auto& [id, w] : workers_)
-      if (w->up && !w->dead) w->without_contact_since = now_;
+      if (w->up && !w->dead) w->no_contact_since = now_;
   });
-  at(cut.at + cut.lasts, [this, cut] {
+  schedule_event(cut.at + cut.lasts, [this, cut] {
     link_cuts_.restore(cut.from, cut.to);
-    for (auto& [id, w] : workers_) note_contact(*w);
+    for (auto& [id, w] : workers_) record_contact(*w);
   });
 }
 
-void SimulatedCluster::note_contact(SimulatedWorker& w) {
-  if (w.without_contact_since == 0 || w.dead) return;
-  result_.without_contact_ms.push_back(now_ - w.without_contact_since);
-  w.without_contact_since = 0;
+void SimulatedCluster::record_contact(SimulatedWorker& w) {
+  if (w.no_contact_since == 0 || w.dead) return;
+  result_.without_contact_ms.push_back(now_ - w.no_contact_since);
+  w.no_contact_since = 0;
 }
 
 void SimulatedCluster::flap(const LinkCut& cut, Ms until) {
   if (recovering_ || now_ >= until) return;
-  const auto turn = [this, &cut] {
+  const auto random_interval = [this, &cut] {
     return cut.flap_least + random(static_cast<int>(cut.flap_most - cut.flap_least + 1));
   };
-  const Ms down = turn();
-  const Ms up = turn();
+  const Ms down = random_interval();
+  const Ms up = random_interval();
   link_cuts_.cut(cut.from, cut.to);
-  at(now_ + down, [this, cut] { link_cuts_.restore(cut.from, cut.to); });
-  at(now_ + down + up, [this, cut, until] { flap(cut, until); });
+  schedule_event(now_ + down, [this, cut] { link_cuts_.restore(cut.from, cut.to); });
+  schedule_event(now_ + down + up, [this, cut, until] { flap(cut, until); });
 }
 
 SimulatedCluster::SimulatedWorker* SimulatedCluster::worker_at(const std::string& address) {
@@ -51,7 +51,7 @@
   return found == workers_.end() ? nullptr : found->second.get();
 }
 
-std::string SimulatedCluster::far_end_of(const Call& call) {
+std::string SimulatedCluster::remote_end_of(const Call& call) {
   if (call.target == Target::state) return "state";
   if (call.target == Target::cloud) return "cloud";
   const SimulatedWorker* w = worker_at(call.address);
@@ -61,55 +61,61 @@
 // ---- calls of controllers ----
 
 void SimulatedCluster::send(std::size_t i, const Call& call) {
-  const auto flight = std::make_shared<CallInFlight>();
-  flight->from = i;
-  flight->generation = controllers_[i]->generation;
-  flight->call = call;
-  flight->far_end = far_end_of(call);
-  flight->slower = call.target == Target::state ? state_slower_ : 1;
-  at(now_ + call.timeout, [this, flight] { deliver_reply(flight, 0, ""); });
-  if (blocked(*flight) || chance(0.003)) {
-    // Lost, or delivered some time after the link is up again.
+  const auto pending_call = std::make_shared<PendingCall>();
+  pending_call->from = i;
+  pending_call->generation = controllers_[i]->generation;
+  pending_call->call = call;
+  pending_call->remote_end = remote_end_of(call);
+  pending_call->delay_factor = call.target == Target::state ? state_delay_factor_ : 1;
+  schedule_event(now_ + call.timeout, [this, pending_call] { deliver_reply(pending_call, 0, ""); });
+  if (blocked(*pending_call) || chance(0.003)) {
+    // The call is lost or is executed some time after the link is up again.
     if (chance(0.6))
-      at(now_ + 1000 + random(25'000), [this, flight] { execute_once_unblocked(flight); });
+      schedule_event(now_ + 1000 + random(25'000),
+                     [this, pending_call] { execute_once_unblocked(pending_call); });
     return;
   }
   if (call.path == "/multi" && now_ < late_writes_until_ && chance(0.3)) {
-    at(now_ + 2000 + random(10'000), [this, flight] { execute_late(flight); });
+    schedule_event(now_ + 2000 + random(10'000),
+                   [this, pending_call] { execute_late(pending_call); });
     return;
   }
   const bool worker = call.target == Target::worker;
-  at(now_ + (worker ? worker_network_delay() : network_delay() * flight->slower), [this, flight] {
-    execute(flight->call, flight->from, [this, flight](int status, const std::string& body) {
-      send_reply(flight, status, body);
-    });
-  });
+  schedule_event(
+      now_ + (worker ? worker_network_delay() : network_delay() * pending_call->delay_factor),
+      [this, pending_call] {
+        execute(pending_call->call, pending_call->from,
+                [this, pending_call](int status, const std::string& body) {
+                  send_reply(pending_call, status, body);
+                });
+      });
   if (call.method == "POST" && chance(options_.duplicated_requests))
-    at(now_ + 50 + random(15'000),
-       [this, flight] { execute(flight->call, flight->from, [](int, const std::string&) {}); });
+    schedule_event(now_ + 50 + random(15'000), [this, pending_call] {
+      execute(pending_call->call, pending_call->from, [](int, const std::string&) {});
+    });
 }
 
-bool SimulatedCluster::blocked(const CallInFlight& flight) {
-  const SimulatedController& node = *controllers_[flight.from];
-  if (link_cuts_.down(node.name, flight.far_end)) return true;
-  switch (flight.call.target) {
+bool SimulatedCluster::blocked(const PendingCall& pending_call) {
+  const SimulatedController& sender = *controllers_[pending_call.from];
+  if (link_cuts_.down(sender.name, pending_call.remote_end)) return true;
+  switch (pending_call.call.target) {
     case Target::state:
-      return node.cut_from_state || partitioned(node.zone, "");
+      return sender.cut_from_state || partitioned(sender.zone, "");
     case Target::cloud:
-      return partitioned(node.zone, "");
+      return partitioned(sender.zone, "");
     case Target::worker:
       break;
   }
-  const SimulatedWorker* w = worker_at(flight.call.address);
-  return w &&
-         (node.cut_from_workers || w->unreachable_since != 0 || partitioned(node.zone, w->zone));
+  const SimulatedWorker* w = worker_at(pending_call.call.address);
+  return w && (sender.cut_from_workers || w->unreachable_since != 0 ||
+               partitioned(sender.zone, w->zone));
 }
 
-// A cut of the way there alone doesn't delay the reply.
-bool SimulatedCluster::reply_blocked(const CallInFlight& flight) {
-  const SimulatedController& node = *controllers_[flight.from];
-  if (link_cuts_.down(flight.far_end, node.name)) return true;
-  return !link_cuts_.down(node.name, flight.far_end) && blocked(flight);
+// A link cut of the request's direction alone doesn't block the reply.
+bool SimulatedCluster::reply_blocked(const PendingCall& pending_call) {
+  const SimulatedController& sender = *controllers_[pending_call.from];
+  if (link_cuts_.down(pending_call.remote_end, sender.name)) return true;
+  return !link_cuts_.down(sender.name, pending_call.remote_end) && blocked(pending_call);
 }
 
 Ms SimulatedCluster::state_reply_delay(const Call& call) {
@@ -119,60 +125,66 @@
   return delays && chance(0.3) ? 50 + random(450) : 0;
 }
 
-void SimulatedCluster::send_reply(const std::shared_ptr<CallInFlight>& flight, int status,
+void SimulatedCluster::send_reply(const std::shared_ptr<PendingCall>& pending_call, int status,
                                   const std::string& body) {
-  if (reply_blocked(*flight) || chance(0.003)) return;  // lost
-  const Call& call = flight->call;
+  if (reply_blocked(*pending_call) || chance(0.003)) return;  // lost
+  const Call& call = pending_call->call;
   if (call.path == "/multi" && now_ < answers_lost_until_ && chance(0.05)) return;
   Ms delay = 0;
   if (call.target == Target::worker) {
     delay = worker_network_delay();
   } else {
-    delay = network_delay() * flight->slower;
+    delay = network_delay() * pending_call->delay_factor;
     delay += state_reply_delay(call);
   }
-  at(now_ + delay, [this, flight, status, body] { deliver_reply(flight, status, body); });
+  schedule_event(now_ + delay,
+                 [this, pending_call, status, body] { deliver_reply(pending_call, status, body); });
 }
 
-// Status 0: the call has timed out. Only the first of all replies counts, and none after the
-// sender's process has ended.
-void SimulatedCluster::deliver_reply(const std::shared_ptr<CallInFlight>& flight, int status,
+// Status 0: the call has timed out. Only the first reply or timeout is delivered, and none once the
+// calling controller's process has ended.
+void SimulatedCluster::deliver_reply(const std::shared_ptr<PendingCall>& pending_call, int status,
                                      std::string body) {
-  if (flight->finished || controllers_[flight->from]->generation != flight->generation) return;
+  if (pending_call->finished ||
+      controllers_[pending_call->from]->generation != pending_call->generation)
+    return;
   if (body.size() > capacity_.response_bytes) {
     ++result_.oversized_replies;
     status = kReplyTooLarge;
     body.clear();
   }
-  input(flight->from, [this, flight, status, body = std::move(body)](Controller& c) {
-    if (flight->finished) return;
-    flight->finished = true;
-    c.on_result(now_, flight->call.id, {status, body});
-  });
+  deliver_input(pending_call->from,
+                [this, pending_call, status, body = std::move(body)](Controller& c) {
+                  if (pending_call->finished) return;
+                  pending_call->finished = true;
+                  c.on_result(now_, pending_call->call.id, {status, body});
+                });
 }
 
-void SimulatedCluster::execute_once_unblocked(const std::shared_ptr<CallInFlight>& flight) {
-  if (blocked(*flight) && !recovering_) {
-    at(now_ + 1000, [this, flight] { execute_once_unblocked(flight); });
+void SimulatedCluster::execute_once_unblocked(const std::shared_ptr<PendingCall>& pending_call) {
+  if (blocked(*pending_call) && !recovering_) {
+    schedule_event(now_ + 1000, [this, pending_call] { execute_once_unblocked(pending_call); });
     return;
   }
-  execute(flight->call, flight->from, [](int, const std::string&) {});
+  execute(pending_call->call, pending_call->from, [](int, const std::string&) {});
 }
 
-// The state service has received the transaction: neither a partition nor a crash of its sender
-// prevents its execution.
-void SimulatedCluster::execute_late(const std::shared_ptr<CallInFlight>& flight) {
+// The state service has already received the transaction, so neither a partition nor a crash of the
+// sender prevents its execution.
+void SimulatedCluster::execute_late(const std::shared_ptr<PendingCall>& pending_call) {
   if (state_->outage && !recovering_) {
-    at(now_ + 1000, [this, flight] { execute_late(flight); });
+    schedule_event(now_ + 1000, [this, pending_call] { execute_late(pending_call); });
     return;
   }
-  trace("late: " + controllers_[flight->from]->name + " " + flight->call.body);
-  state_->serve(now_, flight->call, flight->from, [this](int status, const std::string&) {
-    ++(status == 200 ? result_.late_txns_applied : result_.late_txns_failed);
-  });
+  trace("late execution: " + controllers_[pending_call->from]->name + " " +
+        pending_call->call.body);
+  state_->serve(now_, pending_call->call, pending_call->from,
+                [this](int status, const std::string&) {
+                  ++(status == 200 ? result_.late_txns_applied : result_.late_txns_failed);
+                });
 }
 
-// ---- execution at the far end ----
+// ---- execution of calls ----
 
 void SimulatedCluster::execute(const Call& call, std::size_t from, const Respond& respond) {
   trace("executed: " + controllers_[from]->name + " " + call.address + call.path + " " + call.body);
@@ -186,7 +198,7 @@
   }
 }
 
-// Watches wait for the end of an outage; all else is refused.
+// During an outage, the state service keeps watches open and refuses all other calls.
 void SimulatedCluster::execute_state_call(const Call& call, std::size_t from,
                                           const Respond& respond) {
   const bool refused = state_->outage || controllers_[from]->refused_by_state;
@@ -198,9 +210,9 @@
                                            const Respond& respond) {
   SimulatedWorker* w = worker_at(call.address);
   if (!w || !w->up || w->dead || w->unreachable_since) return;
-  if (w->hanging) {  // executed when it resumes
+  if (w->hanging) {  // retried until the machine resumes
     ++result_.late_commands;
-    at(now_ + 500, [this, call, from, respond] { execute(call, from, respond); });
+    schedule_event(now_ + 500, [this, call, from, respond] { execute(call, from, respond); });
     return;
   }
   expire_worker_lease(*w);
@@ -213,7 +225,7 @@
   if ((token < w->token && !options_.workers_ignore_tokens) || !same_incarnation)
     return respond(409, heartbeat_body(*w));
   w->token = std::max(w->token, token);
-  note_contact(*w);
+  record_contact(*w);
   execute_commands(*w, doc["orders"]);
   respond(200, heartbeat_body(*w));
 }
@@ -222,12 +234,12 @@
 
 void SimulatedCluster::send_to_controller(std::size_t i, const Request& request,
                                           const std::string& from_zone, Respond respond) {
-  SimulatedController& n = *controllers_[i];
+  SimulatedController& process = *controllers_[i];
   const bool worker = !from_zone.empty();
   if (worker) {
-    if (link_cuts_.down("workers/" + from_zone, n.name)) {
+    if (link_cuts_.down("workers/" + from_zone, process.name)) {
       respond = delayed_by_slow_links(std::move(respond));
-      at(now_ + kHeartbeatReplyMs, [respond] { respond(0, ""); });
+      schedule_event(now_ + kReplyTimeoutMs, [respond] { respond(0, ""); });
       return;
     }
     respond = reply_to_worker(i, from_zone, delayed_by_slow_links(std::move(respond)));
@@ -237,10 +249,12 @@
       respond(status, std::move(body));
     };
   }
-  if (!n.controller || (worker && n.cut_from_workers) || partitioned(from_zone, n.zone)) {
-    // A heartbeat may still arrive long after its sender has given it up.
-    if (worker && n.controller && chance(0.3))
-      at(now_ + 2000 + random(15'000), [this, i, request] { deliver_request(i, request); });
+  if (!process.controller || (worker && process.cut_from_workers) ||
+      partitioned(from_zone, process.zone)) {
+    // A heartbeat may still arrive long after its sender has given up waiting for the reply.
+    if (worker && process.controller && chance(0.3))
+      schedule_event(now_ + 2000 + random(15'000),
+                     [this, i, request] { deliver_request(i, request); });
     respond(0, "");
     return;
   }
@@ -248,41 +262,44 @@
 }
 
 void SimulatedCluster::deliver_request(std::size_t i, const Request& request) {
-  input(i, [this, request](Controller& c) { c.on_request(now_, next_request_++, request); });
+  deliver_input(i,
+                [this, request](Controller& c) { c.on_request(now_, next_request_++, request); });
 }
 
-// The reply or, after four seconds, none: whichever is first.
+// Passes on the controller's reply, or status 0 if there is none within four seconds.
 void SimulatedCluster::await_reply(std::size_t i, const Request& request, bool worker,
                                    Respond respond) {
-  SimulatedController& n = *controllers_[i];
+  SimulatedController& process = *controllers_[i];
   const std::uint64_t id = next_request_++;
   const bool controller_isolated =
-      !worker && n.isolated_since != 0 && request.path.starts_with("/v1/");
+      !worker && process.isolated_since != 0 && request.path.starts_with("/v1/");
   auto finish = [this, controller_isolated, once = std::make_shared<bool>(false),
                  respond = std::move(respond)](int status, std::string body) {
     if (std::exchange(*once, true)) return;
     if (controller_isolated && status != 0) ++result_.reads_at_isolated;
     respond(status, std::move(body));
   };
-  n.pending_requests[id] = finish;
-  trace(n.name + " <- " + request.path + " " + request.body);
-  at(now_ + kHeartbeatReplyMs, [finish] { finish(0, ""); });
-  input(i, [this, id, request](Controller& c) { c.on_request(now_, id, request); });
+  process.pending_requests[id] = finish;
+  trace(process.name + " <- " + request.path + " " + request.body);
+  schedule_event(now_ + kReplyTimeoutMs, [finish] { finish(0, ""); });
+  deliver_input(i, [this, id, request](Controller& c) { c.on_request(now_, id, request); });
 }
 
 Respond SimulatedCluster::delayed_by_slow_links(Respond respond) {
   if (!slow_links_) return respond;
   return [this, respond = std::move(respond)](int status, const std::string& body) {
-    at(now_ + worker_network_delay(), [respond, status, body] { respond(status, body); });
+    schedule_event(now_ + worker_network_delay(),
+                   [respond, status, body] { respond(status, body); });
   };
 }
 
-// A reply on a link that is down is lost: the worker gives up after four seconds.
+// Loses the reply if the link to the worker is down: the worker then times out four seconds after
+// sending the request.
 Respond SimulatedCluster::reply_to_worker(std::size_t i, const std::string& zone, Respond respond) {
-  return [this, i, zone, respond = std::move(respond), asked = now_](int status,
-                                                                     const std::string& body) {
+  return [this, i, zone, respond = std::move(respond), requested_at = now_](
+             int status, const std::string& body) {
     if (!link_cuts_.down(controllers_[i]->name, "workers/" + zone)) return respond(status, body);
-    at(asked + kHeartbeatReplyMs, [respond] { respond(0, ""); });
+    schedule_event(requested_at + kReplyTimeoutMs, [respond] { respond(0, ""); });
   };
 }
 
--- a/tests/sim/result.h
+++ b/tests/sim/result.h
@@ -1,4 +1,4 @@
-// What a simulated run found and measured.
+// The invariant violations and measurements of a simulated run.
 #pragma once
 
 #include <cstdint>
@@ -12,84 +12,94 @@
 namespace scheduler::sim {
 
 struct Result {
-  std::vector<std::string> violations;  // invariant violations: name, time, what happened; 20 most
-  std::vector<std::string> unfinished;  // accepted jobs that had not ended by the end of the run
-  std::uint64_t fingerprint = 0;        // of all outputs of controllers (sim/fingerprint.h)
+  std::vector<std::string> violations;  // the first 20 invariant violations: name, time and details
+  std::vector<std::string> unfinished;  // accepted jobs not reported as ended by the end of the run
+  std::uint64_t fingerprint = 0;        // hash of all outputs of controllers (sim/fingerprint.h)
 
   // ---- jobs ----
 
-  int accepted = 0, done = 0, cancelled = 0;  // as users were told
-  int starts = 0;                             // start commands that workers executed
+  int accepted = 0, done = 0, cancelled = 0;  // counted by replies to users
+  int starts = 0;                             // start commands that workers received
   int gangs_done = 0;
-  int spread_done = 0;           // jobs spread over zones that completed
-  bool large_gang_done = false;  // the one of Options::large_gang
+  int spread_done = 0;           // completed jobs whose tasks are spread over zones
+  bool large_gang_done = false;  // the gang of Options::large_gang completed
   int checkpointed_stops = 0;    // tasks stopped after a checkpoint
-  // Jobs old enough to have completed, and those that did: by "class NAME", "team NAME", and
-  // "largest NAME" for the largest tenth of each class; "services" counts those cancelled in time.
+  // Jobs submitted at least four minutes before the end of the run, and how many of them completed.
+  // Keys: "class NAME", "team NAME", and "largest NAME" for the largest tenth of each class.
+  // "services": all accepted services, and how many of them were confirmed as cancelled.
   std::map<std::string, std::pair<int, int>> served;
   int large_jobs = 0;                       // jobs in the largest tenth of their class
-  int large_jobs_late = 0;                  // of these, not started within four minutes
-  std::map<std::string, double> most_used;  // peak of the CPUs in use, by team
-  // Confirmed cancellations: when first requested, and when confirmed to the user.
+  int large_jobs_late = 0;                  // large jobs that did not start within four minutes
+  std::map<std::string, double> most_used;  // peak of the CPUs in use by team
+  // Confirmed cancellations: time of the first request, and time of the confirmation to the user.
   std::vector<std::pair<Ms, Ms>> cancellations;
 
   // ---- services ----
 
-  int services = 0;          // accepted
-  int replicas_ended = 0;    // exits of replicas by themselves
+  int services = 0;          // accepted services
+  int replicas_ended = 0;    // replicas that exited without a stop command
   int replica_restarts = 0;  // starts of replicas that had run before
-  // Seconds of replicas in the second phase: that had capacity, and that ran.
+  // Seconds in the second phase, summed over replicas: while the replica ran or there was capacity
+  // for it, and while it ran.
   int replica_s_due = 0, replica_s_served = 0;
-  int replicas_recovered = 0;  // replicas running again after their machine had died
-  Ms replica_downtime_ms = 0;  // of these, in all
+  int replicas_recovered = 0;  // replicas that run again after the failure of their machine
+  Ms replica_downtime_ms = 0;  // total downtime of the recovered replicas
 
   // ---- the state service ----
 
-  std::uint64_t writes = 0;
+  std::uint64_t writes = 0;                // writes in executed transactions
   int views = 0;                           // versions of the cluster view
-  int oversized_txns = 0;                  // transactions refused for their size
-  int throttled_txns = 0;                  // transactions refused for their rate
-  int peak_requests = 0, peak_writes = 0;  // most in one second
-  int compacted_watches = 0;               // watches answered 410: the controller reloads
-  int late_txns_applied = 0;               // delayed transactions that succeeded
-  int late_txns_failed = 0;                // delayed transactions that failed their conditions
-  int oversized_replies = 0;               // replies larger than a controller takes in
-  int oversized_at_upgrade = 0;            // values over Options::limits_after, when all
-                                           // controllers had been upgraded
-  int oversized_at_drop = 0;               // the same, when the limits dropped
+  int oversized_txns = 0;                  // transactions refused because of their size
+  int throttled_txns = 0;                  // transactions refused because of the write rate limit
+  int peak_requests = 0, peak_writes = 0;  // most requests and writes in one second
+  int compacted_watches = 0;  // watches that got the reply 410, so that the controller reloads
+  int late_txns_applied = 0;  // delayed transactions that succeeded
+  int late_txns_failed = 0;   // delayed transactions that were refused
+  int oversized_replies = 0;  // replies larger than the limit of a controller
+  // Values larger than Options::limits_after allows, once all controllers are upgraded.
+  int oversized_at_upgrade = 0;
+  // Values larger than Options::limits_after allows, when the limits are reduced.
+  int oversized_at_drop = 0;
 
   // ---- fleet ----
 
-  int machines = 0, most_machines = 0;  // provided by the cloud at the end, and at most
-  int machines_known = 0;               // running ones whose incarnation a controller knows
-  int list_pages = 0;                   // pages of the cloud's list that were read
-  int cloud_throttled = 0;              // requests to the cloud refused for their rate
-  int healthy_scale_ins = 0;            // healthy machines that were returned in the first phase
-  int running_tasks_returned = 0;       // tasks that ran on machines as these were returned
-
-  // ---- how often planned faults brought about what they are for ----
-
-  int lease_expiries = 0;                // tasks that ended because their lease expired
-  int restarts_during_zone_cut = 0;      // of these, started elsewhere before the partition ended
-  int zone_bound_tasks_lost = 0;         // tasks of zone-bound jobs whose machine died
-  int delayed_heartbeats_arrived = 0;    // after another controller had acted
-  int duplicate_heartbeats_arrived = 0;  // copies of old heartbeats
-  int requests_at_end = 0;               // jobs cancelled or read as their last task ended
+  // Machines of the cloud at the end of the run, and their peak number.
+  int machines = 0, most_machines = 0;
+  // Running machines whose current incarnation is in some controller's replica.
+  int machines_known = 0;
+  int list_pages = 0;              // pages read of the cloud's machine list
+  int cloud_throttled = 0;         // requests to the cloud refused because of the rate limit
+  int healthy_scale_ins = 0;       // healthy machines returned to the cloud in the first phase
+  int running_tasks_returned = 0;  // tasks on machines when these were returned in the first phase
+
+  // ---- how often the situations occurred that planned faults are meant to cause ----
+
+  int lease_expiries = 0;              // tasks that ended because their worker's lease expired
+  int restarts_during_zone_cut = 0;    // of these tasks, restarted while a zone was cut off
+  int zone_bound_tasks_lost = 0;       // tasks of zone-bound jobs whose machine failed
+  int delayed_heartbeats_arrived = 0;  // heartbeats that arrived after another controller had acted
+  int duplicate_heartbeats_arrived = 0;  // copies of earlier heartbeats that arrived
+  int requests_at_end = 0;  // jobs that users cancelled, read or resubmitted as the last task ended
   int invalid_requests_answered = 0;
-  int starts_without_heartbeats = 0;  // on machines whose heartbeats reach no controller
-  int starts_on_unreachable = 0;      // on machines that were unreachable for longer than a lease
-  int late_commands = 0;              // delivered to a machine that hung, executed afterwards
-  int hangs_during_cancellation = 0;  // machines that hung while their jobs were cancelled
-  int concurrent_reads = 0;           // replies after which users read at all controllers at once
-  int reads_at_isolated = 0;          // users' requests that an isolated controller answered
-  // Replies to /healthz: of controllers isolated for over 10 s, and in an outage that all share.
+  // Start commands on machines whose heartbeats reach no controller.
+  int starts_without_heartbeats = 0;
+  int starts_on_unreachable = 0;  // start commands on machines unreachable for more than 8 s
+  // Attempts to deliver a command to a hanging machine; each is retried 500 ms later.
+  int late_commands = 0;
+  int hangs_during_cancellation = 0;  // machines that hang while their jobs are cancelled
+  int concurrent_reads = 0;   // replies after which users read the job at all controllers at once
+  int reads_at_isolated = 0;  // users' requests to which an isolated controller replied
+  // Replies to /healthz: of controllers isolated for more than 10 s, and of other controllers
+  // during an outage of the state service.
   int isolated_healthy = 0, isolated_unhealthy = 0, outage_healthy = 0, outage_unhealthy = 0;
-  // Of runs with link cuts: for each worker that was up as a cut began, the time until the next
-  // contact with a controller, or until the cut's end.
+  // In runs with link cuts: for each worker that was up at the start of a cut, the time until its
+  // next contact with a controller or until the end of the cut.
   std::vector<Ms> without_contact_ms;
-  std::map<std::string, int> unhealthy;  // health checks that were not answered 200, by controller
+  // Health checks without a reply of status 200, by controller.
+  std::map<std::string, int> unhealthy;
 
-  // Longest time for one input of a controller, in real time: differs from run to run.
+  // Longest time that a controller took to handle one input. This is real time, so it differs
+  // between runs with the same seed.
   double longest_input_ms = 0;
 };
 
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -1,4 +1,4 @@
-// Services: what users submit, how replicas exit by themselves, and the invariant that they run.
+// Services: submission, exits of replicas, and the check that replicas run.
 #include <algorithm>
 #include <cmath>
 
@@ -9,20 +9,21 @@
 namespace scheduler::sim {
 
 namespace {
-constexpr double kNeverDoneMs = 1e12;         // of work that a replica has
-constexpr Ms kReplicaMayBeDownMs = 20'000;    // in the second phase, beside capacity for it
-constexpr double kShareOverQuota = 0.04;      // of services: over their quota
-constexpr double kShareCancelledEarly = 0.5;  // of services; the others run into the second phase
+constexpr double kEndlessWorkMs = 1e12;   // work of a replica, which never completes
+constexpr Ms kMaxReplicaDownMs = 20'000;  // limit in the second phase, despite capacity
+constexpr double kOverQuotaShare = 0.04;  // share of services that exceed their team's quota
+// Share of services; the others run into the second phase.
+constexpr double kCancelledEarlyShare = 0.5;
 }  // namespace
 
-bool SimulatedCluster::service_is_next() {
+bool SimulatedCluster::next_job_is_service() {
   return options_.services > 0 && now_ > services_from_ && chance(options_.services);
 }
 
-void SimulatedCluster::new_service() {
+void SimulatedCluster::submit_random_service() {
   SubmittedJob job;
   auto& s = job.spec;
-  s.id = "req-" + pad(next_job_++);
+  s.id = "req-" + six_digits(next_job_++);
   s.job_class = "standing";
   s.team = chance(0.4) ? "tight" : "free";
   s.shape = wire::JobShape::service;
@@ -50,14 +51,14 @@
     s.checkpoint_interval_s = 2;
     s.checkpoint_write_s = 1;
   }
-  if (chance(kShareOverQuota)) {
+  if (chance(kOverQuotaShare)) {
     s.team = "tight";
     s.tasks = static_cast<std::uint32_t>(options_.limit_cpus / s.cpus) + 1;
   }
-  job.work_ms = kNeverDoneMs;
+  job.work_ms = kEndlessWorkMs;
   job.fails_everywhere = chance(options_.failing_jobs);
   job.submitted_at = now_;
-  const bool early = chance(kShareCancelledEarly);
+  const bool early = chance(kCancelledEarlyShare);
   job.cancel_planned_at =
       early ? now_ + 20'000 + random(40'000) : options_.fault_ms + options_.services_calm_ms;
   const std::string id = s.id;
@@ -65,16 +66,16 @@
   submit(id, 0);
 }
 
-// Whether a service may be refused. A controller of the production version would answer 400,
-// but services are submitted after the upgrade alone.
+// Checks that a service is refused only if it can never run, and with 422. A controller of the
+// production version would reply 400, but users submit services only after the upgrade.
 void SimulatedCluster::check_refused(const SubmittedJob& job, int status) {
   if (!job.spec.is_service()) return;
   if (status != 422 || reason_never_to_run(job.spec).empty())
     report_violation("refused_wrong", job.spec.id + " got " + std::to_string(status));
 }
 
-void SimulatedCluster::replica_begins(SimulatedWorker& w, const wire::TaskId& task) {
-  const bool first = replicas_begun_.insert(task).second;
+void SimulatedCluster::on_replica_start(SimulatedWorker& w, const wire::TaskId& task) {
+  const bool first = replicas_started_.insert(task).second;
   if (!first) ++result_.replica_restarts;
   if (const auto lost = replica_lost_at_.find(task); lost != replica_lost_at_.end()) {
     ++result_.replicas_recovered;
@@ -83,15 +84,15 @@
   }
   if (options_.replicas_ending <= 0 || !chance(options_.replicas_ending)) return;
   SimulatedWorker::Task& t = w.tasks.at(task);
-  t.ends_at = now_ + 1000 + random(30'000);
-  t.ends_with = chance(0.5) ? ExitCause::done : ExitCause::error;
+  t.exits_at = now_ + 1000 + random(30'000);
+  t.exits_with = chance(0.5) ? ExitCause::done : ExitCause::error;
 }
 
-void SimulatedCluster::replica_ends(SimulatedWorker& w, const wire::TaskId& task) {
+void SimulatedCluster::exit_replica(SimulatedWorker& w, const wire::TaskId& task) {
   const SimulatedWorker::Task t = w.tasks.at(task);
-  if (t.ends_with == ExitCause::done) w.results_kept.insert(task);
+  if (t.exits_with == ExitCause::done) w.completed_replicas.insert(task);
   ++result_.replicas_ended;
-  end_task(w, task, t.attempt, t.ends_with, false);
+  end_task(w, task, t.attempt, t.exits_with, false);
 }
 
 double SimulatedCluster::used_by(const std::string& team,
@@ -100,7 +101,7 @@
   return of_team == used.end() ? 0 : of_team->second;
 }
 
-// Tasks of the job on machines, by zone.
+// Number of the job's tasks that are placed on machines, by zone.
 std::map<std::string, std::uint32_t> SimulatedCluster::tasks_by_zone(const std::string& job) const {
   std::map<std::string, std::uint32_t> count;
   for (const auto& [id, w] : workers_) {
@@ -111,7 +112,7 @@
   return count;
 }
 
-// A machine on which the replica, which is on none, could be started now, or "".
+// A machine on which the replica, which is on no machine, could start now; "": there is none.
 std::string SimulatedCluster::machine_for_replica(const SubmittedJob& job,
                                                   const wire::TaskId& replica,
                                                   const std::map<std::string, double>& used) const {
@@ -127,29 +128,29 @@
     if (!s.zone.empty() && w.zone != s.zone) return false;
     if (s.one_zone && !others.empty() && here == 0) return false;
     if (s.spread && here + 1 > (s.tasks + 1) / 2) return false;
-    return free_cpus(w) >= s.cpus && !w.results_kept.contains(replica);
+    return free_cpus(w) >= s.cpus && !w.completed_replicas.contains(replica);
   });
   return fitting == workers_.end() ? "" : fitting->first;
 }
 
-// In the second phase: which replicas are down although there is capacity.
+// In the second phase, reports replicas that are down for too long although there is capacity.
 void SimulatedCluster::check_services() {
   const std::map<std::string, double> used = used_cpus();
   std::set<wire::TaskId> placed;
-  std::set<wire::TaskId> present;
+  std::set<wire::TaskId> active;
   for (const auto& [id, w] : workers_) {
     if (w->dead || !w->up) continue;
     for (const auto& [task, t] : w->tasks) {
       if (t.state != TaskState::exited) placed.insert(task);
-      if (t.present) present.insert(task);
+      if (t.active) active.insert(task);
     }
   }
   for (const auto& [id, job] : jobs_) {
-    if (!job.spec.is_service() || !job.accepted || job.asked_cancel || job.fails_everywhere)
+    if (!job.spec.is_service() || !job.accepted || job.cancel_requested || job.fails_everywhere)
       continue;
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
       const wire::TaskId replica{id, i};
-      check_replica(job, replica, present.contains(replica), placed.contains(replica), used);
+      check_replica(job, replica, active.contains(replica), placed.contains(replica), used);
     }
   }
 }
@@ -166,11 +167,11 @@
     return;
   }
   Ms& since = replica_down_since_.emplace(replica, now_).first->second;
-  if (now_ - since <= kReplicaMayBeDownMs) return;
-  report_violation("service_down", wire::task_name(replica.job, replica.index) +
-                                       ": on no machine since " + std::to_string(since) +
-                                       ", room on " + machine + ", team " + job.spec.team +
-                                       " uses " + std::to_string(used_by(job.spec.team, used)));
+  if (now_ - since <= kMaxReplicaDownMs) return;
+  report_violation("service_down", wire::task_name(replica.job, replica.index) + ": down since " +
+                                       std::to_string(since) + ", capacity on " + machine +
+                                       ", team " + job.spec.team + " uses " +
+                                       std::to_string(used_by(job.spec.team, used)));
   since = now_;
 }
 
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-// The run itself: its members, phases and results.
+// The simulated run: setup, phases and results.
 #include "sim/simulated_cluster.h"
 
 #include <algorithm>
@@ -24,10 +24,10 @@
   create_controllers();
   for (int i = 0; i < options_.machines; ++i)
     add_machine(kZones[i % 3], options_.spot_every > 0 && i % options_.spot_every == 0, 1, "");
-  at(1, [this] { step(); });
+  schedule_event(1, [this] { step(); });
 }
 
-// All controllers have these; name, zone and peers are of each.
+// The settings common to all controllers; settings_of() adds name, zone and peers.
 Settings SimulatedCluster::cluster_settings(const Options& options) {
   const StateLimits limits;
   Settings s;
@@ -49,7 +49,8 @@
   s.value_kb = static_cast<double>(limits.value_bytes) / 1024.0;
   s.txn_ops = static_cast<int>(options.txn_ops);
   s.current_value_kb = s.value_kb;
-  if (options.limits_drop_at) {  // announced from the start, without the time
+  if (options.limits_drop_at) {  // the settings announce the new limits from the start, but not the
+                                 // time of the change
     const StateLimits& next = options.limits_after;
     s.state_write_rps = std::min(options.state_writes_per_s, next.writes_per_s);
     s.value_kb = static_cast<double>(next.value_bytes) / 1024.0;
@@ -65,7 +66,7 @@
 void SimulatedCluster::configure_state_service() {
   state_->ignore_conditions = options_.state_ignores_conditions;
   state_->on_change = [this](const std::string& key, const std::optional<std::string>& value) {
-    note_result(key, value);
+    record_final_state(key, value);
   };
   state_->changes_kept = options_.changes_kept;
   state_->limits.txn_ops = options_.txn_ops;
@@ -75,29 +76,30 @@
 void SimulatedCluster::create_controllers() {
   const char* zones[] = {"a", "b", "a", "b", "a"};
   for (int i = 0; i < options_.controllers; ++i) {
-    auto n = std::make_unique<SimulatedController>();
-    n->name = "puffin-" + std::to_string(i);
-    n->zone = zones[i % 5];
-    n->upgraded = options_.upgrade_from == 0;
-    controllers_.push_back(std::move(n));
+    auto process = std::make_unique<SimulatedController>();
+    process->name = "puffin-" + std::to_string(i);
+    process->zone = zones[i % 5];
+    process->upgraded = options_.upgrade_from == 0;
+    controllers_.push_back(std::move(process));
   }
   for (std::size_t i = 0; i < controllers_.size(); ++i) start_controller(i);
 }
 
-// What happens at every interval of the run.
+// Runs every Options::check_every_ms.
 void SimulatedCluster::step() {
   check_all();
   step_gangs();
   state_->expire_session_leases(now_);
-  state_->serve_watchers(now_, [this](std::size_t n) {
-    return !controllers_[n]->refused_by_state && !controllers_[n]->cut_from_state &&
-           !partitioned(controllers_[n]->zone, "");
+  state_->serve_watchers(now_, [this](std::size_t controller_index) {
+    return !controllers_[controller_index]->refused_by_state &&
+           !controllers_[controller_index]->cut_from_state &&
+           !partitioned(controllers_[controller_index]->zone, "");
   });
-  at(now_ + options_.check_every_ms, [this] { step(); });
+  schedule_event(now_ + options_.check_every_ms, [this] { step(); });
 }
 
-void SimulatedCluster::at(Ms time, std::function<void()> action) {
-  events_.push({std::max(time, now_), order_++, std::move(action)});
+void SimulatedCluster::schedule_event(Ms time, std::function<void()> action) {
+  events_.push({std::max(time, now_), next_event_number_++, std::move(action)});
 }
 
 void SimulatedCluster::report_violation(const std::string& rule, const std::string& what) {
@@ -118,14 +120,14 @@
   if (options_.upgrade_from) plan_upgrade();
   plan_submissions();
   for (const auto& p : options_.planned_faults)
-    at(p.at, [this, p] { inject_fault(p.kind, p.node, p.lasts); });
+    schedule_event(p.at, [this, p] { inject_fault(p.kind, p.controller_index, p.lasts); });
   for (const auto& cut : options_.link_cuts) plan_link_cut(cut);
   plan_checks(end);
   plan_cancellations();
   if (options_.faults)
     for (Ms t = 6000; t < options_.fault_ms; t += 2500 + random(5000))
-      at(t, [this] { inject_fault(); });
-  at(options_.fault_ms, [this] { begin_recovery(); });
+      schedule_event(t, [this] { inject_fault(); });
+  schedule_event(options_.fault_ms, [this] { begin_recovery(); });
   while (!events_.empty() && events_.top().time <= end &&
          (finished_since_ == 0 || now_ - finished_since_ < 40'000)) {
     auto e = events_.top();
@@ -144,13 +146,13 @@
     std::swap(order[k - 1], order[static_cast<std::size_t>(random(static_cast<int>(k)))]);
   services_from_ = options_.upgrade_from;
   for (const std::size_t i : order) {
-    at(services_from_, [this, i] {
+    schedule_event(services_from_, [this, i] {
       controllers_[i]->upgraded = true;
-      crash_controller(i);  // one that is down restarts upgraded
+      crash_controller(i);  // a controller that is already down restarts with the new version
     });
     if (i != order.back()) services_from_ += options_.upgrade_every;
   }
-  at(services_from_, [this] { result_.oversized_at_upgrade = oversized_values(); });
+  schedule_event(services_from_, [this] { result_.oversized_at_upgrade = oversized_values(); });
 }
 
 int SimulatedCluster::oversized_values() const {
@@ -163,35 +165,38 @@
 void SimulatedCluster::plan_submissions() {
   const Ms until = options_.jobs_until_ms > 0 ? options_.jobs_until_ms : options_.fault_ms;
   for (Ms t = 500; t < until; t += options_.job_every_ms / 2 + random(options_.job_every_ms))
-    at(t, [this] { new_job(); });
+    schedule_event(t, [this] { submit_random_job(); });
 }
 
 void SimulatedCluster::plan_checks(Ms end) {
-  for (Ms t = 1000; t < end; t += 1000) at(t, [this] { probe_health(); });
-  for (Ms t = options_.fault_ms + 1000; t < end; t += 1000) at(t, [this] { check_waiting(); });
+  for (Ms t = 1000; t < end; t += 1000) schedule_event(t, [this] { probe_health(); });
+  for (Ms t = options_.fault_ms + 1000; t < end; t += 1000)
+    schedule_event(t, [this] { check_waiting(); });
   if (options_.limits_drop_at)
-    at(options_.limits_drop_at, [this] {
+    schedule_event(options_.limits_drop_at, [this] {
       state_->set_limits(now_, options_.limits_after);
       result_.oversized_at_drop = oversized_values();
     });
   if (options_.services > 0)
-    for (Ms t = options_.fault_ms + 1000; t < end; t += 1000) at(t, [this] { check_services(); });
+    for (Ms t = options_.fault_ms + 1000; t < end; t += 1000)
+      schedule_event(t, [this] { check_services(); });
 }
 
 void SimulatedCluster::plan_cancellations() {
   if (options_.cancel_all_at)
-    at(options_.cancel_all_at, [this] {
+    schedule_event(options_.cancel_all_at, [this] {
       for (auto& [id, j] : jobs_)
         if (j.accepted) cancel(id, 0);
     });
   for (const auto& cancellation : options_.cancels)
-    at(cancellation.first, [this, share = cancellation.second] {
+    schedule_event(cancellation.first, [this, share = cancellation.second] {
       for (auto& [id, j] : jobs_)
-        if (j.accepted && !j.told_done && !j.asked_cancel && chance(share)) cancel(id, 0);
+        if (j.accepted && !j.reported_done && !j.cancel_requested && chance(share)) cancel(id, 0);
     });
 }
 
-// All faults end, and all jobs must. Those that fail everywhere are cancelled.
+// All faults end. All jobs must end by the end of the run, so users cancel the jobs that fail on
+// every machine.
 void SimulatedCluster::begin_recovery() {
   recovering_ = true;
   end_network_faults();
@@ -202,7 +207,7 @@
     w->hanging = w->fails_tasks = false;
     w->unreachable_since = w->heartbeats_lost_since = 0;
   }
-  for (auto& [id, j] : jobs_) j.answered_at = now_;
+  for (auto& [id, j] : jobs_) j.last_reply_at = now_;
   for (auto& [id, j] : jobs_)
     if (j.fails_everywhere) cancel(id, 0);
 }
@@ -213,15 +218,16 @@
   zones_partitioned_ = peers_refuse_ = false;
   cut_zone_.clear();
   link_cuts_.clear();
-  state_slower_ = 1;
+  state_delay_factor_ = 1;
 }
 
 void SimulatedCluster::end_controller_faults() {
   for (std::size_t i = 0; i < controllers_.size(); ++i) resume_controller(i);
   state_->outage = state_->leases_suspended = cloud_->outage = false;
-  for (auto& n : controllers_) {
-    n->refused_by_state = n->cut_from_state = n->cut_from_workers = n->cut_from_peers = false;
-    n->isolated_since = 0;
+  for (auto& process : controllers_) {
+    process->refused_by_state = process->cut_from_state = process->cut_from_workers =
+        process->cut_from_peers = false;
+    process->isolated_since = 0;
   }
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
     if (std::exchange(controllers_[i]->down_until, 0) > now_ && !controllers_[i]->controller)
@@ -243,8 +249,8 @@
   result_.peak_writes = state_->peak_writes;
   result_.machines = static_cast<int>(cloud_->machines.size());
   result_.machines_known = machines_known();
-  for (const auto& n : controllers_)
-    if (n->controller) trace(n->name + ": " + n->controller->status_line(now_));
+  for (const auto& process : controllers_)
+    if (process->controller) trace(process->name + ": " + process->controller->status_line(now_));
   for (const auto& [id, j] : jobs_)
     if (j.accepted) count_accepted(j);
   report_history();
@@ -252,14 +258,14 @@
 
 void SimulatedCluster::count_accepted(const SubmittedJob& j) {
   ++result_.accepted;
-  if (j.told_done) ++result_.done;
-  if (j.told_cancelled) ++result_.cancelled;
+  if (j.reported_done) ++result_.done;
+  if (j.reported_cancelled) ++result_.cancelled;
   if (j.spec.is_service()) ++result_.services;
-  if (j.told_done && j.spec.is_gang()) ++result_.gangs_done;
-  if (j.told_done && j.spec.spread) ++result_.spread_done;
-  if (j.told_done && options_.large_gang && j.spec.tasks == options_.large_gang)
+  if (j.reported_done && j.spec.is_gang()) ++result_.gangs_done;
+  if (j.reported_done && j.spec.spread) ++result_.spread_done;
+  if (j.reported_done && options_.large_gang && j.spec.tasks == options_.large_gang)
     result_.large_gang_done = true;
-  if (!j.told_done && !j.told_cancelled) result_.unfinished.push_back(j.spec.id);
+  if (!j.reported_done && !j.reported_cancelled) result_.unfinished.push_back(j.spec.id);
 }
 
 int SimulatedCluster::machines_known() const {
@@ -268,8 +274,9 @@
     if (!w->up || w->dead) continue;
     const bool known = std::any_of(
         controllers_.begin(), controllers_.end(),
-        [id = id, incarnation = w->incarnation](const auto& n) {
-          const auto* record = n->controller ? n->controller->replica().machine(id) : nullptr;
+        [id = id, incarnation = w->incarnation](const auto& process) {
+          const auto* record =
+              process->controller ? process->controller->replica().machine(id) : nullptr;
           return record && record->incarnation == incarnation;
         });
     count += known ? 1 : 0;
--- a/tests/sim/simulated_cluster.h
+++ b/tests/sim/simulated_cluster.h
@@ -1,6 +1,7 @@
-// A simulated cluster of several controllers: fakes of the state service, the cloud, workers and
+// A simulated cluster: several controllers, fakes of the state service, the cloud, workers and
 // users, a network that delays, loses, reorders and duplicates messages, and an invariant checker
-// that checks PROTOCOL's rules at every step. Everything follows from one seed.
+// that checks the rules of PROTOCOL at every step. A run is determined by its options, which
+// include the seed.
 #pragma once
 
 #include <cstdint>
@@ -36,8 +37,8 @@
   struct SimulatedCloud;
   struct SimulatedWorker;
   struct SubmittedJob;
-  struct CallInFlight;
-  // A heartbeat on its way.
+  struct PendingCall;
+  // A heartbeat that awaits its reply.
   struct Heartbeat {
     std::string worker;
     std::uint64_t number = 0;
@@ -63,63 +64,66 @@
   void collect_results();
   void count_accepted(const SubmittedJob& job);
   [[nodiscard]] int machines_known() const;
-  // Values in the state service over Options::limits_after.
+  // Number of values in the state service that are larger than Options::limits_after allows.
   [[nodiscard]] int oversized_values() const;
-  void at(Ms time, std::function<void()> action);
+  void schedule_event(Ms time, std::function<void()> action);
   int random(int below) { return static_cast<int>(random_(static_cast<std::uint32_t>(below))); }
   bool chance(double p) { return random(1'000'000) < p * 1'000'000; }
   void trace(const std::string& text) const;
 
   // ---- controllers (controllers.cpp) ----
 
-  [[nodiscard]] Settings settings_of(const SimulatedController& node) const;
-  std::size_t any_controller_index() {
+  [[nodiscard]] Settings settings_of(const SimulatedController& process) const;
+  std::size_t random_controller_index() {
     return static_cast<std::size_t>(random(static_cast<int>(controllers_.size())));
   }
   void start_controller(std::size_t i);
-  // `controller_down`: until it is restarted; 0: a random time.
+  // `controller_down`: time until the controller is restarted; 0: a random time.
   void crash_controller(std::size_t i, Ms controller_down = 0);
   void keep_down(std::size_t i, Ms lasts);
   void resume_controller(std::size_t i);
   void tick_controller(std::size_t i, std::uint64_t generation);
   void tick_once(std::size_t i);
-  // Delivers an input to a controller: at once, or when it is no longer paused.
-  void input(std::size_t i, std::function<void(Controller&)> deliver);
-  // Keeps the longest time that a controller took for one input.
-  void timed(const std::function<void()>& handle);
-  // Sends all outputs of a controller.
-  void drain(std::size_t i);
+  // Delivers an input to a controller: immediately or, if the controller is paused, when it
+  // resumes.
+  void deliver_input(std::size_t i, std::function<void(Controller&)> handle_input);
+  // Updates the longest time that a controller took to handle one input.
+  void measure_input(const std::function<void()>& handle_input);
+  // Sends all pending outputs of a controller.
+  void send_outputs(std::size_t i);
   void send_to_peer(const SimulatedController& from, std::size_t to, const std::string& bytes);
 
   // ---- the network (network.cpp) ----
 
   Ms network_delay() { return chance(0.01) ? 200 + random(300) : 1 + random(8); }
   Ms worker_network_delay() { return slow_links_ ? 200 + random(1300) : network_delay(); }
-  // Whether two zones can't reach each other; "" is that of the regional services and users.
+  // Whether a partition separates two zones; "" stands for the regional services and the users.
   [[nodiscard]] bool partitioned(const std::string& a, const std::string& b) const;
   void plan_link_cut(const LinkCut& cut);
-  // The link goes down, and up again, for as long as it is to flap.
+  // Takes the link down and up again, repeatedly until the given time.
   void flap(const LinkCut& cut, Ms until);
-  // The worker has its lease renewed, or has executed commands.
-  void note_contact(SimulatedWorker& w);
+  // Records that a controller renewed the worker's lease or sent commands, or that the cut ended.
+  void record_contact(SimulatedWorker& w);
   SimulatedWorker* worker_at(const std::string& address);
-  std::string far_end_of(const Call& call);
+  std::string remote_end_of(const Call& call);
   void send(std::size_t i, const Call& call);
-  bool blocked(const CallInFlight& flight);
-  bool reply_blocked(const CallInFlight& flight);
-  // How much longer than usual a reply of the state service takes.
+  bool blocked(const PendingCall& pending_call);
+  bool reply_blocked(const PendingCall& pending_call);
+  // Additional delay of a reply of the state service.
   Ms state_reply_delay(const Call& call);
-  void send_reply(const std::shared_ptr<CallInFlight>& flight, int status, const std::string& body);
-  void deliver_reply(const std::shared_ptr<CallInFlight>& flight, int status, std::string body);
-  void execute_once_unblocked(const std::shared_ptr<CallInFlight>& flight);
-  void execute_late(const std::shared_ptr<CallInFlight>& flight);
+  void send_reply(const std::shared_ptr<PendingCall>& pending_call, int status,
+                  const std::string& body);
+  void deliver_reply(const std::shared_ptr<PendingCall>& pending_call, int status,
+                     std::string body);
+  void execute_once_unblocked(const std::shared_ptr<PendingCall>& pending_call);
+  void execute_late(const std::shared_ptr<PendingCall>& pending_call);
   void execute(const Call& call, std::size_t from, const Respond& respond);
   void execute_state_call(const Call& call, std::size_t from, const Respond& respond);
   void execute_worker_call(const Call& call, std::size_t from, const Respond& respond);
-  // `from_zone`: of a worker; "" of a user.
+  // `from_zone`: zone of the sending worker; "": a user sends the request.
   void send_to_controller(std::size_t i, const Request& request, const std::string& from_zone,
                           Respond respond);
-  // Of a request to which nobody waits for a reply.
+  // Delivers a request without waiting for the reply.
   void deliver_request(std::size_t i, const Request& request);
   void await_reply(std::size_t i, const Request& request, bool worker, Respond respond);
   Respond delayed_by_slow_links(Respond respond);
@@ -136,9 +140,9 @@
   // ---- machines (machines.cpp) ----
 
   void add_machine(const std::string& zone, bool spot, Ms up_at, const std::string& scale_out_name);
-  void tick_worker(const std::string& id, std::uint64_t life);
+  void tick_worker(const std::string& id, std::uint64_t agent_generation);
   void expire_worker_lease(SimulatedWorker& w);
-  // All tasks are gone from the machine.
+  // Removes all tasks from the machine.
   void clear_tasks(SimulatedWorker& w);
   std::string heartbeat_body(SimulatedWorker& w) const;
   void send_heartbeat(SimulatedWorker& w);
@@ -156,12 +160,12 @@
   [[nodiscard]] double cpus_in_use(const SimulatedWorker& w) const;
   void step_worker(SimulatedWorker& w);
   void step_task(SimulatedWorker& w, const wire::TaskId& task);
-  void begin_task(SimulatedWorker& w, const wire::TaskId& task);
+  void finish_fetch(SimulatedWorker& w, const wire::TaskId& task);
   void run_task(SimulatedWorker& w, const wire::TaskId& task);
   void finish_checkpoint(SimulatedWorker& w, const wire::TaskId& task);
   void end_task(SimulatedWorker& w, const wire::TaskId& task, std::uint64_t attempt,
                 wire::ExitCause cause, bool saved);
-  void note_lease_expiry(const wire::TaskId& task);
+  void record_lease_expiry(const wire::TaskId& task);
   static double progress_at_checkpoint(const SubmittedJob& job, double work_ms);
   void step_gangs();
   void step_gang(const std::string& id, const GangMembers& members);
@@ -173,7 +177,7 @@
 
   void report_violation(const std::string& rule, const std::string& what);
   void check_all();
-  void check_answered();
+  void check_reads_answered();
   void check_quotas(const std::map<std::string, double>& used);
   void check_start(const SimulatedWorker& w, const wire::TaskId& task);
   void check_runs_once(const SimulatedWorker& w, const wire::TaskId& task);
@@ -181,39 +185,40 @@
   void check_cancelled_start(const SubmittedJob& job, const wire::TaskId& task,
                              const SimulatedWorker& w);
   void check_accepted(const SubmittedJob& job);
-  // In the second phase: which jobs wait although there is capacity.
+  // In the second phase, reports jobs that wait for too long although there is capacity for them.
   void check_waiting();
   [[nodiscard]] std::string reason_never_to_run(const wire::JobSpec& spec) const;
   [[nodiscard]] bool has_capacity(const SubmittedJob& job,
                                   const std::map<std::string, double>& used) const;
   [[nodiscard]] double free_cpus(const SimulatedWorker& w) const;
   [[nodiscard]] std::map<std::string, double> used_cpus() const;
-  // A user was told the state of a job, in reply to a request of then.
-  void on_told(const std::string& id, const std::string& status, Ms asked);
-  void note_result(const std::string& key, const std::optional<std::string>& value);
+  // Checks the job state in a reply to a user; `requested_at`: when the user sent the request.
+  void on_job_state(const std::string& id, const std::string& status, Ms requested_at);
+  void record_final_state(const std::string& key, const std::optional<std::string>& value);
   void report_history();
 
   // ---- users (users.cpp, invalid_requests.cpp) ----
 
-  void new_job();
+  void submit_random_job();
   SubmittedJob random_job();
   void draw_placement(wire::JobSpec& spec, int kind);
   void make_large_gang(SubmittedJob& job) const;
   void make_large_or_small(SubmittedJob& job) const;
-  static std::string body_of(const wire::JobSpec& spec);
+  static std::string job_request_body(const wire::JobSpec& spec);
   void submit(const std::string& id, int tries);
-  void on_submission_reply(const std::string& id, int tries, Ms asked, const HttpResult& reply);
-  void on_accepted(const std::string& id, Ms asked, const HttpResult& reply);
+  void on_submission_reply(const std::string& id, int tries, Ms requested_at,
+                           const HttpResult& reply);
+  void on_accepted(const std::string& id, Ms requested_at, const HttpResult& reply);
   void follow_accepted(const SubmittedJob& job);
   void read_unknown_job();
-  void poll(const std::string& id, bool again = true);
-  void ask_state(const std::string& id, std::size_t node, bool again);
-  // Reads and repeated submissions at all controllers within a quarter of a second.
+  void poll(const std::string& id, bool repeat = true);
+  void read_job(const std::string& id, std::size_t controller_index, bool repeat);
+  // Sends reads to all controllers and repeated submissions, all within 250 ms.
   void read_everywhere(const std::string& id);
   void cancel(const std::string& id, int tries);
   void on_last_task_ended(const std::string& id);
   void send_invalid_request();
-  std::string any_of(const std::vector<std::string>& choices);
+  std::string random_choice(const std::vector<std::string>& choices);
   void submit_invalid_job(bool malformed);
   void make_unrunnable(wire::JobSpec& spec);
   std::string malform(std::string body);
@@ -223,11 +228,11 @@
 
   // ---- services (services.cpp) ----
 
-  bool service_is_next();
-  void new_service();
+  bool next_job_is_service();
+  void submit_random_service();
   void check_refused(const SubmittedJob& job, int status);
-  void replica_begins(SimulatedWorker& w, const wire::TaskId& task);
-  void replica_ends(SimulatedWorker& w, const wire::TaskId& task);
+  void on_replica_start(SimulatedWorker& w, const wire::TaskId& task);
+  void exit_replica(SimulatedWorker& w, const wire::TaskId& task);
   [[nodiscard]] std::string machine_for_replica(const SubmittedJob& job,
                                                 const wire::TaskId& replica,
                                                 const std::map<std::string, double>& used) const;
@@ -240,42 +245,42 @@
   // ---- faults (faults.cpp) ----
 
   void inject_fault();
-  void inject_fault(Fault kind, std::size_t node, Ms lasts);
+  void inject_fault(Fault kind, std::size_t controller_index, Ms lasts);
   template <Ms SimulatedCluster::*Deadline>
-  void set_until(std::size_t node, Ms lasts);
+  void set_until(std::size_t controller_index, Ms lasts);
   template <bool SimulatedCluster::*Flag>
-  void set_for(std::size_t node, Ms lasts);
+  void set_for(std::size_t controller_index, Ms lasts);
   template <bool SimulatedController::*Flag>
-  void set_on_controller(std::size_t node, Ms lasts);
-  void crash_one_controller(std::size_t node, Ms lasts);
-  void crash_all_controllers(std::size_t node, Ms lasts);
-  void restart_controller_twice(std::size_t node, Ms lasts);
-  void restart_controllers_in_turn(std::size_t node, Ms lasts);
-  void pause_controller(std::size_t node, Ms lasts);
-  void keep_all_controllers_down(std::size_t node, Ms lasts);
-  void crash_controllers_by_turns(std::size_t node, Ms lasts);
-  void fail_over_and_back(std::size_t node, Ms lasts);
-  void random_state_outage(std::size_t node, Ms lasts);
-  void refuse_one_then_all(std::size_t node, Ms lasts);
-  void slow_state_service(std::size_t node, Ms lasts);
-  void outage(Ms lasts);
-  void isolate_controller(std::size_t node, Ms lasts);
-  void cut_off_zone(std::size_t node, Ms lasts);
-  void start_cloud_outage(std::size_t node, Ms lasts);
+  void set_on_controller(std::size_t controller_index, Ms lasts);
+  void crash_one_controller(std::size_t controller_index, Ms lasts);
+  void crash_all_controllers(std::size_t controller_index, Ms lasts);
+  void restart_controller_twice(std::size_t controller_index, Ms lasts);
+  void restart_controllers_in_turn(std::size_t controller_index, Ms lasts);
+  void pause_controller(std::size_t controller_index, Ms lasts);
+  void keep_all_controllers_down(std::size_t controller_index, Ms lasts);
+  void crash_controllers_by_turns(std::size_t controller_index, Ms lasts);
+  void fail_over_and_back(std::size_t controller_index, Ms lasts);
+  void random_state_outage(std::size_t controller_index, Ms lasts);
+  void refuse_one_then_all(std::size_t controller_index, Ms lasts);
+  void slow_state_service(std::size_t controller_index, Ms lasts);
+  void start_state_outage(Ms lasts);
+  void isolate_controller(std::size_t controller_index, Ms lasts);
+  void cut_off_zone(std::size_t controller_index, Ms lasts);
+  void start_cloud_outage(std::size_t controller_index, Ms lasts);
   SimulatedWorker* random_running_machine();
-  void hang_machine(std::size_t node, Ms lasts);
-  void fail_machine(std::size_t node, Ms lasts);
-  void restart_machine(std::size_t node, Ms lasts);
-  void make_machine_unreachable(std::size_t node, Ms lasts);
-  void lose_heartbeats(std::size_t node, Ms lasts);
-  void make_machine_fail_tasks(std::size_t node, Ms lasts);
-  void give_preemption_notice(std::size_t node, Ms lasts);
-  void preempt_spot_machines(std::size_t node, Ms lasts);
-  void machine_dies(SimulatedWorker& w);
+  void hang_machine(std::size_t controller_index, Ms lasts);
+  void fail_machine(std::size_t controller_index, Ms lasts);
+  void restart_machine(std::size_t controller_index, Ms lasts);
+  void make_machine_unreachable(std::size_t controller_index, Ms lasts);
+  void lose_heartbeats(std::size_t controller_index, Ms lasts);
+  void make_machine_fail_tasks(std::size_t controller_index, Ms lasts);
+  void give_preemption_notice(std::size_t controller_index, Ms lasts);
+  void preempt_spot_machines(std::size_t controller_index, Ms lasts);
+  void kill_machine(SimulatedWorker& w);
   void hang(SimulatedWorker& w, Ms lasts);
-  void submit_burst(std::size_t node, Ms lasts);
-  void cancel_running(std::size_t node, Ms lasts);
-  void send_invalid_requests(std::size_t node, Ms lasts);
+  void submit_burst(std::size_t controller_index, Ms lasts);
+  void cancel_running(std::size_t controller_index, Ms lasts);
+  void send_invalid_requests(std::size_t controller_index, Ms lasts);
 
   // ---- measurements (measurements.cpp) ----
 
@@ -287,7 +292,7 @@
   Options options_;
   pcg32 random_;
   Ms now_ = 1;
-  std::uint64_t order_ = 0;  // of events at the same time
+  std::uint64_t next_event_number_ = 0;  // number of the next event; orders events of the same time
   struct Event {
     Ms time;
     std::uint64_t order;
@@ -298,9 +303,9 @@
   };
   std::priority_queue<Event> events_;
   bool recovering_ = false;  // the second phase of the run
-  Ms finished_since_ = 0;    // all jobs have ended; 0: not yet
+  Ms finished_since_ = 0;    // time since which all jobs have ended; 0: some have not
 
-  // ---- members ----
+  // ---- parts of the cluster ----
 
   Settings settings_;
   Capacity capacity_;
@@ -311,14 +316,14 @@
   std::map<std::string, SubmittedJob> jobs_;
   std::uint64_t next_request_ = 1;
   int next_job_ = 1, next_machine_ = 0, next_invalid_ = 0;
-  Ms services_from_ = 0;  // no services are submitted before
+  Ms services_from_ = 0;  // no services are submitted before this time
 
-  // ---- faults in force ----
+  // ---- active faults ----
 
   LinkCuts link_cuts_;
   bool zones_partitioned_ = false, peers_refuse_ = false, slow_links_ = false;
-  std::string cut_zone_;  // "": none
-  int state_slower_ = 1;  // factor of the state service's delays
+  std::string cut_zone_;        // "": no zone is cut off
+  int state_delay_factor_ = 1;  // factor of the delays to and from the state service
   Ms duplicate_heartbeats_until_ = 0, heartbeats_delayed_until_ = 0;
   Ms late_writes_until_ = 0, state_reorders_until_ = 0, watch_lags_until_ = 0;
   Ms answers_lost_until_ = 0;
@@ -326,13 +331,15 @@
 
   // ---- observations ----
 
-  std::uint64_t newest_epoch_ = 0;  // of the tokens that workers have seen
-  // Machines that were ever commanded to start the task: where it may run.
+  std::uint64_t newest_epoch_ = 0;  // newest epoch of the tokens that workers have received
+  // Machines that received a start command for the task, by task: the task may run on any of them.
   std::map<wire::TaskId, std::set<std::string>> started_on_;
-  std::map<wire::TaskId, Ms> lost_;  // to a lease expiry, when; until started again
-  std::set<wire::TaskId> replicas_begun_;
+  // Time of a lease expiry that ended the task, until its next start.
+  std::map<wire::TaskId, Ms> lease_expired_at_;
+  std::set<wire::TaskId> replicas_started_;
   std::map<wire::TaskId, Ms> replica_down_since_;
-  std::map<wire::TaskId, Ms> replica_lost_at_;  // with its machine, which died
+  // Time at which the replica's machine failed, until its next start.
+  std::map<wire::TaskId, Ms> replica_lost_at_;
   history::Checker history_;
   Fingerprint fingerprint_;
   Result result_;
--- a/tests/sim/tasks.cpp
+++ b/tests/sim/tasks.cpp
@@ -1,4 +1,4 @@
-// Tasks on machines: commands, and how tasks start, run, write checkpoints and exit.
+// Tasks on machines: execution of commands, and the start, run, checkpoints and exit of tasks.
 #include <algorithm>
 #include <cmath>
 
@@ -41,12 +41,13 @@
   ++result_.starts;
   if (w.heartbeats_lost_since) ++result_.starts_without_heartbeats;
   if (w.unreachable_since && now_ - w.unreachable_since > 8000) ++result_.starts_on_unreachable;
-  // The fake keeps one attempt of a task: a second one is ignored while the first has not exited.
+  // The fake worker keeps one attempt of each task: it ignores another attempt until the first has
+  // exited.
   const auto found = w.tasks.find(task);
   if (found != w.tasks.end() && found->second.state != TaskState::exited) return;
   SimulatedWorker::Task t;
   t.attempt = attempt;
-  t.since = now_;
+  t.state_since = now_;
   const auto job = jobs_.find(task.job);
   if (job == jobs_.end()) {
     t.state = TaskState::exited;
@@ -59,7 +60,7 @@
   }
   w.tasks[task] = t;
   started_on_[task].insert(w.id);
-  w.changed = true;
+  w.changed_since_heartbeat = true;
 }
 
 double SimulatedCluster::cpus_in_use(const SimulatedWorker& w) const {
@@ -69,8 +70,8 @@
   return cpus;
 }
 
-// With a checkpoint if its grace period suffices for one. A repeated command changes nothing while
-// the checkpoint is written, unless it gives no grace.
+// Stops the task, with a checkpoint if the grace period is long enough to write one. A repeated
+// command during the checkpoint has an effect only if its grace period is zero.
 void SimulatedCluster::stop_task(SimulatedWorker& w, const wire::TaskId& task, double grace_s) {
   auto& t = w.tasks.at(task);
   if (t.state == TaskState::exited) return;
@@ -78,8 +79,8 @@
   const bool saves = spec.checkpoint_interval_s > 0 && grace_s >= spec.checkpoint_write_s;
   if (t.state == TaskState::running && saves) {
     t.state = TaskState::checkpointing;
-    t.since = now_;
-    w.changed = true;
+    t.state_since = now_;
+    w.changed_since_heartbeat = true;
   } else if (t.state != TaskState::checkpointing || grace_s <= 0) {
     end_task(w, task, t.attempt, ExitCause::stopped, false);
   }
@@ -103,14 +104,14 @@
   auto& t = w.tasks.at(task);
   switch (t.state) {
     case TaskState::fetching:
-      if (static_cast<double>(now_ - t.since) >= kFetchMs) begin_task(w, task);
+      if (static_cast<double>(now_ - t.state_since) >= kImageFetchMs) finish_fetch(w, task);
       break;
     case TaskState::waiting:
-      if (now_ - t.since > static_cast<Ms>(settings_.gang_wait_s * 1000))
+      if (now_ - t.state_since > static_cast<Ms>(settings_.gang_wait_s * 1000))
         end_task(w, task, t.attempt, ExitCause::alone, false);
       break;
     case TaskState::running:
-      // Tasks of a gang run in step_gangs().
+      // step_gangs() runs the tasks of gangs.
       if (!jobs_.at(task.job).spec.is_gang()) run_task(w, task);
       break;
     case TaskState::checkpointing:
@@ -121,35 +122,35 @@
   }
 }
 
-// Its image is there.
-void SimulatedCluster::begin_task(SimulatedWorker& w, const wire::TaskId& task) {
+// Handles the end of the image fetch: the task fails, completes, runs or waits for its gang.
+void SimulatedCluster::finish_fetch(SimulatedWorker& w, const wire::TaskId& task) {
   auto& t = w.tasks.at(task);
   auto& job = jobs_.at(task.job);
   check_start(w, task);
-  if (job.begun_at == 0) job.begun_at = now_;
-  if (const auto lost = lost_.find(task); lost != lost_.end()) {
+  if (job.first_start_at == 0) job.first_start_at = now_;
+  if (const auto lost = lease_expired_at_.find(task); lost != lease_expired_at_.end()) {
     result_.restarts_during_zone_cut += cut_zone_.empty() ? 0 : 1;
-    lost_.erase(lost);
+    lease_expired_at_.erase(lost);
   }
-  t.present = true;
+  t.active = true;
   history_.add(now_, history::TaskBegan{task, w.id});
-  t.since = now_;
+  t.state_since = now_;
   if (w.fails_tasks || job.fails_everywhere) {
     end_task(w, task, t.attempt, ExitCause::error, false);
-  } else if (job.completed.contains(task.index) || w.results_kept.contains(task)) {
+  } else if (job.completed.contains(task.index) || w.completed_replicas.contains(task)) {
     end_task(w, task, t.attempt, ExitCause::done, false);
   } else {
     t.state = job.spec.is_gang() ? TaskState::waiting : TaskState::running;
     t.work_ms = job.progress[task.index];
-    if (job.spec.is_service()) replica_begins(w, task);
-    w.changed = true;
+    if (job.spec.is_service()) on_replica_start(w, task);
+    w.changed_since_heartbeat = true;
   }
 }
 
 void SimulatedCluster::run_task(SimulatedWorker& w, const wire::TaskId& task) {
   auto& t = w.tasks.at(task);
   auto& job = jobs_.at(task.job);
-  if (t.ends_at != 0 && now_ >= t.ends_at) return replica_ends(w, task);
+  if (t.exits_at != 0 && now_ >= t.exits_at) return exit_replica(w, task);
   t.work_ms += static_cast<double>(options_.worker_step_ms);
   double& saved = job.progress[task.index];
   saved = std::max(saved, progress_at_checkpoint(job, t.work_ms));
@@ -159,7 +160,7 @@
   if (job.completed.size() == job.spec.tasks) on_last_task_ended(task.job);
 }
 
-// What the last periodic checkpoint has of this much work.
+// The part of the work that the last periodic checkpoint contains.
 double SimulatedCluster::progress_at_checkpoint(const SubmittedJob& job, double work_ms) {
   const double interval_ms = job.spec.checkpoint_interval_s * 1000;
   return interval_ms > 0 ? std::floor(work_ms / interval_ms) * interval_ms : 0;
@@ -168,7 +169,7 @@
 void SimulatedCluster::finish_checkpoint(SimulatedWorker& w, const wire::TaskId& task) {
   const auto& t = w.tasks.at(task);
   auto& job = jobs_.at(task.job);
-  if (now_ - t.since < static_cast<Ms>(job.spec.checkpoint_write_s * 1000)) return;
+  if (now_ - t.state_since < static_cast<Ms>(job.spec.checkpoint_write_s * 1000)) return;
   job.progress[task.index] = std::max(job.progress[task.index], t.work_ms);
   end_task(w, task, t.attempt, ExitCause::stopped, true);
 }
@@ -182,23 +183,24 @@
   t.state = TaskState::exited;
   t.cause = cause;
   t.saved = saved;
-  t.present = false;
-  w.changed = true;
+  t.active = false;
+  w.changed_since_heartbeat = true;
   w.next_heartbeat_at = std::min(w.next_heartbeat_at, now_ + 250);
   if (saved) ++result_.checkpointed_stops;
 }
 
-// The task's work is to start elsewhere as soon as the expiry is provable.
-void SimulatedCluster::note_lease_expiry(const wire::TaskId& task) {
+// Counts lease expiries after which the controllers must restart the task elsewhere, as soon as
+// they can prove the expiry.
+void SimulatedCluster::record_lease_expiry(const wire::TaskId& task) {
   const SubmittedJob& job = jobs_.at(task.job);
-  if (job.spec.is_gang() || job.asked_cancel || job.completed.contains(task.index)) return;
-  lost_[task] = now_;
+  if (job.spec.is_gang() || job.cancel_requested || job.completed.contains(task.index)) return;
+  lease_expired_at_[task] = now_;
   ++result_.lease_expiries;
 }
 
 // ---- gangs ----
 
-// Tasks of a gang find one another by attempt, start together, and end together.
+// The tasks of a gang that have the same attempt start together and end together.
 void SimulatedCluster::step_gangs() {
   std::map<std::string, std::map<std::uint64_t, GangMembers>> gangs;  // by job and attempt
   for (auto& [id, w] : workers_) {
@@ -233,18 +235,18 @@
   for (const auto& m : members) {
     task_of(m).state = TaskState::running;
     task_of(m).work_ms = job.gang_progress;
-    m.first->changed = true;
+    m.first->changed_since_heartbeat = true;
   }
 }
 
-// A task that loses a peer runs on for a while, and then exits.
+// After the gang lost a task, each remaining task exits once the setting gang_peer_s has elapsed.
 void SimulatedCluster::end_gang_without_peers(const GangMembers& members) {
   for (const auto& m : members) {
     auto& t = task_of(m);
     if (t.state != TaskState::running) continue;
-    if (t.lost_peer_until == 0)
-      t.lost_peer_until = now_ + static_cast<Ms>(settings_.gang_peer_s * 1000);
-    if (now_ >= t.lost_peer_until && !m.first->hanging)
+    if (t.exit_without_peers_at == 0)
+      t.exit_without_peers_at = now_ + static_cast<Ms>(settings_.gang_peer_s * 1000);
+    if (now_ >= t.exit_without_peers_at && !m.first->hanging)
       end_task(*m.first, m.second, t.attempt, ExitCause::peers, false);
   }
 }
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -1,4 +1,4 @@
-// Users: they submit, read and cancel jobs, and remember what they were told.
+// Users: they submit, read and cancel jobs, and check the replies against earlier ones.
 #include <algorithm>
 
 #include "sim/cluster_members.h"
@@ -7,8 +7,8 @@
 
 namespace scheduler::sim {
 
-void SimulatedCluster::new_job() {
-  if (service_is_next()) return new_service();
+void SimulatedCluster::submit_random_job() {
+  if (next_job_is_service()) return submit_random_service();
   SubmittedJob job = random_job();
   if (options_.large_gang && next_job_ == 11) make_large_gang(job);
   if (options_.uneven_jobs > 0 && !job.spec.is_gang() && chance(options_.uneven_jobs)) {
@@ -20,16 +20,16 @@
   const std::string id = job.spec.id;
   jobs_[id] = job;
   submit(id, 0);
-  // The one large array is never cancelled: its run is about it.
+  // The large array is never cancelled, because the test of Options::one_large_array measures it.
   const bool keep = options_.one_large_array && next_job_ == 4;
-  if (chance(0.12) && !keep) at(now_ + random(12'000), [this, id] { cancel(id, 0); });
+  if (chance(0.12) && !keep) schedule_event(now_ + random(12'000), [this, id] { cancel(id, 0); });
   read_unknown_job();
 }
 
 SimulatedCluster::SubmittedJob SimulatedCluster::random_job() {
   SubmittedJob job;
   auto& s = job.spec;
-  s.id = "req-" + pad(next_job_++);
+  s.id = "req-" + six_digits(next_job_++);
   s.job_class = chance(0.3) ? "fast" : chance(0.5) ? "small" : "due";
   s.team = chance(1.0 - options_.free_team_tenths / 10.0) ? "tight" : "free";
   s.priority = static_cast<wire::Priority>(random(4));
@@ -55,7 +55,7 @@
   return job;
 }
 
-// Which zones its tasks may be in.
+// Draws the zone constraints of the job.
 void SimulatedCluster::draw_placement(wire::JobSpec& s, int kind) {
   if (kind == 2) s.one_zone = true;
   if (kind == 3) s.spread = true;
@@ -71,7 +71,7 @@
   }
 }
 
-// Every task needs a whole machine.
+// Every task of the large gang needs a whole machine.
 void SimulatedCluster::make_large_gang(SubmittedJob& job) const {
   auto& s = job.spec;
   s.shape = wire::JobShape::gang;
@@ -84,13 +84,15 @@
 }
 
 void SimulatedCluster::read_unknown_job() {
-  send_to_controller(any_controller_index(), {"GET", "/v1/jobs/req-9" + pad(random(100000)), ""},
-                     "", [this](int status, const std::string&) {
-                       if (status == 200) report_violation("invented", "a job nobody submitted");
-                     });
+  send_to_controller(
+      random_controller_index(), {"GET", "/v1/jobs/req-9" + six_digits(random(100000)), ""}, "",
+      [this](int status, const std::string&) {
+        if (status == 200)
+          report_violation("invented", "status 200 for a job that was not submitted");
+      });
 }
 
-// The third job is an array of the largest size, all others are small.
+// Makes the third job an array of the largest size and limits all others to 20 tasks.
 void SimulatedCluster::make_large_or_small(SubmittedJob& job) const {
   auto& s = job.spec;
   constexpr std::uint32_t kSmallTasks = 20;
@@ -100,7 +102,7 @@
   if (!large) return;
   s.shape = wire::JobShape::array;
   s.team = "free";
-  s.job_class = "fast";  // all of it is to start at once
+  s.job_class = "fast";  // the whole array is to start at once
   s.cpus = 2;
   s.spot = true;
   s.zone.clear();
@@ -109,13 +111,14 @@
 }
 
 void SimulatedCluster::submit(const std::string& id, int tries) {
-  send_to_controller(any_controller_index(), {"POST", "/v1/jobs", body_of(jobs_.at(id).spec)}, "",
-                     [this, id, tries, asked = now_](int status, const std::string& body) {
-                       on_submission_reply(id, tries, asked, {status, body});
+  send_to_controller(random_controller_index(),
+                     {"POST", "/v1/jobs", job_request_body(jobs_.at(id).spec)}, "",
+                     [this, id, tries, requested_at = now_](int status, const std::string& body) {
+                       on_submission_reply(id, tries, requested_at, {status, body});
                      });
 }
 
-std::string SimulatedCluster::body_of(const wire::JobSpec& spec) {
+std::string SimulatedCluster::job_request_body(const wire::JobSpec& spec) {
   rapidjson::StringBuffer buffer;
   wire::Writer writer(buffer);
   writer.StartObject();
@@ -124,112 +127,121 @@
   return buffer.GetString();
 }
 
-void SimulatedCluster::on_submission_reply(const std::string& id, int tries, Ms asked,
+void SimulatedCluster::on_submission_reply(const std::string& id, int tries, Ms requested_at,
                                            const HttpResult& reply) {
   const auto& job = jobs_.at(id);
   if (reply.status == 200 || reply.status == 201) {
-    on_accepted(id, asked, reply);
+    on_accepted(id, requested_at, reply);
   } else if (reply.status == 400 || reply.status == 422) {
-    if (job.accepted) report_violation("forgotten", id + " is now " + std::to_string(reply.status));
+    if (job.accepted)
+      report_violation("forgotten",
+                       id + " was accepted, now refused with " + std::to_string(reply.status));
     check_refused(job, reply.status);
   } else if (tries < 60) {
-    at(now_ + 1000, [this, id, tries] { submit(id, tries + 1); });
+    schedule_event(now_ + 1000, [this, id, tries] { submit(id, tries + 1); });
   }
 }
 
-void SimulatedCluster::on_accepted(const std::string& id, Ms asked, const HttpResult& reply) {
+void SimulatedCluster::on_accepted(const std::string& id, Ms requested_at,
+                                   const HttpResult& reply) {
   auto& job = jobs_.at(id);
   const bool first = !job.accepted;
   if (first) job.accepted_at = now_;
   history_.add(now_, history::Accepted{id, job.spec.tasks, job.spec.is_service()});
-  if (reply.status == 201 && !first && asked > job.accepted_at)
-    report_violation("went_back", id + " accepted once more");
+  if (reply.status == 201 && !first && requested_at > job.accepted_at)
+    report_violation("went_back", id + " accepted as new again");
   job.accepted = true;
   check_accepted(job);
-  job.answered_at = now_;
+  job.last_reply_at = now_;
   rapidjson::Document doc;
   if (!wire::parse_object(reply.body, doc)) return report_violation("answer", reply.body);
-  on_told(id, doc["status"].GetString(), asked);
+  on_job_state(id, doc["status"].GetString(), requested_at);
   if (first) follow_accepted(job);
-  // An idempotent submission, at any later time.
-  if (chance(0.3)) at(now_ + random(60'000), [this, id] { submit(id, 0); });
+  // Submissions are idempotent: some users repeat theirs at a random time within a minute.
+  if (chance(0.3)) schedule_event(now_ + random(60'000), [this, id] { submit(id, 0); });
 }
 
-// What its user does from now on.
+// Schedules the user's requests about an accepted job.
 void SimulatedCluster::follow_accepted(const SubmittedJob& job) {
   const std::string& id = job.spec.id;
-  at(now_ + 1000, [this, id] { poll(id); });
+  schedule_event(now_ + 1000, [this, id] { poll(id); });
   if (now_ < concurrent_reads_until_) {
     read_everywhere(id);
-    if (chance(0.8)) at(now_ + random(150), [this, id] { cancel(id, 0); });
+    if (chance(0.8)) schedule_event(now_ + random(150), [this, id] { cancel(id, 0); });
   }
-  if (job.cancel_planned_at) at(job.cancel_planned_at, [this, id] { cancel(id, 0); });
+  if (job.cancel_planned_at) schedule_event(job.cancel_planned_at, [this, id] { cancel(id, 0); });
 }
 
 void SimulatedCluster::read_everywhere(const std::string& id) {
   ++result_.concurrent_reads;
-  for (std::size_t node = 0; node < controllers_.size(); ++node) {
+  for (std::size_t controller_index = 0; controller_index < controllers_.size();
+       ++controller_index) {
     for (int k = 1 + random(4); k > 0; --k)
-      at(now_ + random(250), [this, id, node] { ask_state(id, node, false); });
+      schedule_event(now_ + random(250),
+                     [this, id, controller_index] { read_job(id, controller_index, false); });
   }
-  for (int k = random(3); k > 0; --k) at(now_ + random(250), [this, id] { submit(id, 60); });
+  for (int k = random(3); k > 0; --k)
+    schedule_event(now_ + random(250), [this, id] { submit(id, 60); });
 }
 
-void SimulatedCluster::poll(const std::string& id, bool again) {
-  ask_state(id, any_controller_index(), again);
+void SimulatedCluster::poll(const std::string& id, bool repeat) {
+  read_job(id, random_controller_index(), repeat);
 }
 
-void SimulatedCluster::ask_state(const std::string& id, std::size_t node, bool again) {
-  send_to_controller(node, {"GET", "/v1/jobs/" + id, ""}, "",
-                     [this, id, again, asked = now_](int status, const std::string& body) {
+void SimulatedCluster::read_job(const std::string& id, std::size_t controller_index, bool repeat) {
+  send_to_controller(controller_index, {"GET", "/v1/jobs/" + id, ""}, "",
+                     [this, id, repeat, requested_at = now_](int status, const std::string& body) {
                        auto& job = jobs_.at(id);
                        rapidjson::Document doc;
                        if (status == 404) report_violation("forgotten", id);
-                       if (status == 404) history_.add(now_, history::AnsweredUnknown{id, asked});
-                       if (status == 200) job.answered_at = now_;
+                       if (status == 404)
+                         history_.add(now_, history::AnsweredUnknown{id, requested_at});
+                       if (status == 200) job.last_reply_at = now_;
                        if (status == 200 && wire::parse_object(body, doc))
-                         on_told(id, doc["status"].GetString(), asked);
-                       if (!again) return;
-                       const bool over = job.told_done || job.told_cancelled;
-                       at(now_ + (over ? 10'000 + random(10'000) : 1500 + random(1000)),
-                          [this, id] { poll(id); });
+                         on_job_state(id, doc["status"].GetString(), requested_at);
+                       if (!repeat) return;
+                       const bool ended = job.reported_done || job.reported_cancelled;
+                       schedule_event(
+                           now_ + (ended ? 10'000 + random(10'000) : 1500 + random(1000)),
+                           [this, id] { poll(id); });
                      });
 }
 
 void SimulatedCluster::cancel(const std::string& id, int tries) {
   auto& job = jobs_.at(id);
-  if (!job.asked_cancel) job.cancel_asked_at = now_;
-  if (!job.asked_cancel) history_.add(now_, history::CancelAsked{id});
-  job.asked_cancel = true;
+  if (!job.cancel_requested) job.cancel_requested_at = now_;
+  if (!job.cancel_requested) history_.add(now_, history::CancelAsked{id});
+  job.cancel_requested = true;
   send_to_controller(
-      any_controller_index(), {"POST", "/v1/jobs/" + id + "/withdraw", ""}, "",
-      [this, id, tries, asked = now_](int status, const std::string& body) {
+      random_controller_index(), {"POST", "/v1/jobs/" + id + "/withdraw", ""}, "",
+      [this, id, tries, requested_at = now_](int status, const std::string& body) {
         rapidjson::Document doc;
-        if (status == 404 && jobs_.at(id).accepted && asked > jobs_.at(id).accepted_at)
-          report_violation("forgotten", id + " cannot be cancelled");
+        if (status == 404 && jobs_.at(id).accepted && requested_at > jobs_.at(id).accepted_at)
+          report_violation("forgotten", id + " not found by a cancellation");
         if (status == 200 && wire::parse_object(body, doc)) {
           const std::string state = doc["status"].GetString();
           if (state != "done" && state != "withdrawn")
-            report_violation("answer", "asked to cancel " + id + ": " + state);
-          on_told(id, state, asked);
+            report_violation("answer", "cancellation of " + id + " got status " + state);
+          on_job_state(id, state, requested_at);
           if (now_ < concurrent_reads_until_) read_everywhere(id);
-        } else if (tries < 600) {  // repeated until it is answered (PROTOCOL)
-          at(now_ + 1000, [this, id, tries] { cancel(id, tries + 1); });
+        } else if (tries < 600) {  // repeated every second until there is a reply (PROTOCOL)
+          schedule_event(now_ + 1000, [this, id, tries] { cancel(id, tries + 1); });
         }
       });
 }
 
-// Nobody has been told yet.
+// Sends requests about a job whose end no user has been told yet.
 void SimulatedCluster::on_last_task_ended(const std::string& id) {
   auto& job = jobs_.at(id);
   if (now_ < concurrent_reads_until_ && job.accepted) read_everywhere(id);
   if (now_ >= cancel_at_end_until_ || !job.accepted || !chance(0.6)) return;
   ++result_.requests_at_end;
-  // At once, or while the exit is being recorded.
-  auto moment = [this] { return now_ + (chance(0.4) ? 0 : random(1500)); };
-  if (chance(0.6)) at(moment(), [this, id] { cancel(id, 0); });
-  for (int k = random(4); k > 0; --k) at(moment(), [this, id] { poll(id, false); });
-  for (int k = random(3); k > 0; --k) at(moment(), [this, id] { submit(id, 60); });
+  // Immediately, or while the controllers record the exit.
+  auto random_time = [this] { return now_ + (chance(0.4) ? 0 : random(1500)); };
+  if (chance(0.6)) schedule_event(random_time(), [this, id] { cancel(id, 0); });
+  for (int k = random(4); k > 0; --k)
+    schedule_event(random_time(), [this, id] { poll(id, false); });
+  for (int k = random(3); k > 0; --k) schedule_event(random_time(), [this, id] { submit(id, 60); });
 }
 
 }  // namespace scheduler::sim
--- a/tests/support/component_test.h
+++ b/tests/support/component_test.h
@@ -1,5 +1,6 @@
-// A fixture for tests of one component without a whole controller: settings, records, a fake state
-// service and a context. Calls to the cloud and to workers are kept for the test to answer.
+// A test fixture for one component without a whole controller: settings, records, a fake state
+// service and a context. The fixture keeps calls to the cloud and to workers, and the test replies
+// to them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
 
 class ComponentTest : public testing::Test {
  protected:
-  // A call of the component that the test is to answer.
+  // A call of the component that awaits a reply from the test.
   struct PendingCall {
     Call call;
     ResultHandler done;
@@ -35,7 +36,7 @@
     return settings;
   }
 
-  // Sends calls of the component and of its client of the state service.
+  // Returns the function that sends the calls of the component and of its state client.
   StateClient::Send sender() {
     return [this](Target target, std::string address, std::string method, std::string path,
                   std::string body, Ms timeout, ResultHandler done) {
@@ -69,14 +70,14 @@
     put(std::string(wire::kViewKey), encode(view));
   }
 
-  // Writes a record as another controller would.
+  // Writes a record to the state service, as another controller would.
   void put(const std::string& key, const std::string& value) {
     ++state_.revision;
     state_.items[key] = {value, state_.revision, 0};
     state_.change(key, value);
   }
 
-  // Time passes; `tick` is called at each step.
+  // Advances time in steps of 20 ms and, once the state is loaded, calls `tick` at each step.
   void run(Ms lasts, const std::function<void(Ms)>& tick) {
     if (!started_) state_client_.start(now_);
     started_ = true;
--- a/tests/support/controller_settings.h
+++ b/tests/support/controller_settings.h
@@ -1,11 +1,11 @@
-// The settings that tests of one controller, or of one component of it, begin with.
+// Default settings for tests of one controller or of one of its components.
 #pragma once
 
 #include "base/types.h"
 
 namespace scheduler {
 
-// A controller in zone a, without peers, and one team without quota.
+// Settings of a controller in zone a without peers, with one team that has no quota.
 inline Settings single_controller_settings() {
   Settings s;
   s.name = "puffin-0";
--- a/tests/support/fake_cloud.h
+++ b/tests/support/fake_cloud.h
@@ -1,4 +1,4 @@
-// Replies of the cloud to a test's controller or component, by PROTOCOL.
+// Replies of a fake cloud to the controller or component under test, in the format of PROTOCOL.
 #pragma once
 
 #include <map>
@@ -10,12 +10,12 @@
 
 namespace scheduler {
 
-// A cloud of one zone, "a", and one machine type, "g", that runs the machines listed here and
-// provides no others.
+// A cloud with one zone, "a", and one machine type, "g". It runs the given machines and has no
+// capacity for others.
 struct FakeCloud {
-  int cpus = 8;  // of the machine type
+  int cpus = 8;  // CPUs of the machine type
   int memory_gb = 32;
-  std::map<std::string, std::string> machines;  // id -> status, as listed
+  std::map<std::string, std::string> machines;  // status in the cloud's list, by machine id
 
   [[nodiscard]] std::string catalog() const {
     return R"({"fleets":[{"label":"g","cpus":)" + std::to_string(cpus) + R"(,"gpus":0,"memGb":)" +
--- a/tests/support/link_rows.h
+++ b/tests/support/link_rows.h
@@ -1,4 +1,4 @@
-// A controller's row of the link matrix.
+// Builds a controller's row of the link matrix.
 #pragma once
 
 #include <cstdint>
--- a/tests/support/simulation_runs.h
+++ b/tests/support/simulation_runs.h
@@ -1,10 +1,10 @@
-// For tests on simulated runs: matchers of results, plans of faults, and what the environment of a
-// test run may set:
-//   SIM_TRACE=TEXT  prints the lines of a run that contain it ("*": all) to standard error
-//   SIM_SEEDS=N     runs seeds 1 to N of the tests by seed instead of those of CI
-//   SIM_ONLY=SEED   runs this seed alone where a test runs several, to trace it
-//   SIM_MET=1       prints how often planned faults brought about what they are for
-//   SEEDS=LIST      runs these seeds of read_consistency_test.cpp: "1,5,9" or "1-1000"
+// Helpers for tests with simulated runs: matchers of results, fault plans, and the settings that a
+// test run reads from environment variables:
+//   SIM_TRACE=TEXT  prints the trace lines that contain TEXT ("*": all) to standard error
+//   SIM_SEEDS=N     runs the tests by seed with seeds 1 to N instead of the number used in CI
+//   SIM_ONLY=SEED   runs only this seed in tests that run several, for tracing
+//   SIM_MET=1       prints how often the situations occurred that planned faults are meant to cause
+//   SEEDS=LIST      runs read_consistency_test.cpp with these seeds: "1,5,9" or "1-1000"
 #pragma once
 
 #include <gmock/gmock.h>
@@ -24,7 +24,7 @@
 
 // ---- results ----
 
-// What a failed expectation shows of a run.
+// Prints a run's result in the message of a failed expectation.
 inline void PrintTo(const Result& result, std::ostream* out) {
   *out << "a run of " << result.accepted << " accepted jobs, " << result.done << " done, "
        << result.cancelled << " cancelled";
@@ -40,7 +40,8 @@
   return testing::Field("unfinished", &Result::unfinished, testing::IsEmpty());
 }
 
-// In how many of the runs with seeds 1 to `seeds` an invariant is violated whose name begins so.
+// Runs the simulation with seeds 1 to `seeds` and returns the number of runs that violate an
+// invariant whose name starts with `rule`.
 inline int runs_with_violations(Options options, const std::string& rule, std::uint64_t seeds) {
   int runs = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -59,15 +60,16 @@
   return text ? text : "";
 }
 
-// The number of seeds to run, 1 to this.
-inline std::uint64_t seeds_or(std::uint64_t in_ci) {
+// The number of seeds to run: SIM_SEEDS if it is set, else `default_seeds`.
+inline std::uint64_t seeds_or(std::uint64_t default_seeds) {
   const char* number = std::getenv("SIM_SEEDS");
-  return number ? std::strtoull(number, nullptr, 10) : in_ci;
+  return number ? std::strtoull(number, nullptr, 10) : default_seeds;
 }
 
-inline std::vector<std::uint64_t> seed_list_or(std::vector<std::uint64_t> in_ci) {
+// The seeds to run: SEEDS if it is set, else `default_seeds`.
+inline std::vector<std::uint64_t> seed_list_or(std::vector<std::uint64_t> default_seeds) {
   const char* text = std::getenv("SEEDS");
-  if (!text) return in_ci;
+  if (!text) return default_seeds;
   std::vector<std::uint64_t> seeds;
   char* end = nullptr;
   for (const char* at = text; *at != '\0'; at = *end == ',' ? end + 1 : end) {
@@ -87,7 +89,8 @@
 
 // ---- options ----
 
-// A run without random faults, long enough for tasks beyond a lease to end after the planned ones.
+// Options of a run without random faults. Its second phase is long enough that tasks longer than a
+// lease end after the planned faults.
 inline Options planned_faults(std::uint64_t seed, std::vector<PlannedFault> faults) {
   Options o;
   o.seed = seed;
@@ -99,7 +102,7 @@
   return o;
 }
 
-// Adds faults of one kind at a fixed interval until shortly before the first phase ends.
+// Adds faults of one kind at a fixed interval, until 5 s before the end of the first phase.
 inline void add_periodic_faults(Options& o, Fault kind, Ms from, Ms every, Ms lasts,
                                 std::size_t node = 0) {
   for (Ms at = from; at < o.fault_ms - 5000; at += every)
--- a/tests/support/single_controller_jobs.h
+++ b/tests/support/single_controller_jobs.h
@@ -1,4 +1,4 @@
-// A fixture for tests of a single controller under settings of their own.
+// A test fixture for a single controller whose settings differ between tests.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 class SingleControllerJobs : public SingleControllerTest {
  protected:
-  // What the controller replies to a question about the job.
+  // The body of the controller's reply to a read of the job.
   std::string state_of(const std::string& id) {
     const std::uint64_t request = send_request("GET", "/v1/jobs/" + id);
     run(200);
     return answers_[request].body;
   }
 
-  // A cluster without any state, and a controller with these settings.
+  // Replaces the state service by an empty one and starts a controller with these settings.
   void start_anew(const Settings& settings) {
     settings_ = settings;
     timeouts_.clear();
--- a/tests/support/single_controller_test.h
+++ b/tests/support/single_controller_test.h
@@ -1,5 +1,5 @@
-// A fixture for tests of a single controller: a fake state service, a fake cloud with one machine,
-// and that machine, which executes commands if the test lets it.
+// A test fixture for a single controller: a fake state service, a fake cloud with one machine, and
+// that machine's worker, which executes commands if `executes_commands_` is set.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
     run(3000);
   }
 
-  // The process restarts: a new incarnation.
+  // Restarts the controller process, which gets a new incarnation.
   void restart() {
     timeouts_.clear();
     controller_ = std::make_unique<Controller>(settings_, 8);
@@ -39,42 +39,43 @@
     ASSERT_TRUE(controller_->ready());
   }
 
-  // Time passes, and all calls of the controller are executed.
+  // Advances time in steps of 20 ms and executes all calls of the controller.
   void run(Ms lasts) {
     for (const Ms end = now_ + lasts; now_ < end; now_ += 20) {
       controller_->tick(now_, now_);
       state_.expire_session_leases(now_);
       state_.serve_watchers(now_, [](std::size_t) { return true; });
       pump();
-      std::erase_if(timeouts_, [this](const auto& l) {
-        if (l.first > now_) return false;
-        controller_->on_result(now_, l.second, {0, ""});
+      std::erase_if(timeouts_, [this](const auto& timeout) {
+        if (timeout.first > now_) return false;
+        controller_->on_result(now_, timeout.second, {0, ""});
         return true;
       });
     }
   }
 
+  // Records the controller's replies and executes its calls until it has no more outputs.
   void pump() {
     for (auto out = controller_->take_output();
          !out.calls.empty() || !out.replies.empty() || !out.logs.empty() || !out.peers.empty();
          out = controller_->take_output()) {
-      for (const auto& a : out.replies) answers_[a.request] = a;
-      for (const auto& c : out.calls) execute(c);
+      for (const auto& reply : out.replies) answers_[reply.request] = reply;
+      for (const auto& call : out.calls) execute(call);
     }
   }
 
-  void execute(const Call& c) {
+  void execute(const Call& call) {
     if (replies_garbage_) {
-      controller_->on_result(now_, c.id, {200, garbage(c.id)});
+      controller_->on_result(now_, call.id, {200, garbage(call.id)});
       return;
     }
-    switch (c.target) {
+    switch (call.target) {
       case Target::state:
-        return execute_state_call(c);
+        return execute_state_call(call);
       case Target::worker:
-        return execute_worker_call(c);
+        return execute_worker_call(call);
       case Target::cloud:
-        return execute_cloud_call(c);
+        return execute_cloud_call(call);
     }
   }
 
@@ -91,52 +92,54 @@
     return kBodies[number % kBodies.size()];
   }
 
-  void execute_state_call(const Call& c) {
-    const bool lost = !lost_request_path_.empty() && c.path.starts_with(lost_request_path_);
-    if (lost) timeouts_.emplace_back(now_ + c.timeout, c.id);
-    state_.serve(
-        now_, c, 0,
-        [this, c, lost, delayed = !lost && is_delayed(c)](int status, const std::string& body) {
-          if (lost) return;
-          if (delayed) {
-            delayed_replies_.emplace_back(c, HttpResult{status, body});
-          } else {
-            controller_->on_result(now_, c.id, {status, body});
-          }
-        });
+  void execute_state_call(const Call& call) {
+    const bool lost = !lost_request_path_.empty() && call.path.starts_with(lost_request_path_);
+    if (lost) timeouts_.emplace_back(now_ + call.timeout, call.id);
+    state_.serve(now_, call, 0,
+                 [this, call, lost, delayed = !lost && is_delayed(call)](int status,
+                                                                         const std::string& body) {
+                   if (lost) return;
+                   if (delayed) {
+                     delayed_replies_.emplace_back(call, HttpResult{status, body});
+                   } else {
+                     controller_->on_result(now_, call.id, {status, body});
+                   }
+                 });
   }
 
-  void execute_worker_call(const Call& c) {
+  void execute_worker_call(const Call& call) {
     ++direct_commands_;
     if (!reachable_) {
-      timeouts_.emplace_back(now_ + c.timeout, c.id);
+      timeouts_.emplace_back(now_ + call.timeout, call.id);
       return;
     }
     rapidjson::Document doc;
-    if (wire::parse_object(c.body, doc)) {
+    if (wire::parse_object(call.body, doc)) {
       token_ = std::max(token_, doc["baton"].GetUint64());
       execute_commands_of(doc["orders"]);
     }
     const HttpResult reply{200, body(incarnation_, ++sequence_)};
-    if (is_delayed(c)) {
-      delayed_replies_.emplace_back(c, reply);
+    if (is_delayed(call)) {
+      delayed_replies_.emplace_back(call, reply);
     } else {
-      controller_->on_result(now_, c.id, reply);
+      controller_->on_result(now_, call.id, reply);
     }
   }
 
-  void execute_cloud_call(const Call& c) {
-    const bool catalog = c.path == "/catalog";
-    const bool list = c.path.starts_with("/hosts?");
-    controller_->on_result(now_, c.id,
+  void execute_cloud_call(const Call& call) {
+    const bool catalog = call.path == "/catalog";
+    const bool list = call.path.starts_with("/hosts?");
+    controller_->on_result(now_, call.id,
                            catalog ? HttpResult{200, cloud_.catalog()}
                            : list  ? HttpResult{200, cloud_.list()}
                                    : FakeCloud::no_capacity());
   }
 
-  [[nodiscard]] bool is_delayed(const Call& c) const { return delays_reply_ && delays_reply_(c); }
+  [[nodiscard]] bool is_delayed(const Call& call) const {
+    return delays_reply_ && delays_reply_(call);
+  }
 
-  // Delayed replies are delivered now.
+  // Delivers the delayed replies of the calls for which `which` returns true.
   void release_replies(const std::function<bool(const Call&)>& which) {
     std::vector<std::pair<Call, HttpResult>> arriving;
     for (auto it = delayed_replies_.begin(); it != delayed_replies_.end();) {
@@ -164,18 +167,18 @@
     p.num("baton", token_);
     std::string loads;
     for (const auto& [task, exited] : tasks_) {
-      sim::Put l;
-      l.str("load", task.first);
-      l.num("try", task.second);
-      l.str("status", exited ? "exited" : "running");
-      if (exited) l.str("cause", exit_cause_);
-      loads += (loads.empty() ? "" : ",") + l.done();
+      sim::Put task_json;
+      task_json.str("load", task.first);
+      task_json.num("try", task.second);
+      task_json.str("status", exited ? "exited" : "running");
+      if (exited) task_json.str("cause", exit_cause_);
+      loads += (loads.empty() ? "" : ",") + task_json.done();
     }
     p.raw("loads", "[" + loads + "]");
     return p.done();
   }
 
-  // The machine executes commands, if this test lets it.
+  // Counts start commands; the worker executes commands only if `executes_commands_` is set.
   void execute_commands_of(const wire::Json& orders) {
     for (const auto& o : orders.GetArray()) {
       const std::string verb = o["verb"].GetString();
@@ -202,7 +205,7 @@
     return reply;
   }
 
-  // A heartbeat that was sent before the machine had any task arrives only now.
+  // Delivers a delayed heartbeat that the worker sent before it had any task.
   void deliver_old_heartbeat(std::uint64_t incarnation, std::uint64_t sequence) {
     const auto tasks = std::exchange(tasks_, {});
     controller_->on_request(now_, next_++, {"POST", "/hello", body(incarnation, sequence)});
@@ -210,13 +213,13 @@
     pump();
   }
 
-  // The answer's status, 0 as long as there is none.
+  // The status of the reply to a request; 0: no reply yet.
   [[nodiscard]] int status(std::uint64_t request) const {
-    auto a = answers_.find(request);
-    return a == answers_.end() ? 0 : a->second.status;
+    auto reply = answers_.find(request);
+    return reply == answers_.end() ? 0 : reply->second.status;
   }
 
-  // A job of two tasks that run.
+  // Starts a job of two tasks and waits until both run.
   void start_two() {
     executes_commands_ = true;
     EXPECT_EQ(heartbeat(50).status, 200);
@@ -225,7 +228,7 @@
     ASSERT_EQ(tasks_.size(), 2U);
   }
 
-  // Sends a request of a user; its reply is in answers_ under the number returned.
+  // Sends a user request and returns its number, under which answers_ holds the reply.
   std::uint64_t send_request(const std::string& method, const std::string& path,
                              const std::string& body = "") {
     const std::uint64_t request = next_++;
@@ -266,19 +269,21 @@
   sim::FakeStateService state_;
   FakeCloud cloud_{.machines = {{"n-1", "running"}}};
   std::map<std::uint64_t, HttpReply> answers_;
-  std::vector<std::pair<Ms, std::uint64_t>> timeouts_;  // calls that get no answer
+  // Time of the timeout and call id, for calls that get no reply.
+  std::vector<std::pair<Ms, std::uint64_t>> timeouts_;
   std::uint64_t next_ = 1, incarnation_ = 1, sequence_ = 0, token_ = 0;
   bool reachable_ = true, receives_replies_ = true, executes_commands_ = false;
-  std::string exit_cause_ = "stopped";  // of what has exited
-  // What the machine has: task and attempt, and whether it has exited.
+  std::string exit_cause_ = "stopped";  // cause that the worker reports for exited tasks
+  // The worker's tasks: whether the task has exited, by task name and attempt.
   std::map<std::pair<std::string, std::uint64_t>, bool> tasks_;
   int direct_commands_ = 0, starts_ = 0;
-  // Calls to the state service and to machines that are executed, but whose replies wait for
-  // release_replies().
+  // Selects the calls to the state service and to workers that are executed, but whose replies are
+  // delayed until release_replies().
   std::function<bool(const Call&)> delays_reply_;
   std::vector<std::pair<Call, HttpResult>> delayed_replies_;
-  bool replies_garbage_ = false;  // to all calls
-  // Calls to the state service whose path begins so are executed, and their replies lost; "": none.
+  bool replies_garbage_ = false;  // all calls get invalid replies
+  // Calls to the state service whose path starts with this text are executed, but their replies are
+  // lost; "": none.
   std::string lost_request_path_;
 };
 
