--- a/src/allocation/placement.cpp
+++ b/src/allocation/placement.cpp
@@ -75,11 +75,11 @@
 }  // namespace
 
 double predict_finish(Ms now, const Candidate& machine, const wire::JobSpec& job) {
-  const double wait = machine.fits(job) ? 0.0 : wait_until_fits(now, machine, resources_of(job));
+  const double wait_s = machine.fits(job) ? 0.0 : wait_until_fits(now, machine, resources_of(job));
   const bool has_image =
       std::find(machine.images.begin(), machine.images.end(), job.image) != machine.images.end();
-  const double fetch = has_image ? 0.0 : job.image_gb / std::max(0.01, machine.fetch_gb_per_s);
-  return wait + fetch + job.estimate_s;
+  const double fetch_s = has_image ? 0.0 : job.image_gb / std::max(0.01, machine.fetch_gb_per_s);
+  return wait_s + fetch_s + job.estimate_s;
 }
 
 int pick_of_two(Ms now, const std::vector<Candidate*>& machines, const wire::JobSpec& job,
--- a/src/allocation/placement.h
+++ b/src/allocation/placement.h
@@ -43,7 +43,9 @@
   void unbook(const wire::JobSpec& job, bool image_was_new);
 };
 
+// Whether the job's constraints allow a machine of this type and zone, spot or not.
 bool allowed(const wire::JobSpec& job, const std::string& type, const std::string& zone, bool spot);
+// Whether an empty machine of this type has room for a task of the job.
 bool type_fits(const wire::JobSpec& job, const wire::MachineType& type);
 
 // Returns the expected end, by the estimate, of a task that starts at `from`. Services have no
--- a/src/allocation/range_table.h
+++ b/src/allocation/range_table.h
@@ -23,14 +23,14 @@
 
 struct RangeState {
   bool write_in_progress = false;  // of the range's record
-  Ms retry_at = 0;
-  Ms first_seen_at = 0;                                         // first time with tasks to place
+  Ms retry_at = 0;                 // no placement and no write of the range before this time
+  Ms first_seen_at = 0;            // first time with tasks to place
   std::map<std::uint32_t, ReleasedTask> released;               // ended tasks, to be recorded
   Ms oldest_release_at = 0;                                     // of `released`; 0: none
   std::map<std::uint32_t, wire::Placement> pending_placements;  // write in progress
   std::uint32_t cursor = 0;                                     // no unstarted task before it
-  bool stop_requested = false;                                  // gang; to be recorded
-  std::string_view logged_wait_reason;                          // of a gang
+  bool stop_requested = false;                                  // stop of a gang, to be recorded
+  std::string_view logged_wait_reason;                          // what the gang waits for
   // A write of `pending_placements` got no answer and may still be applied. The placements count as
   // made until the record is written again, which invalidates the uncertain write.
   bool write_uncertain = false;
--- a/src/membership/cluster_view.cpp
+++ b/src/membership/cluster_view.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Low bits of a token below the epoch. They count the fences raised for one machine within one
-// epoch.
+// Number of low bits of a token that count the fences raised for one machine within one epoch; the
+// bits above them hold the epoch.
 constexpr int kFenceBits = 24;
 
 }  // namespace
@@ -63,7 +63,7 @@
 }
 
 void ClusterView::update(const wire::ViewRecord& view) {
-  known_ = true;
+  has_view_ = true;
   epoch_ = view.epoch;
   live_.clear();
   owners_.clear();
--- a/src/membership/cluster_view.h
+++ b/src/membership/cluster_view.h
@@ -28,7 +28,7 @@
 
   void update(const wire::ViewRecord& view);
   // Whether any view has been read.
-  bool has_view() const { return known_; }
+  bool has_view() const { return has_view_; }
   std::uint64_t epoch() const { return epoch_; }
   const std::vector<std::string>& live() const { return live_; }
   // Live controllers that may own machines and ranges.
@@ -40,8 +40,10 @@
   // Machines of zones without a controller are divided among all owners; an owner with fewer
   // machines in its own zone gets more of them.
   const std::string& machine_owner(const std::string& machine, const std::string& zone) const;
-  // A range stays with the recorded controller as long as that one may own ranges.
+  // A range stays with the recorded controller as long as that controller may own ranges; after
+  // that the owner is chosen by rendezvous hashing of the key.
   std::string range_owner(const std::string& key, const std::string& recorded) const;
+  // The live controller that performs a duty of the whole cluster.
   std::string leader_of(std::string_view duty) const {
     return pick_by_rendezvous_hash(duty, live_);
   }
@@ -52,10 +54,11 @@
 
  private:
   std::map<std::string, std::string> zone_of_;
-  bool known_ = false;
+  bool has_view_ = false;
   std::uint64_t epoch_ = 0;
   std::vector<std::string> live_;
-  std::vector<std::string> owners_;  // the live controllers that workers can reach
+  // The live controllers that workers can reach; all live controllers if workers can reach none.
+  std::vector<std::string> owners_;
   std::map<std::string, std::vector<std::string>> by_zone_;
   std::vector<std::string> zones_;
   // For each of owners_, its share of the machines in zones without a controller.
--- a/src/membership/context.h
+++ b/src/membership/context.h
@@ -60,11 +60,12 @@
   // Maximum size of a value in bytes, both now and after an announced change of the service's
   // limits.
   [[nodiscard]] double value_bytes() const { return settings.value_kb * 1024.0; }
-  // Maximum size in bytes of a value written by the previous version. Applies to this controller
-  // too until all controllers run the current version.
-  [[nodiscard]] double stored_value_bytes() const {
-    const double now = services_enabled() ? 0.0 : settings.current_value_kb * 1024.0;
-    return std::max(now, value_bytes());
+  // Maximum size in bytes of a record that can't be split. While controllers of the previous
+  // version may run, this is the service's current limit, up to which they write records;
+  // afterwards value_bytes().
+  [[nodiscard]] double unsplit_value_bytes() const {
+    const double current_limit = services_enabled() ? 0.0 : settings.current_value_kb * 1024.0;
+    return std::max(current_limit, value_bytes());
   }
   // Whether services may be accepted, because every controller can read their records.
   [[nodiscard]] bool services_enabled() const { return replica.format() >= wire::kServiceFormat; }
--- a/src/membership/controller_status.cpp
+++ b/src/membership/controller_status.cpp
@@ -9,8 +9,8 @@
 // less than a second.
 constexpr Ms kPauseThresholdMs = 2000;
 // Milliseconds after a detected pause within which the state service must report what has changed.
-// After that it counts as unreachable, and the controller renews its workers' leases as in an
-// outage.
+// After that the service counts as unreachable, and the controller renews its workers' leases as in
+// an outage.
 constexpr Ms kResynchroniseTimeoutMs = 1500;
 
 }  // namespace
--- a/src/membership/controller_status.h
+++ b/src/membership/controller_status.h
@@ -29,9 +29,9 @@
   [[nodiscard]] bool deposed(Ms now) const;
 
   // ---- process pauses ----
-  // Records an input. Returns the milliseconds since the last input if they mean that the process
-  // was paused: the process got no processor time, or the whole machine stopped, while clocks ran
-  // on.
+  // Records an input: a tick, request, reply or peer message. Returns the milliseconds since the
+  // last input if they mean that the process was paused: the process got no processor time, or the
+  // whole machine stopped, while clocks ran on.
   std::optional<Ms> observe_input(Ms now);
   // Records a detected pause and returns its number, counted from one.
   std::uint64_t begin_resynchronising(Ms now);
--- a/src/membership/membership_manager.cpp
+++ b/src/membership/membership_manager.cpp
@@ -88,7 +88,7 @@
   state_client.submit(std::move(transaction));
 }
 
-// Writes this controller's live record, which tells the other controllers that it acts on the
+// Writes this controller's live record, which shows the other controllers that it acts on the
 // current view and no longer answers workers that the view assigned to another controller. The
 // record is attached to the session lease, so it must be written again after the lease has expired.
 void MembershipManager::acknowledge(Ms now) {
--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -38,17 +38,18 @@
     }
     const double service_lack =
         std::min(std::max(0.0, own_used_ - own_lease()), in_.service_reserve.*field_);
-    const double others_services = service_demand_of_others(record_, in_.self, in_.live).*field_;
+    const double others_service_demand =
+        service_demand_of_others(record_, in_.self, in_.live).*field_;
     update_service_demand(service_lack);
     const double idle = own_lease() - own_used_;
-    if (others_services > free_ + kAmountSlack && idle > kAmountSlack) {
+    if (others_service_demand > free_ + kAmountSlack && idle > kAmountSlack) {
       // Guards against services that wait forever while arrays of the team take all capacity that
       // becomes free.
-      own_lease() -= std::min(idle, others_services - free_);
+      own_lease() -= std::min(idle, others_service_demand - free_);
       return true;
     }
     if (target_ > own_lease() + kAmountSlack) {
-      grow_lease(service_lack, others_services);
+      grow_lease(service_lack, others_service_demand);
     } else {
       return_idle();
     }
@@ -81,8 +82,8 @@
     for (const auto& [who, lease] : record_.leases) leased += lease.*field_;
     for (const auto& [who, demand] : record_.demand)
       if (who != in_.self) others_demand_ += demand.*field_;
-    // Guards against taking back capacity that this controller has just given up for another: it is
-    // the first controller to see that the capacity is free.
+    // Guards against taking back capacity that this controller has just given up for another
+    // controller: this controller is the first to see that the capacity is free.
     free_ = in_.leave_to_collector ? 0.0 : std::max(0.0, limit_ - leased);
     // This controller's entries are part of every record that it writes, even if they are zero.
     record_.leases.try_emplace(in_.self);
@@ -109,8 +110,8 @@
 
   // Adds free capacity to the lease, and records the missing amount as demand for other controllers
   // to see.
-  void grow_lease(double service_lack, double others_services) {
-    const double rest = std::max(0.0, free_ - service_lack - others_services);
+  void grow_lease(double service_lack, double others_service_demand) {
+    const double rest = std::max(0.0, free_ - service_lack - others_service_demand);
     const double needed = std::min(free_, service_lack) +
                           std::min(rest, std::max(0.0, target_ - own_lease() - service_lack));
     // While no other controller has demand, part of the remaining free capacity is leased as well,
--- a/src/quota/quota_leases.h
+++ b/src/quota/quota_leases.h
@@ -23,16 +23,17 @@
 
 struct QuotaLeaseInput {
   const Team* team = nullptr;
-  std::string self;
-  std::vector<std::string> live;
+  std::string self;               // name of this controller
+  std::vector<std::string> live;  // names of the live controllers
   // Usage by controller: recorded placements and, for `self`, also pending placements.
   std::map<std::string, wire::QuotaRecord::Amount> used;
-  wire::QuotaRecord::Amount need;  // demand of this controller's waiting tasks beyond its usage
+  // Demand of this controller's waiting tasks beyond its usage.
+  wire::QuotaRecord::Amount need;
   // Resources needed by this shard's replicas that have no machine. Included in the usage of
   // `self`, since they are reserved.
   wire::QuotaRecord::Amount service_reserve;
-  // The unused part of the lease is too small for any waiting work, and it is another controller's
-  // turn to collect.
+  // The unused part of the lease is to be given up: it is too small for any waiting work, and it is
+  // another controller's turn to collect.
   bool yield = false;
   // This controller gave up the unused part of its lease in the current turn and leaves it to the
   // controller whose turn it is.
@@ -59,8 +60,8 @@
 // True if the lease of `self` has capacity for the additional cpus and gpus.
 bool fits_in_lease(const Team& team, const wire::QuotaRecord& record, const std::string& self,
                    const wire::QuotaRecord::Amount& used, double cpus, double gpus);
-// Returns what the services of other live controllers lack; this goes before all other work of the
-// team.
+// Returns the resources that the services of other live controllers lack. These services take
+// precedence over all other work of the team.
 wire::QuotaRecord::Amount service_demand_of_others(const wire::QuotaRecord& record,
                                                    const std::string& self,
                                                    const std::vector<std::string>& live);
--- a/src/quota/quota_manager.cpp
+++ b/src/quota/quota_manager.cpp
@@ -24,10 +24,10 @@
   wire::QuotaRecord::Amount used_or_reserved = team_used->second;
   if (!spec.is_service()) {
     const Usage reserve = service_reserve_.for_team(spec.team);
-    const auto others_services = service_demand_of_others(record->second, context_.settings.name,
-                                                          context_.cluster_view.live());
-    used_or_reserved.cpus += reserve.cpus + others_services.cpus;
-    used_or_reserved.gpus += reserve.gpus + others_services.gpus;
+    const auto others_service_demand = service_demand_of_others(
+        record->second, context_.settings.name, context_.cluster_view.live());
+    used_or_reserved.cpus += reserve.cpus + others_service_demand.cpus;
+    used_or_reserved.gpus += reserve.gpus + others_service_demand.gpus;
   }
   return fits_in_lease(*team, record->second, context_.settings.name, used_or_reserved, spec.cpus,
                        spec.gpus);
@@ -51,8 +51,8 @@
 }
 
 void QuotaManager::tick(Ms now) {
-  if (!context_.can_write(now) || now < next_check_) return;
-  next_check_ = now + kQuotaCheckIntervalMs;
+  if (!context_.can_write(now) || now < next_check_at_) return;
+  next_check_at_ = now + kQuotaCheckIntervalMs;
   for (const Team& team : context_.settings.teams) {
     const bool settled = !write_in_flight(team.name) || uncertain_writes_.contains(team.name);
     if (has_quota_limit(team) && settled) update_team(now, team);
--- a/src/quota/quota_manager.h
+++ b/src/quota/quota_manager.h
@@ -61,7 +61,7 @@
   const RangeTable& ranges_;
   const ServiceReserve& service_reserve_;
   PassTrigger& pass_trigger_;
-  Ms next_check_ = 0;
+  Ms next_check_at_ = 0;
   // By team:
   std::map<std::string, bool> write_in_flight_;
   std::set<std::string> uncertain_writes_;  // in flight until written again
--- a/src/scheduling/array_placement.h
+++ b/src/scheduling/array_placement.h
@@ -48,8 +48,9 @@
   // Machines with free capacity that are sampled before all other machines for the tasks of one
   // range.
   struct PreferredMachines {
-    std::vector<int> with_image;            // hold the image; filled if its fetch is long
-    std::vector<int> unsuitable_for_gangs;  // spot or in use; filled while such gangs wait
+    std::vector<int> with_image;  // hold the image; filled if its fetch is long
+    // Spot machines and machines in use; filled while a live gang needs whole machines.
+    std::vector<int> unsuitable_for_gangs;
   };
 
   // Machines on which the tasks of one range may be placed.
--- a/src/scheduling/candidate_cache.cpp
+++ b/src/scheduling/candidate_cache.cpp
@@ -93,10 +93,10 @@
     if (machines_.contains(id) || record.incarnation == 0 ||
         record.state != wire::MachineState::ready)
       continue;
-    auto known = remote_candidates_.find(id);
-    if (known == remote_candidates_.end())
-      known = remote_candidates_.emplace(id, remote_candidate(pass.now, id, record)).first;
-    pass.candidates.push_back(&known->second);
+    auto cached = remote_candidates_.find(id);
+    if (cached == remote_candidates_.end())
+      cached = remote_candidates_.emplace(id, remote_candidate(pass.now, id, record)).first;
+    pass.candidates.push_back(&cached->second);
     pass.zones.insert(record.zone);
   }
 }
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -15,8 +15,8 @@
 // Machines sampled to find the one where preemption loses the least work.
 constexpr int kSampledMachinesPerPreemption = 20;
 // Minimum remaining run time in seconds of a low-priority task for standard work to preempt it;
-// high and production work preempts any. For shorter times, waiting costs less than checkpointing,
-// fetching and repeating.
+// high and production work preempts any task. For shorter times, waiting costs less than
+// checkpointing, fetching and repeating.
 constexpr double kMinVictimRemainingS = 300.0;
 
 // Seconds; means that no objective limits the start time.
@@ -81,9 +81,9 @@
       spec.estimate_s - ran_s < kMinVictimRemainingS)
     return std::nullopt;
   const bool has_checkpoints = spec.checkpoint_interval_s > 0;
-  // Tasks without checkpoints that have run for longer are preempted only for urgent work: machines
-  // become free every second, and the lost work outweighs waiting until little time is left
-  // (docs/results.md, round 7).
+  // Tasks without checkpoints that have run for more than kNegligibleRunTimeS are preempted only
+  // for urgent work: machines become free every second, and the lost work outweighs waiting until
+  // little time is left (docs/results.md, round 7).
   if (!request.is_urgent && !has_checkpoints && ran_s > kNegligibleRunTimeS) return std::nullopt;
   const bool checkpoint_in_time =
       has_checkpoints && spec.checkpoint_write_s + 1.0 < request.wait_objective_s / 2;
--- a/src/scheduling/preemption.h
+++ b/src/scheduling/preemption.h
@@ -34,7 +34,7 @@
   struct Victim {
     wire::TaskId task;
     std::uint64_t attempt = 0;
-    double grace_s = 0;
+    double grace_s = 0;     // seconds to write a checkpoint before the stop
     double lost_cpu_s = 0;  // CPU seconds of work lost
     const wire::JobSpec* spec = nullptr;
   };
--- a/src/scheduling/range_planner.cpp
+++ b/src/scheduling/range_planner.cpp
@@ -36,8 +36,8 @@
 }
 
 std::size_t RangePlanner::max_ranges() const {
-  // Besides the ranges, the transaction that ends a job has the view, the job and its final state
-  // as conditions.
+  // Conditions kept free for other keys than ranges: the transaction that ends a job also compares
+  // the view, the job and its final state.
   constexpr std::size_t kOtherConditions = 4;
   const std::size_t conditions =
       static_cast<std::size_t>(context_.settings.txn_ops) * wire::kConditionsPerWrite;
--- a/src/scheduling/range_writer.cpp
+++ b/src/scheduling/range_writer.cpp
@@ -46,7 +46,8 @@
          (waited >= kCompletionBatchDelayMs && context_.state_client.has_write_headroom(now));
 }
 
-// Adds released tasks to the record. Returns false if all of them are already recorded.
+// Records the released tasks: removes their placements from the record and marks completed tasks as
+// done. Returns false if all of them are already recorded.
 bool RangeWriter::record_completions(const wire::JobSpec& spec, RangeState& state,
                                      wire::RangeRecord& record) {
   bool changed = false;
@@ -72,7 +73,7 @@
 }
 
 // Marks the record of a gang as stopping if a stop was requested, and clears the mark when no task
-// is placed any more.
+// is placed any more. Returns true if the gang has been marked.
 bool RangeWriter::record_stop(const wire::JobSpec& spec, const RangeState& state,
                               wire::RangeRecord& record) {
   const bool stop = state.stop_requested && spec.is_gang() && !record.placed.empty() &&
@@ -133,19 +134,19 @@
           context_.state_client.unchanged(wire::range_key(spec.id, number)));
 }
 
-// Adds the writes of the record to the transaction, split into several records if it is too large.
-// Returns false if it cannot be written within the limits now; it can be written after more of its
-// tasks have ended.
+// Adds the write of the record to the transaction, split into several records if the record is too
+// large. Returns false if the record cannot be written within the limits now; it can be written
+// after more of its tasks have ended.
 bool RangeWriter::write_pieces(const Job& job, const wire::RangeRecord& record,
                                Transaction& transaction) {
   const auto limit = static_cast<std::size_t>(context_.value_bytes());
   const wire::JobSpec& spec = job.record.spec;
   const std::string key = wire::range_key(spec.id, record.number);
   if (spec.is_gang()) {
-    // A gang is placed and ends as a whole, so its record is not split. Earlier versions may have
-    // written larger records.
+    // A gang is placed and ends as a whole, so its record is not split. The previous version may
+    // have written records larger than `limit`.
     const std::string value = encode(record);
-    if (static_cast<double>(value.size()) > context_.stored_value_bytes()) return false;
+    if (static_cast<double>(value.size()) > context_.unsplit_value_bytes()) return false;
     transaction.writes.push_back({key, value, std::nullopt});
     return true;
   }
@@ -231,7 +232,8 @@
   pass_trigger_.request();
   const bool not_executed = result == TxnResult::refused || result == TxnResult::rejected;
   if (result == TxnResult::unknown) {
-    // Guards against a write that is applied late and uses a lease or a machine a second time.
+    // Guards against a late application of this write, whose placements would use quota or a
+    // machine that has been given to other tasks in the meantime.
     state.write_uncertain = true;
   } else if (result == TxnResult::committed || (not_executed && !state.write_uncertain)) {
     candidate_cache_.clear_pending_placements(state);
--- a/src/scheduling/scheduling_pass.h
+++ b/src/scheduling/scheduling_pass.h
@@ -36,12 +36,12 @@
   Ms now = 0;
   std::vector<Candidate*> candidates;  // this shard's usable machines first
   std::size_t local_machines = 0;      // number of this shard's candidates
-  bool remote_added = false;
+  bool remote_added = false;           // `candidates` includes other shards' machines
   std::map<MachineFilter, std::vector<int>> eligible_by_filter;
   std::set<std::string> zones;  // zones of all candidates
   int remaining_placements = 0;
   int remaining_writes = 0;                               // writes that may still be queued
-  std::map<std::string, wire::QuotaRecord::Amount> used;  // of own quota leases, by team
+  std::map<std::string, wire::QuotaRecord::Amount> used;  // usage of own quota leases, by team
   std::map<std::string, Usage> team_usage;                // over all shards, at pass start
   bool whole_machine_gangs = false;                       // a live gang needs whole machines
   std::set<int> reserved;                                 // machines kept for work that must start
--- a/src/scheduling/service_placement.h
+++ b/src/scheduling/service_placement.h
@@ -48,9 +48,11 @@
     wire::TaskId replica;
     std::set<std::string> occupied;              // machines that have a replica of the job
     std::optional<std::set<std::string>> zones;  // unset: any zone
-    std::optional<Ms> avoid_failures_ms = kFailureMemoryMs;  // of the job within this time
-    bool without_replica = false;                            // not where the job has a replica
-    bool contacted_recently = false;                         // only machines in recent contact
+    // Excludes machines where the job failed within this time and machines that keep a result of
+    // the replica; unset: excludes neither.
+    std::optional<Ms> avoid_failures_ms = kFailureMemoryMs;
+    bool without_replica = false;     // not where the job has a replica
+    bool contacted_recently = false;  // only machines in recent contact
   };
 
   // Returns the machine for one more replica, or -1. Each choice samples two machines (placement.h)
--- a/src/scheduling/start_deadlines.cpp
+++ b/src/scheduling/start_deadlines.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Remaining seconds to start a task in time below which running work may be lost to preemption for
-// it.
+// that task.
 constexpr double kUrgentStartWindowS = 6.0;
 // Minimum CPUs per task when the amount of waiting work is computed.
 constexpr double kMinCpusCounted = 0.1;
--- a/src/scheduling/start_deadlines.h
+++ b/src/scheduling/start_deadlines.h
@@ -12,7 +12,8 @@
 // objective that it can still meet. `age_s`: seconds since its submission.
 PendingJob pending_job(const Settings& settings, const Job& job, double age_s);
 
-// True if little time is left to start tasks of the job for the next objective of its class.
+// True for services, and for other jobs if little time is left to start tasks of the job for the
+// next objective of its class that can still be met.
 bool is_urgent(const Settings& settings, const wire::JobSpec& spec, double age_s);
 
 }  // namespace scheduler
--- a/src/scheduling/work_stealing.cpp
+++ b/src/scheduling/work_stealing.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Number of unstarted tasks from which another shard may take over tasks after the short delay
-// below, and the delay in milliseconds for fewer tasks.
+// A range with fewer waiting tasks than kMinTasksForEarlySteal must have waited for
+// kStealFewTasksDelayMs milliseconds before another shard may take tasks from it.
 constexpr std::size_t kMinTasksForEarlySteal = 8;
 constexpr std::int64_t kStealFewTasksDelayMs = 3000;
-// Milliseconds for which a range must have waited unstarted before another shard may take tasks
-// from it: the owner, which learns of the range first, gets the first attempt.
+// Milliseconds for which a range with more waiting tasks must have waited: the owner, which
+// receives the range first, gets the first attempt.
 constexpr std::int64_t kStealDelayMs = 400;
 
 }  // namespace
--- a/src/scheduling/work_stealing.h
+++ b/src/scheduling/work_stealing.h
@@ -49,7 +49,7 @@
   // Whether the range's owner has had enough time to place its tasks.
   bool has_waited_long_enough(Ms now, const RangeId& id, const wire::RangeRecord& range);
   // Number of the job's tasks that this controller's shard has capacity for; computed once per pass
-  // for each Shape.
+  // for each SchedulingPass::TaskShape.
   static double free_capacity_for(SchedulingPass& pass, const wire::JobSpec& spec);
   void write_stolen_range(const RangeId& from, std::uint32_t first_task, const RangeId& to);
 
--- a/src/state/barrier_reads.h
+++ b/src/state/barrier_reads.h
@@ -18,8 +18,8 @@
 // holds every change up to that revision. Reading the replica afterwards is linearizable: it
 // returns everything written before the barrier read began. All barrier reads that are queued when
 // a request is sent share that request. Owns the queued reads and the reads that wait for the
-// watch. If no request to the service has completed for a while, a barrier request is sent as a
-// probe of the link.
+// watch. If no request to the service has succeeded or failed for kLeaseRenewalMs (kStateProbeMs
+// while the service doesn't answer), a barrier request is sent as a probe of the link.
 class BarrierReads {
  public:
   using Done = std::function<void(Ms now, bool succeeded)>;
--- a/src/state/key_versions.h
+++ b/src/state/key_versions.h
@@ -12,7 +12,7 @@
 namespace scheduler {
 
 // Owns the version of every existing key, and a tombstone for each recently deleted key. Changes of
-// a key arrive by three ways that may overtake each other: pages of a full read, the watch, and
+// a key arrive in three ways that may overtake each other: pages of a full read, the watch, and
 // replies to this controller's own transactions. The version of a key only ever increases. Guards
 // against an older value replacing a newer one, and against an older change recreating a deleted
 // key.
--- a/src/state/machine_index.cpp
+++ b/src/state/machine_index.cpp
@@ -54,12 +54,12 @@
   wire::MachineRecord merged_record = fleet_.at(group).machines.at(id);
   auto contacts = contacts_.find(id);
   if (contacts == contacts_.end()) return merged_record;
-  std::uint64_t newest = 0;
+  std::uint64_t newest_epoch = 0;
   for (const auto& [shard, contact] : contacts->second) {
-    if (contact.epoch >= newest) {
+    if (contact.epoch >= newest_epoch) {
       // Use the incarnation of the newest epoch, not the highest incarnation: a restarted machine
       // counts its incarnations from one again.
-      newest = contact.epoch;
+      newest_epoch = contact.epoch;
       merged_record.incarnation = contact.incarnation;
       if (!contact.address.empty()) merged_record.address = contact.address;
     }
--- a/src/state/replica.cpp
+++ b/src/state/replica.cpp
@@ -130,17 +130,17 @@
 
 // Adds the ranges that the job's record assigned at submission and that have no range record yet.
 void Replica::add_unrecorded_ranges(const std::string& id, Job& job) {
-  for (const auto& share : job.record.initial_ranges) {
-    auto [range, added] = job.ranges.try_emplace(share.number);
+  for (const auto& initial_range : job.record.initial_ranges) {
+    auto [range, added] = job.ranges.try_emplace(initial_range.number);
     if (!added) continue;
     wire::RangeRecord& r = range->second;
     r.job = id;
-    r.number = share.number;
-    r.owner = share.owner;
-    r.begin = share.begin;
-    r.end = share.end;
-    r.done.assign(share.end - share.begin, false);
-    job.unrecorded_ranges.insert(share.number);
+    r.number = initial_range.number;
+    r.owner = initial_range.owner;
+    r.begin = initial_range.begin;
+    r.end = initial_range.end;
+    r.done.assign(initial_range.end - initial_range.begin, false);
+    job.unrecorded_ranges.insert(initial_range.number);
   }
 }
 
--- a/src/state/replica.h
+++ b/src/state/replica.h
@@ -37,9 +37,9 @@
 };
 
 // This controller's replica of the stored records. It changes only by apply(), one record at a time
-// and with the keys in any order, and by remember_final_state() for final states, which the watch
-// doesn't replay. Consumers fetch the pending changes with the take_*changed*() functions; a change
-// stays pending until it is fetched.
+// and with the keys in any order, and by remember_final_state() for older final states, which
+// neither the full read nor the watch delivers. Consumers fetch the pending changes with the
+// take_*changed*() functions; a change stays pending until it is fetched.
 class Replica {
  public:
   // Applies a new value of a record, or its deletion. Returns false if the record can't be decoded;
@@ -143,7 +143,7 @@
   wire::FormatRecord format_;
   std::unordered_map<std::string, Job> jobs_;
   std::unordered_map<std::string, wire::FinalStateRecord> final_states_;
-  std::deque<std::string> final_state_order_;
+  std::deque<std::string> final_state_order_;  // ids of jobs, oldest cache entry first
   MachineIndex machine_index_;
   PlacementIndex placements_;
 
--- a/src/state/replica_feed.h
+++ b/src/state/replica_feed.h
@@ -40,7 +40,7 @@
 
   // Records a revision that a reply has named.
   void record_revision(Ms now, std::uint64_t revision);
-  // Whether the replica has lacked changes that a reply has named for more than `limit_ms`
+  // Whether the replica has lacked a revision named by a reply for more than `limit_ms`
   // milliseconds.
   bool is_behind_longer_than(Ms now, Ms limit_ms) const {
     return newest_known_revision_ > applied_revision_ && now - behind_since_ > limit_ms;
--- a/src/state/session_lease.h
+++ b/src/state/session_lease.h
@@ -14,7 +14,7 @@
 constexpr std::int64_t kLeaseRenewalMs = 1200;
 
 // Acquires a session lease, renews it, and acquires a new one after it has expired. The service
-// deletes the keys attached to a lease when the lease expires, which tells the other controllers
+// deletes the keys attached to a lease when the lease expires, which shows the other controllers
 // that this controller is gone. Owns the id of the lease.
 class SessionLease {
  public:
@@ -23,7 +23,7 @@
 
   // Acquires or renews the lease if that is due.
   void tick(Ms now);
-  // Handles a lease that the service no longer knows: the next tick acquires a new one.
+  // Records that the lease no longer exists at the service; the next tick acquires a new one.
   void mark_expired(Ms now);
   // Makes the next tick renew the lease, since a process pause may have lasted longer than the
   // lease.
--- a/src/state/state_client.h
+++ b/src/state/state_client.h
@@ -75,8 +75,9 @@
   // Queues a transaction; its `done` is called exactly once.
   void submit(Transaction transaction) { transactions_.submit(std::move(transaction)); }
   std::size_t queued() const { return transactions_.size(); }
-  // Number of replies that rejected a transaction for its size, and of replies that exceeded the
-  // service's rate.
+  // Number of replies that rejected a request with status 400, usually because a transaction is
+  // over the service's limits (not counting expired leases), and of replies with status 429, which
+  // means that the service's rate was exceeded.
   std::uint64_t rejections() const { return transactions_.rejections(); }
   std::uint64_t throttles() const { return transactions_.throttles(); }
   // Whether no transaction waits and enough of the write rate is left for background writes.
--- a/src/state/state_log.h
+++ b/src/state/state_log.h
@@ -29,7 +29,7 @@
   // request.
   void read(Ms now, Ms sent_at, std::string_view kind, std::uint64_t revision,
             std::size_t count) const;
-  // `revision`: 0 if the transaction was not committed.
+  // `revision`: 0 if the transaction was not committed; `first_key`: key of its first write.
   void transaction(Ms now, Ms sent_at, int status, std::uint64_t revision,
                    std::string_view first_key) const;
   void conflict(const std::vector<std::string>& failed_keys) const;
--- a/src/state/transaction.h
+++ b/src/state/transaction.h
@@ -11,8 +11,8 @@
 
 namespace scheduler {
 
-// Milliseconds before a refused write is retried. Outages of the service are either over within a
-// moment or last long.
+// Milliseconds before a refused write is retried. An outage of the service either ends within a
+// moment, so that a short delay suffices, or lasts long.
 constexpr std::int64_t kRefusedRetryDelayMs = 250;
 // Milliseconds before a rejection for size is reported to the submitter, and before a change that
 // is too large is retried. A retry can only succeed once the change has become smaller.
--- a/src/state/transaction_group.h
+++ b/src/state/transaction_group.h
@@ -12,7 +12,7 @@
 
 // Collects transactions that can be committed in one request: together they are within the
 // service's limits on a transaction, and none reads or writes a key that an earlier one writes.
-// Guards against using one request of the rate for each of many small changes.
+// Guards against spending a request of the limited rate on each of many small changes.
 class TransactionGroup {
  public:
   // The size that a transaction would add to the group.
--- a/src/state/transaction_queue.cpp
+++ b/src/state/transaction_queue.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Maximum number of groups in flight: one slow reply must not hold up all other groups.
-constexpr int kGroupsInFlight = 3;
+constexpr int kMaxGroupsInFlight = 3;
 // Milliseconds between ticks while transactions are queued. More frequent ticks would cost more
 // processor time for waking up than for the work.
 constexpr std::int64_t kBusyTickMs = 20;
@@ -52,12 +52,12 @@
 }
 
 Ms TransactionQueue::next_tick(Ms now) const {
-  if (queue_.empty() || in_flight_ >= kGroupsInFlight) return kNever;
+  if (queue_.empty() || in_flight_ >= kMaxGroupsInFlight) return kNever;
   return std::max({send_after_, components_.connection.throttled_until(), now + kBusyTickMs});
 }
 
 bool TransactionQueue::has_write_headroom(Ms now) const {
-  return queue_.empty() && in_flight_ < kGroupsInFlight && budget_.has_headroom(now);
+  return queue_.empty() && in_flight_ < kMaxGroupsInFlight && budget_.has_headroom(now);
 }
 
 // ---- forming groups ----
@@ -72,7 +72,7 @@
 
   budget_.refill(now);
   std::vector<Transaction> oversize;
-  while (!queue_.empty() && in_flight_ < kGroupsInFlight && now >= send_after_) {
+  while (!queue_.empty() && in_flight_ < kMaxGroupsInFlight && now >= send_after_) {
     TransactionGroup group = form_group(oversize);
     if (group.empty()) break;
     budget_.spend(group.writes());
@@ -97,8 +97,8 @@
   report_result(now, refused, TxnResult::refused);
 }
 
-// Removes from the queue the transactions that can be sent together now, and into `oversize` those
-// that can never be sent.
+// Moves the transactions that can be sent together now from the queue into the returned group, and
+// those that can never be sent into `oversize`.
 TransactionGroup TransactionQueue::form_group(std::vector<Transaction>& oversize) {
   TransactionGroup group(static_cast<std::size_t>(std::max(1, components_.settings.txn_ops)));
   for (std::size_t i = 0; i < queue_.size();) {
--- a/src/state/transaction_queue.h
+++ b/src/state/transaction_queue.h
@@ -52,8 +52,9 @@
   [[nodiscard]] std::size_t size() const { return queue_.size(); }
   // Whether no transaction waits and enough of the write rate is left for background writes.
   [[nodiscard]] bool has_write_headroom(Ms now) const;
-  // Number of replies that rejected a transaction for its size, and of replies that exceeded the
-  // service's rate.
+  // Number of replies that rejected a request with status 400, usually because a transaction is
+  // over the service's limits (not counting expired leases), and of replies with status 429, which
+  // means that the service's rate was exceeded.
   [[nodiscard]] std::uint64_t rejections() const { return rejections_; }
   [[nodiscard]] std::uint64_t throttles() const { return throttles_; }
 
--- a/src/state/watch_stream.cpp
+++ b/src/state/watch_stream.cpp
@@ -12,8 +12,8 @@
 constexpr std::int64_t kWatchDurationMs = 10000;
 // Milliseconds after the end of kWatchDurationMs after which a watch counts as lost.
 constexpr std::int64_t kWatchGraceMs = 2500;
-// Milliseconds for which the watch may lack a revision that another reply has named before the
-// watch is reopened; usually it lacks it for a few tens of milliseconds.
+// Milliseconds for which the watch may lag behind a revision named by another reply before the
+// watch is reopened; the usual lag is a few tens of milliseconds.
 constexpr std::int64_t kMaxWatchLagMs = 800;
 
 }  // namespace
@@ -53,8 +53,9 @@
   if (generation != generation_) return;
   open_ = false;
   open_after_ = std::max(now, opened_at_ + rates_.watch_interval());
-  // The watch fell behind during a long interruption of the link. Read all records again instead of
-  // endlessly requesting a reply that only grows.
+  // The watch fell behind during a long interruption of the link: the service no longer keeps all
+  // changes since the applied revision (status 410), or they exceed the maximum reply size. Read
+  // all records again instead of endlessly requesting a reply that only grows.
   if (http_result.status == 410 || http_result.status == kReplyTooLarge) {
     log_.info("watch fell behind; reading the state again");
     events_.on_fell_behind(now);
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -173,10 +173,10 @@
   wire::JobSpec large = spec();
   large.tasks = 20'000;
   std::uint32_t next = 0;
-  for (const auto& share : planner.split_into_ranges(large)) {
-    EXPECT_EQ(share.begin, next);
-    EXPECT_GT(share.end, share.begin);
-    next = share.end;
+  for (const auto& initial_range : planner.split_into_ranges(large)) {
+    EXPECT_EQ(initial_range.begin, next);
+    EXPECT_GT(initial_range.end, initial_range.begin);
+    next = initial_range.end;
   }
   EXPECT_EQ(next, large.tasks);
 }
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -432,7 +432,7 @@
   EXPECT_FALSE(state_.items.contains("job/a"));
 }
 
-TEST_F(StateClientTest, OversizedTransactionIsRejectedAfterThePauseWithoutHoldingUpOthers) {
+TEST_F(StateClientTest, OversizedTransactionIsRejectedAfterADelayWithoutHoldingUpOthers) {
   settings_.txn_ops = 4;
   run(1000);
   Transaction large = write("job/large");
