--- a/src/history/checker.cpp
+++ b/src/history/checker.cpp
@@ -38,7 +38,7 @@
   std::visit([this, at](const auto& e) { apply(at, e); }, event);
 }
 
-void Checker::apply(Ms at, const Accepted& event) {
+void Checker::apply(Ms at, const JobAccepted& event) {
   JobHistory& job = jobs_[event.job];
   if (job.accepted) return;
   job.accepted = true;
@@ -50,7 +50,7 @@
 
 // A request that was sent before a user received the final state may still be answered with an
 // unfinished state afterwards; that is no fault.
-void Checker::apply(Ms at, const Answered& event) {
+void Checker::apply(Ms at, const JobStateReported& event) {
   JobHistory& job = jobs_[event.job];
   const bool done = event.state == wire::JobState::done;
   const bool cancelled = event.state == wire::JobState::cancelled;
@@ -74,18 +74,18 @@
   job.reported_at = at;
 }
 
-void Checker::apply(Ms at, const AnsweredUnknown& event) {
+void Checker::apply(Ms at, const JobUnknownReported& event) {
   const JobHistory& job = jobs_[event.job];
   if (job.accepted && event.request_sent_at > job.accepted_at)
     add_finding(Fault::older_answer, at,
                 event.job + " is reported as unknown after it was accepted");
 }
 
-void Checker::apply(Ms /*at*/, const CancelAsked& event) {
+void Checker::apply(Ms /*at*/, const CancelRequested& event) {
   jobs_[event.job].cancel_requested = true;
 }
 
-void Checker::apply(Ms at, const TaskBegan& event) {
+void Checker::apply(Ms at, const TaskStarted& event) {
   const std::string task = wire::task_name(event.task.job, event.task.index);
   std::set<std::string>& machines = machines_by_task_[event.task];
   for (const auto& other : machines)
--- a/src/history/checker.h
+++ b/src/history/checker.h
@@ -58,11 +58,11 @@
     std::set<std::uint32_t> completed;
   };
 
-  void apply(Ms at, const Accepted& event);
-  void apply(Ms at, const Answered& event);
-  void apply(Ms at, const AnsweredUnknown& event);
-  void apply(Ms at, const CancelAsked& event);
-  void apply(Ms at, const TaskBegan& event);
+  void apply(Ms at, const JobAccepted& event);
+  void apply(Ms at, const JobStateReported& event);
+  void apply(Ms at, const JobUnknownReported& event);
+  void apply(Ms at, const CancelRequested& event);
+  void apply(Ms at, const TaskStarted& event);
   void apply(Ms at, const TaskEnded& event);
   void apply(Ms at, const ResultRecorded& event);
   void apply(Ms at, const ResultRemoved& event);
--- a/src/history/event.h
+++ b/src/history/event.h
@@ -13,32 +13,32 @@
 using Ms = std::int64_t;  // milliseconds since the start of the history; all events use one clock
 
 // A user received the reply that the job is accepted.
-struct Accepted {
+struct JobAccepted {
   std::string job;
   std::uint32_t tasks = 0;
   bool service = false;  // runs until it is cancelled
 };
 
 // A user received the state of a job, in reply to a request sent at `request_sent_at`.
-struct Answered {
+struct JobStateReported {
   std::string job;
   wire::JobState state = wire::JobState::queued;
   Ms request_sent_at = 0;
 };
 
 // A user received the reply that no such job exists, to a request sent at `request_sent_at`.
-struct AnsweredUnknown {
+struct JobUnknownReported {
   std::string job;
   Ms request_sent_at = 0;
 };
 
 // A user sent the first request to cancel the job.
-struct CancelAsked {
+struct CancelRequested {
   std::string job;
 };
 
 // A worker has begun to run a task, with its image, on its machine.
-struct TaskBegan {
+struct TaskStarted {
   wire::TaskId task;
   std::string machine;
 };
@@ -59,7 +59,7 @@
   std::string job;
 };
 
-using Event = std::variant<Accepted, Answered, AnsweredUnknown, CancelAsked, TaskBegan, TaskEnded,
-                           ResultRecorded, ResultRemoved>;
+using Event = std::variant<JobAccepted, JobStateReported, JobUnknownReported, CancelRequested,
+                           TaskStarted, TaskEnded, ResultRecorded, ResultRemoved>;
 
 }  // namespace scheduler::history
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -18,26 +18,26 @@
 
 // A job of two tasks completes. The second task loses its machine and restarts on another.
 std::vector<std::pair<Ms, Event>> completed_job() {
-  return {{100, Accepted{kJob, 2, false}},
-          {200, TaskBegan{kFirst, "n-1"}},
-          {210, TaskBegan{kSecond, "n-2"}},
-          {300, Answered{kJob, JobState::running, 290}},
+  return {{100, JobAccepted{kJob, 2, false}},
+          {200, TaskStarted{kFirst, "n-1"}},
+          {210, TaskStarted{kSecond, "n-2"}},
+          {300, JobStateReported{kJob, JobState::running, 290}},
           {400, TaskEnded{kSecond, "n-2", false}},
-          {500, TaskBegan{kSecond, "n-3"}},
+          {500, TaskStarted{kSecond, "n-3"}},
           {600, TaskEnded{kFirst, "n-1", true}},
           {700, TaskEnded{kSecond, "n-3", true}},
           {720, ResultRecorded{kJob, true}},
-          {800, Answered{kJob, JobState::done, 790}},
+          {800, JobStateReported{kJob, JobState::done, 790}},
           // The request was sent before the job was done, and answered late.
-          {810, Answered{kJob, JobState::running, 650}}};
+          {810, JobStateReported{kJob, JobState::running, 650}}};
 }
 
 std::vector<std::pair<Ms, Event>> cancelled_job() {
-  return {{100, Accepted{kJob, 2, false}},
-          {200, TaskBegan{kFirst, "n-1"}},
-          {300, CancelAsked{kJob}},
+  return {{100, JobAccepted{kJob, 2, false}},
+          {200, TaskStarted{kFirst, "n-1"}},
+          {300, CancelRequested{kJob}},
           {400, TaskEnded{kFirst, "n-1", false}},
-          {410, Answered{kJob, JobState::cancelled, 300}},
+          {410, JobStateReported{kJob, JobState::cancelled, 300}},
           {450, ResultRecorded{kJob, false}}};
 }
 
@@ -69,7 +69,7 @@
   EXPECT_TRUE(detected_faults(completed_job()).empty());
   EXPECT_TRUE(detected_faults(cancelled_job()).empty());
   // Another controller sends an equal reply and writes an equal record.
-  auto repeated = with_event(completed_job(), 900, Answered{kJob, JobState::done, 850});
+  auto repeated = with_event(completed_job(), 900, JobStateReported{kJob, JobState::done, 850});
   EXPECT_TRUE(detected_faults(with_event(repeated, 910, ResultRecorded{kJob, true})).empty());
 }
 
@@ -84,9 +84,9 @@
 }
 
 TEST(HistoryChecker, DetectsAChangedResult) {
-  const auto cancel_requested = with_event(completed_job(), 640, CancelAsked{kJob});
-  const auto detected =
-      detected_faults(with_event(cancel_requested, 900, Answered{kJob, JobState::cancelled, 890}));
+  const auto cancel_requested = with_event(completed_job(), 640, CancelRequested{kJob});
+  const auto detected = detected_faults(
+      with_event(cancel_requested, 900, JobStateReported{kJob, JobState::cancelled, 890}));
   EXPECT_EQ(detected, (std::vector<Fault>{Fault::result_changed, Fault::answer_unrecorded}));
 }
 
@@ -98,28 +98,31 @@
 }
 
 TEST(HistoryChecker, DetectsStaleReplies) {
-  EXPECT_TRUE(has_only(with_event(completed_job(), 950, Answered{kJob, JobState::running, 940}),
-                       Fault::older_answer));
   EXPECT_TRUE(
-      has_only(with_event(completed_job(), 950, AnsweredUnknown{kJob, 940}), Fault::older_answer));
+      has_only(with_event(completed_job(), 950, JobStateReported{kJob, JobState::running, 940}),
+               Fault::older_answer));
+  EXPECT_TRUE(has_only(with_event(completed_job(), 950, JobUnknownReported{kJob, 940}),
+                       Fault::older_answer));
   // The request was sent before the job was accepted.
-  EXPECT_TRUE(detected_faults(with_event(completed_job(), 950, AnsweredUnknown{kJob, 90})).empty());
+  EXPECT_TRUE(
+      detected_faults(with_event(completed_job(), 950, JobUnknownReported{kJob, 90})).empty());
 }
 
 TEST(HistoryChecker, DetectsDoneBeforeEveryTaskHasCompleted) {
   EXPECT_TRUE(has_only(with_event(completed_job(), 650, ResultRecorded{kJob, true}),
                        Fault::done_too_early));
-  EXPECT_TRUE(has_only(with_event(completed_job(), 650, Answered{kJob, JobState::done, 640}),
-                       Fault::done_too_early));
+  EXPECT_TRUE(
+      has_only(with_event(completed_job(), 650, JobStateReported{kJob, JobState::done, 640}),
+               Fault::done_too_early));
 }
 
 TEST(HistoryChecker, DetectsATaskThatRunsTwice) {
   EXPECT_TRUE(
-      has_only(with_event(completed_job(), 550, TaskBegan{kSecond, "n-4"}), Fault::ran_twice));
+      has_only(with_event(completed_job(), 550, TaskStarted{kSecond, "n-4"}), Fault::ran_twice));
 }
 
 TEST(HistoryChecker, DetectsAStartAfterAConfirmedCancellation) {
-  EXPECT_TRUE(has_only(with_event(cancelled_job(), 420, TaskBegan{kSecond, "n-2"}),
+  EXPECT_TRUE(has_only(with_event(cancelled_job(), 420, TaskStarted{kSecond, "n-2"}),
                        Fault::started_cancelled));
 }
 
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -212,11 +212,11 @@
 void SimulatedCluster::on_job_state(const std::string& id, const std::string& status,
                                     Ms requested_at) {
   auto& job = jobs_.at(id);
-  history_.add(now_, history::Answered{id,
-                                       status == "done"        ? wire::JobState::done
-                                       : status == "withdrawn" ? wire::JobState::cancelled
-                                                               : wire::JobState::running,
-                                       requested_at});
+  history_.add(now_, history::JobStateReported{id,
+                                               status == "done"        ? wire::JobState::done
+                                               : status == "withdrawn" ? wire::JobState::cancelled
+                                                                       : wire::JobState::running,
+                                               requested_at});
   if (status == "done") {
     if (job.spec.is_service()) report_violation("not_done", id + " is a service");
     if (job.completed.size() < job.spec.tasks) report_violation("not_done", id);
--- a/tests/sim/tasks.cpp
+++ b/tests/sim/tasks.cpp
@@ -133,7 +133,7 @@
     lease_expired_at_.erase(lost);
   }
   t.active = true;
-  history_.add(now_, history::TaskBegan{task, w.id});
+  history_.add(now_, history::TaskStarted{task, w.id});
   t.state_since = now_;
   if (w.fails_tasks || job.fails_everywhere) {
     end_task(w, task, t.attempt, ExitCause::error, false);
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -147,7 +147,7 @@
   auto& job = jobs_.at(id);
   const bool first = !job.accepted;
   if (first) job.accepted_at = now_;
-  history_.add(now_, history::Accepted{id, job.spec.tasks, job.spec.is_service()});
+  history_.add(now_, history::JobAccepted{id, job.spec.tasks, job.spec.is_service()});
   if (reply.status == 201 && !first && requested_at > job.accepted_at)
     report_violation("went_back", id + " accepted as new again");
   job.accepted = true;
@@ -195,7 +195,7 @@
                        rapidjson::Document doc;
                        if (status == 404) report_violation("forgotten", id);
                        if (status == 404)
-                         history_.add(now_, history::AnsweredUnknown{id, requested_at});
+                         history_.add(now_, history::JobUnknownReported{id, requested_at});
                        if (status == 200) job.last_reply_at = now_;
                        if (status == 200 && wire::parse_object(body, doc))
                          on_job_state(id, doc["status"].GetString(), requested_at);
@@ -210,7 +210,7 @@
 void SimulatedCluster::cancel(const std::string& id, int tries) {
   auto& job = jobs_.at(id);
   if (!job.cancel_requested) job.cancel_requested_at = now_;
-  if (!job.cancel_requested) history_.add(now_, history::CancelAsked{id});
+  if (!job.cancel_requested) history_.add(now_, history::CancelRequested{id});
   job.cancel_requested = true;
   send_to_controller(
       random_controller_index(), {"POST", "/v1/jobs/" + id + "/withdraw", ""}, "",
