--- a/tests/concurrent_faults_control_test.cpp
+++ b/tests/concurrent_faults_control_test.cpp
@@ -96,7 +96,7 @@
     }
     Options o = concurrent_faults(seed, plan);
     o.fault_ms = 140'000;
-    o.limit_cpus = 24;
+    o.tight_team_cpus = 24;
     o.cancels = {{40'000, 0.3}, {75'500, 0.3}, {100'000, 0.3}};
     const Result r = run(o);
     EXPECT_GE(r.views, 3 + 10) << "seed " << seed;
@@ -119,11 +119,11 @@
     }
     Options o = concurrent_faults(seed, plan);
     o.free_team_tenths = 3;
-    o.limit_cpus = 24;
+    o.tight_team_cpus = 24;
     o.cancels = {{18'000, 0.3}, {27'000, 0.3}, {45'000, 0.3}};
     const Result r = run(o);
     EXPECT_FALSE(r.cancellations.empty()) << "seed " << seed;
-    EXPECT_GT(r.most_used.at("tight"), 18) << "seed " << seed;
+    EXPECT_GT(r.peak_cpus_by_team.at("tight"), 18) << "seed " << seed;
     late_applied += r.late_txns_applied;
     late_failed += r.late_txns_failed;
   }
@@ -179,7 +179,7 @@
     o.uneven_jobs = 0.8;
     o.job_every_ms = 4000;
     o.free_team_tenths = 5;
-    o.limit_cpus = 8;  // some tasks start only after others have ended
+    o.tight_team_cpus = 8;  // some tasks start only after others have ended
     run(o);
   }
 }
@@ -194,7 +194,7 @@
   if (seed % 2 == 0) plan.push_back({36'000, Fault::quick_restart, (seed + 1) % 3, 0});
   Options o = concurrent_faults(seed, plan);
   o.free_team_tenths = 1;
-  o.limit_cpus = 24;
+  o.tight_team_cpus = 24;
   o.cancels = {{27'000, 0.4}, {30'000, 0.3}, {34'000, 0.3}};
   return o;
 }
@@ -205,7 +205,7 @@
 TEST(ConcurrentControlFaults, QuotaLimitHoldsWhileMachinesAreUnreachable) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     const Result r = run_once(team_at_its_limit(seed));
-    EXPECT_GT(r.most_used.at("tight"), 20) << "seed " << seed;
+    EXPECT_GT(r.peak_cpus_by_team.at("tight"), 20) << "seed " << seed;
     EXPECT_FALSE(r.cancellations.empty()) << "seed " << seed;
   }
 }
--- a/tests/concurrent_faults_workers_test.cpp
+++ b/tests/concurrent_faults_workers_test.cpp
@@ -70,7 +70,7 @@
        o.longest_task_s = 4;
        o.largest_array = 12;
        o.machines = 18;
-       o.limit_cpus = 80;
+       o.tight_team_cpus = 80;
        o.failing_jobs = 0;
        add_periodic_faults(o, Fault::cancel_at_end, 1'000, 10'000, 10'000);
      },
@@ -119,7 +119,7 @@
      [](Options& o, std::uint64_t seed) {
        o.machines = 12;
        o.cancel_s = 12;
-       o.limit_cpus = 80;
+       o.tight_team_cpus = 80;
        add_periodic_faults(o, Fault::cancel_now, 15'000, 13'000,
                            2'000 + 700 * static_cast<Ms>(seed));
      },
@@ -161,7 +161,7 @@
     if (!skips_seed(seed)) occurrences += scenario.occurrences(run(scenario, seed, 0));
   }
   RecordProperty("met", occurrences);
-  if (prints_counts()) std::printf("met %d\n", occurrences);
+  if (prints_fault_counts()) std::printf("met %d\n", occurrences);
   EXPECT_GE(occurrences, scenario.min_occurrences)
       << "the planned faults did not cause the intended situation often enough";
 }
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -65,12 +65,12 @@
 // without placed tasks, after a stop command and a write for a running job. The user need not retry
 // in either case.
 TEST_F(SingleControllerTest, CancellationsAreConfirmedOnceProven) {
-  start_two();
+  start_two_tasks();
   const std::uint64_t running = cancel("req-000001");
   EXPECT_EQ(status(running), 0);  // no reply while tasks are placed
   run(300);
   ASSERT_EQ(status(running), 200);
-  EXPECT_NE(answers_[running].body.find("withdrawn"), std::string::npos);
+  EXPECT_NE(replies_[running].body.find("withdrawn"), std::string::npos);
   for (const auto& [task, exited] : tasks_) EXPECT_TRUE(exited) << task.first;
   // Without heartbeats for 6 s no machine may be used, so no task of the next job is placed.
   run(6000);
@@ -113,24 +113,24 @@
   run(200);
   const std::uint64_t cancelled = cancel("req-000004");
   run(1500);
-  const std::uint64_t again = next_;
+  const std::uint64_t again = next_request_;
   submit("req-000004");
   run(200);
   EXPECT_EQ(status(again), 200);
   ASSERT_EQ(status(cancelled), 200);
-  EXPECT_NE(answers_[again].body.find("withdrawn"), std::string::npos);
+  EXPECT_NE(replies_[again].body.find("withdrawn"), std::string::npos);
 }
 
 // If the records can't soon show that no task is left, the reply is 503 with Retry-After: at the
 // deadline, or at once if the machine is known not to answer.
 TEST_F(SingleControllerTest, UnprovableCancellationsGetRetryAfter) {
-  start_two();
+  start_two_tasks();
   reachable_ = false;
   const Ms requested_at = now_;
   const std::uint64_t first = cancel("req-000001");
   while (status(first) == 0 && now_ < requested_at + 5000) run(20);
   EXPECT_EQ(status(first), 503);
-  EXPECT_GT(answers_[first].retry_after_s, 0);
+  EXPECT_GT(replies_[first].retry_after_s, 0);
   EXPECT_LE(now_ - requested_at, kCancelTimeoutMs + 200);
   run(1000);  // the controller detects that the machine does not answer
   const std::uint64_t second = cancel("req-000001");
@@ -140,7 +140,7 @@
 // A heartbeat that is older than a start command must not release the task: that the heartbeat
 // doesn't contain the task does not prove that it has ended.
 TEST_F(SingleControllerTest, HeartbeatFromBeforeAStartReleasesNothing) {
-  start_two();
+  start_two_tasks();
   reachable_ = false;
   const std::uint64_t first = cancel("req-000001");
   deliver_old_heartbeat(incarnation_, 49);
@@ -183,7 +183,7 @@
 // A heartbeat that was delayed until the machine has a new owner, and is the first one that this
 // owner receives, must not release a task: it does not contain the new owner's token.
 TEST_F(SingleControllerTest, HeartbeatDelayedUntilANewOwnerActedReleasesNothing) {
-  start_two();
+  start_two_tasks();
   reachable_ = false;
   cancel("req-000001");
   run(200);
@@ -209,7 +209,7 @@
   EXPECT_EQ(heartbeat(50).status, 200);
   submit("req-000001");
   run(500);
-  replies_garbage_ = true;
+  sends_invalid_replies_ = true;
   for (const char* text :
        {"", "{", "[]", R"({"rig":"n-1"})", R"({"rig":"n-1","loads":7})", "\xff"}) {
     controller_->on_peer_message(now_, text);
@@ -217,10 +217,10 @@
     run(400);
     EXPECT_EQ(status(request), 400) << text;
   }
-  replies_garbage_ = false;
+  sends_invalid_replies_ = false;
   run(8000);
   EXPECT_EQ(heartbeat(sequence_ + 1).status, 200);
-  const std::uint64_t request = next_;
+  const std::uint64_t request = next_request_;
   submit("req-000002");
   run(1000);
   EXPECT_EQ(status(request), 201);
@@ -229,7 +229,7 @@
 // A machine whose heartbeats are lost loses its tasks when its lease expires, even if it replies to
 // commands. It must therefore get no new tasks.
 TEST_F(SingleControllerTest, MachineWithoutHeartbeatsGetsNothingNew) {
-  start_two();
+  start_two_tasks();
   run(4500);  // the machine replies to commands, and its lease has not expired
   EXPECT_EQ(starts_, 2);
   EXPECT_EQ(controller_->replica().machine("n-1")->state, wire::MachineState::ready);
@@ -296,7 +296,7 @@
   const auto wait = [&](Ms duration_ms) {
     for (const Ms end = now_ + duration_ms; now_ < end; now_ += 20) {
       controller_->tick(now_, now_);
-      pump();
+      process_outputs();
     }
   };
   submit("req-000001");
--- a/tests/fingerprint_test.cpp
+++ b/tests/fingerprint_test.cpp
@@ -29,7 +29,7 @@
 RecordedRun services_in_an_upgrade() {
   Options options = default_options(902);
   options.services = 0.3;
-  options.replicas_ending = 0.2;
+  options.replica_exit_share = 0.2;
   options.upgrade_from = 20'000;
   options.limits_drop_at = 60'000;
   return {"ServicesInAnUpgrade", options, 0x286e1c0501c6a853};
@@ -70,7 +70,7 @@
   options.cloud_capacity = 60;
   options.largest_array = 400;
   options.job_every_ms = 1000;
-  options.limit_cpus = 300;
+  options.tight_team_cpus = 300;
   options.large_gang = 60;
   options.spot_every = 3;
   options.enforces_rates = true;
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -43,7 +43,7 @@
     }
     const auto number = static_cast<std::uint32_t>(group);
     put(wire::fleet_key(number), encode(fleet));
-    put(wire::shard_key(kName, number), encode(part));
+    put(wire::shard_key(kControllerName, number), encode(part));
   }
 
   // Adds an array job whose tasks each fill one machine and run for ten minutes.
@@ -57,7 +57,7 @@
     ASSERT_TRUE(spec) << spec.error().text();
     wire::JobRecord job;
     job.spec = *spec;
-    job.initial_ranges = {{0, 0, tasks, kName}};
+    job.initial_ranges = {{0, 0, tasks, kControllerName}};
     put(wire::job_key(job.spec.id), encode(job));
   }
 
--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -26,7 +26,7 @@
 
 TEST(InvariantChecker, DetectsLeasesCountedTooShort) {
   Options options;
-  options.believed_lease_share = 0.2;
+  options.controller_lease_factor = 0.2;
   EXPECT_GT(runs_with_violations(options, "ran_twice", 10), 0);
 }
 
@@ -75,7 +75,7 @@
   for (Ms at = 10'000; at < 55'000; at += 4000)
     options.planned_faults.push_back({at, Fault::cancel_now, 0, 7600});
   EXPECT_GE(runs_with_violations(options, "ran_cancelled", 24), 12);
-  for (auto& p : options.planned_faults) p.lasts = 100;
+  for (auto& p : options.planned_faults) p.duration_ms = 100;
   // With hangs of only 100 ms there are hardly any violations.
   EXPECT_LT(runs_with_violations(options, "ran_cancelled", 24), 2);
 }
--- a/tests/load/fleet_load.cpp
+++ b/tests/load/fleet_load.cpp
@@ -123,7 +123,7 @@
   }
 
   std::string heartbeat_body() {
-    sim::Put report;
+    sim::JsonObjectBuilder report;
     report.str("rig", id_);
     report.str("endpoint", address());
     report.str("fleet", "t");
@@ -134,7 +134,7 @@
     report.num("baton", token_);
     std::string loads;
     for (const auto& [name, task] : tasks_) {
-      sim::Put load;
+      sim::JsonObjectBuilder load;
       load.str("load", name);
       load.num("try", task.attempt);
       const bool finished = steady_ms() - task.started_at > kTaskDurationMs;
@@ -309,7 +309,7 @@
   }
 
   std::string machine_page(const std::string& path) {
-    auto parameters = sim::query(path);
+    auto parameters = sim::query_parameters(path);
     const auto page_size = std::stoul(parameters["most"]);
     std::string list;
     std::size_t listed = 0;
@@ -320,7 +320,7 @@
         has_more = true;
         break;
       }
-      sim::Put entry;
+      sim::JsonObjectBuilder entry;
       entry.str("id", machine->id());
       entry.str("endpoint", machine->address());
       entry.str("fleet", "t");
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -29,7 +29,7 @@
 TEST_F(ControllerStatusTest, IsNotReadyIfTheViewNamesAnotherIncarnation) {
   wire::ViewRecord view_with_other_incarnation;
   view_with_other_incarnation.epoch = 2;
-  view_with_other_incarnation.live[kName] = "another";
+  view_with_other_incarnation.live[kControllerName] = "another";
   put(std::string(wire::kViewKey), encode(view_with_other_incarnation));
   run(1000, [](Ms) {});
   EXPECT_FALSE(status_.ready());
--- a/tests/overload_sim_test.cpp
+++ b/tests/overload_sim_test.cpp
@@ -20,7 +20,7 @@
   o.cloud_capacity = 120;
   o.largest_array = 900;
   o.job_every_ms = 1000;
-  o.limit_cpus = 800;
+  o.tight_team_cpus = 800;
   o.large_gang = 150;
   const Result r = SimulatedCluster(o).run();
   EXPECT_THAT(r, has_no_violations());
@@ -43,7 +43,7 @@
     o.recovery_ms = 0;
     o.job_every_ms = 1200;
     o.largest_array = 90;
-    o.limit_cpus = 60;
+    o.tight_team_cpus = 60;
     const Result r = SimulatedCluster(o).run();
     EXPECT_THAT(r, has_no_violations());
     EXPECT_EQ(r.large_jobs_late, 0) << "seed " << seed << " of " << r.large_jobs;
@@ -84,7 +84,7 @@
   o.cloud_capacity = 400;
   o.largest_array = 900;
   o.job_every_ms = 700;
-  o.limit_cpus = 2000;
+  o.tight_team_cpus = 2000;
   o.longest_task_s = 12;
   o.fault_ms = 40'000;
   o.recovery_ms = 80'000;
--- a/tests/partial_cuts_test.cpp
+++ b/tests/partial_cuts_test.cpp
@@ -231,13 +231,13 @@
   for (std::uint32_t i = 4 + random(8); i > 0; --i) {
     LinkCut cut;
     cut.at = 8000 + static_cast<Ms>(random(static_cast<std::uint32_t>(until - 8000)));
-    cut.lasts = 1000 + static_cast<Ms>(random(random(3) == 0 ? 40'000 : 12'000));
+    cut.duration_ms = 1000 + static_cast<Ms>(random(random(3) == 0 ? 40'000 : 12'000));
     cut.from = controllers[random(3)];
     cut.to = far_ends[random(static_cast<std::uint32_t>(far_ends.size()))];
     if (cut.from == cut.to) continue;
     if (random(3) == 0) {
-      cut.flap_least = 500;
-      cut.flap_most = 5000;
+      cut.flap_min_ms = 500;
+      cut.flap_max_ms = 5000;
     }
     if (random(2) == 0) {
       cuts = concatenate(cuts, both_directions(cut));
@@ -257,13 +257,13 @@
   o.relays = seed % 3 != 0;
   o.faults = seed % 2 == 0;
   o.services = 0.1;
-  if (seed % 5 == 0) o.limit_cpus = 24;
+  if (seed % 5 == 0) o.tight_team_cpus = 24;
   if (seed % 7 == 0) o.upgrade_from = 20'000;
   const Result r = run(o);
   EXPECT_EQ(r.oversized_txns, 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, AnyLinks, testing::Range<std::uint64_t>(1, seeds_or(24) + 1));
+INSTANTIATE_TEST_SUITE_P(Seeds, AnyLinks, testing::Range<std::uint64_t>(1, seed_count_or(24) + 1));
 
 }  // namespace
 }  // namespace scheduler::sim
@@ -298,7 +298,7 @@
     gossip.sent_ms = static_cast<std::uint64_t>(now_);
     gossip.cancelled = {job};
     controller_->on_peer_message(now_, encode(gossip));
-    pump();
+    process_outputs();
   }
 
   [[nodiscard]] std::size_t running_tasks() const {
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -47,14 +47,14 @@
     };
     for (const Ms end = now_ + 400; now_ < end && !sent(); now_ += 20) {
       controller_->tick(now_, now_);
-      pump();
+      process_outputs();
     }
     return sent();
   }
 
   [[nodiscard]] bool reply_contains(std::uint64_t request, const std::string& state) const {
-    const auto answer = answers_.find(request);
-    return answer != answers_.end() && answer->second.body.find(state) != std::string::npos;
+    const auto answer = replies_.find(request);
+    return answer != replies_.end() && answer->second.body.find(state) != std::string::npos;
   }
 };
 
@@ -65,7 +65,7 @@
   delay_watches();
   delays_reply_ = [](const Call& call) { return is_watch(call) || writes_range(call); };
   submit("req-000001");
-  pump();
+  process_outputs();
   const std::uint64_t first = poll("req-000001");
   EXPECT_EQ(status(first), 0);  // no reply until the watch has delivered the change that was read
   reply_to_watch();
@@ -81,7 +81,7 @@
   ASSERT_EQ(status(first), 200);
   ASSERT_EQ(status(second), 200);
   EXPECT_FALSE(reply_contains(first, "withdrawn") && !reply_contains(second, "withdrawn"))
-      << answers_[first].body << " then " << answers_[second].body;
+      << replies_[first].body << " then " << replies_[second].body;
   EXPECT_TRUE(reply_contains(cancelled, "withdrawn"));
 }
 
@@ -93,7 +93,7 @@
   delays_reply_ = [](const Call& call) {
     return call.body.find(R"("write":"job/)") != std::string::npos;
   };
-  const std::uint64_t submitted = next_;
+  const std::uint64_t submitted = next_request_;
   submit("req-000001");
   run(400);  // the watch delivers the job, and it is placed
   ASSERT_EQ(status(submitted), 0);
@@ -106,7 +106,7 @@
   release_replies([](const Call&) { return true; });
   run(100);
   EXPECT_EQ(status(submitted), 201);
-  EXPECT_TRUE(reply_contains(submitted, "withdrawn")) << answers_[submitted].body;
+  EXPECT_TRUE(reply_contains(submitted, "withdrawn")) << replies_[submitted].body;
 }
 
 }  // namespace
@@ -165,8 +165,8 @@
 }
 
 TEST(Answers, StayMonotonicWhileRepliesAreLost) {
-  EXPECT_EQ(seeds_with_violations({1, 2, 3, 4}, {Fault::answers_lost}), 0);
-  EXPECT_EQ(seeds_with_violations({1, 2, 3, 4}, {Fault::state_reorders, Fault::answers_lost}), 0);
+  EXPECT_EQ(seeds_with_violations({1, 2, 3, 4}, {Fault::replies_lost}), 0);
+  EXPECT_EQ(seeds_with_violations({1, 2, 3, 4}, {Fault::state_reorders, Fault::replies_lost}), 0);
 }
 
 // The state service compacts changes that a delayed watch still needs. The controller reads all
--- a/tests/record_split_test.cpp
+++ b/tests/record_split_test.cpp
@@ -156,7 +156,7 @@
   lower.state_write_rps = 28;
   Settings former = settings_;
   former.record_format = wire::kFirstFormat;
-  start_anew(former);
+  start_with_empty_state(former);
   wire::FleetRecord fleet = fleet_of(70).at(3);
   fleet.machines["n-1"] = {"n-1:1", "g", "a", false};
   wire::ShardRecord shard;
@@ -196,7 +196,7 @@
   Settings low = settings_;
   low.value_kb = 2;
   low.txn_ops = 8;
-  start_anew(low);
+  start_with_empty_state(low);
   constexpr std::uint32_t kRanges = 45;
   for (const bool cancelled : {false, true}) {
     wire::JobRecord job;
--- a/tests/scale_sim_test.cpp
+++ b/tests/scale_sim_test.cpp
@@ -43,7 +43,7 @@
   o.job_every_ms = 1500;
   o.largest_array = 300;
   o.longest_task_s = 40;
-  o.limit_cpus = 8000;
+  o.tight_team_cpus = 8000;
   o.fault_ms = 60'000;
   o.recovery_ms = 300'000;
   o.until_finished = true;
@@ -142,7 +142,7 @@
   o.worker_step_ms = 500;
   o.check_every_ms = 500;
   const Result r = run_large(o);
-  EXPECT_GT(r.most_machines, 3600);
+  EXPECT_GT(r.peak_machines, 3600);
   EXPECT_LT(r.machines, 400);
 }
 
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -96,7 +96,7 @@
     settings_.teams = {{"t", 0, 4, 0, 0}};
     wire::JobRecord job;
     job.spec = spec();
-    job.initial_ranges = {{1, 0, 3, kName}};
+    job.initial_ranges = {{1, 0, 3, kControllerName}};
     put(wire::job_key(kJob), encode(job));
     wire::MachineType type;
     type.name = "g";
@@ -160,8 +160,8 @@
   run(1000, [this](Ms now) { quota_.tick(now); });
   const auto record = replica_.quotas().find("t");
   ASSERT_NE(record, replica_.quotas().end());
-  EXPECT_GE(record->second.leases.at(kName).cpus, 3.0);
-  EXPECT_LE(record->second.leases.at(kName).cpus, 4.0);
+  EXPECT_GE(record->second.leases.at(kControllerName).cpus, 3.0);
+  EXPECT_LE(record->second.leases.at(kControllerName).cpus, 4.0);
   used.clear();
   EXPECT_TRUE(quota_.allows(used, spec()));
   used["t"].cpus = 4;
--- a/tests/services_sim_test.cpp
+++ b/tests/services_sim_test.cpp
@@ -17,7 +17,7 @@
   Options o;
   o.seed = seed;
   o.services = 0.25;
-  o.replicas_ending = 0.05;
+  o.replica_exit_share = 0.05;
   o.machines = 12;
   o.cloud_capacity = 6;
   o.recovery_ms = 600'000;
@@ -34,7 +34,9 @@
 
 // Returns the share of the replica seconds with available capacity in which the replicas ran.
 double served_share(const Result& r) {
-  return r.replica_s_due ? static_cast<double>(r.replica_s_served) / r.replica_s_due : 0;
+  return r.replica_seconds_expected
+             ? static_cast<double>(r.replica_seconds_running) / r.replica_seconds_expected
+             : 0;
 }
 
 TEST(Services, RunUntilCancelledWithoutFaults) {
@@ -43,7 +45,7 @@
   const Result r = SimulatedCluster(o).run();
   expect_invariants_hold(r, o.seed);
   EXPECT_GT(r.services, 8);
-  EXPECT_GT(r.replica_s_due, 500);
+  EXPECT_GT(r.replica_seconds_expected, 500);
   EXPECT_GT(served_share(r), 0.95);
 }
 
@@ -54,7 +56,7 @@
     if (skips_seed(seed)) continue;
     Options o = with_services(seed);
     o.faults = false;
-    o.replicas_ending = 0.33;
+    o.replica_exit_share = 0.33;
     const Result r = SimulatedCluster(o).run();
     expect_invariants_hold(r, seed);
     EXPECT_GE(r.replica_restarts, r.replicas_ended / 2) << "seed " << seed;
@@ -75,7 +77,7 @@
 
 // SIM_SEEDS=200 runs more seeds than CI does.
 INSTANTIATE_TEST_SUITE_P(Seeds, ServicesUnderRandomFaults,
-                         testing::Range<std::uint64_t>(1, seeds_or(20) + 1));
+                         testing::Range<std::uint64_t>(1, seed_count_or(20) + 1));
 
 TEST(Services, ReplicasRestartAfterMachinesDie) {
   int restarts = 0;
@@ -84,7 +86,7 @@
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.4;
-    o.replicas_ending = 0;
+    o.replica_exit_share = 0;
     add_periodic_faults(o, Fault::machine_dies, 10'000, 4'000, 0);
     if (seed % 2 == 0) add_periodic_faults(o, Fault::spot_wave, 20'000, 20'000, 0);
     if (seed % 3 == 0) add_periodic_faults(o, Fault::preemption_notice, 12'000, 5'000, 0);
@@ -107,7 +109,7 @@
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.4;
-    o.replicas_ending = 0;
+    o.replica_exit_share = 0;
     o.heartbeat_interval_s = 5;
     o.lease_s = 22;
     o.dead_listed_ms = 30'000;
@@ -137,7 +139,7 @@
     Options o = with_services(seed);
     o.faults = false;
     o.services = 0.2;
-    o.replicas_ending = 0;
+    o.replica_exit_share = 0;
     o.heartbeat_interval_s = 5;
     o.lease_s = 22;
     o.machines = 24;
@@ -176,7 +178,7 @@
     o.faults = false;
     o.services = 0.5;
     o.cancel_s = 12;
-    o.limit_cpus = 80;
+    o.tight_team_cpus = 80;
     add_periodic_faults(o, Fault::cancel_now, 15'000, 13'000, 2'000 + 900 * static_cast<Ms>(seed));
     const Result r = SimulatedCluster(o).run();
     expect_invariants_hold(r, seed);
@@ -196,7 +198,7 @@
   o.cloud_capacity = 60;
   o.largest_array = 600;
   o.job_every_ms = 800;
-  o.limit_cpus = 800;
+  o.tight_team_cpus = 800;
   o.longest_task_s = 15;
   o.limits_drop_at = 55'000;
   return o;
@@ -221,7 +223,7 @@
   if (after_an_upgrade) {
     EXPECT_GT(r.oversized_at_upgrade, 0);
   }
-  if (prints_counts())
+  if (prints_fault_counts())
     std::printf("oversized %d, then %d, throttled %d\n", r.oversized_at_upgrade,
                 r.oversized_at_drop, r.throttled_txns);
 }
@@ -288,9 +290,9 @@
 
 TEST(ServiceInvariantChecker, DetectsReplicasNotRestarted) {
   Options o = services_without_faults();
-  o.replicas_ending = 0.1;
+  o.replica_exit_share = 0.1;
   EXPECT_EQ(runs_with_violations(o, "service_down", 3), 0);
-  o.replicas_ending = 1;
+  o.replica_exit_share = 1;
   o.starts_ignored_from = 50'000;
   EXPECT_EQ(runs_with_violations(o, "service_down", 3), 3);
 }
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -47,7 +47,7 @@
 TEST_F(SingleControllerJobs, AllReplicasMustFitTheirQuota) {
   Settings limited = settings_;
   limited.teams = {{"t", 0, 3, 0, 0}};
-  start_anew(limited);
+  start_with_empty_state(limited);
   const std::uint64_t over_quota = post(service_body("req-000001", 4));
   const std::uint64_t within_quota = post(service_body("req-000002", 3));
   const std::uint64_t spread = post(replaced(service_body("req-000003", 2), R"("scatter":false)",
@@ -63,10 +63,10 @@
 TEST_F(SingleControllerJobs, ServicesAreUnavailableUntilAllControllersAnnounceTheFormat) {
   Settings with_peer = settings_;
   with_peer.peers = {{"puffin-1", "a", "puffin-1:1"}};
-  start_anew(with_peer);
+  start_with_empty_state(with_peer);
   const std::uint64_t before_announcement = post(service_body("req-000001"));
   EXPECT_EQ(status(before_announcement), 503);
-  EXPECT_GT(answers_[before_announcement].retry_after_s, 0);
+  EXPECT_GT(replies_[before_announcement].retry_after_s, 0);
   const std::uint64_t array = post(job_body("req-000002"));
   run(500);
   EXPECT_EQ(status(array), 201);
@@ -106,7 +106,7 @@
 TEST_F(SingleControllerJobs, ControllerWithTheFirstRecordFormatRejectsServices) {
   Settings first_format = settings_;
   first_format.record_format = wire::kFirstFormat;
-  start_anew(first_format);
+  start_with_empty_state(first_format);
   EXPECT_EQ(status(post(service_body("req-000001"))), 400);
   EXPECT_FALSE(state_.items.contains("formats"));
   EXPECT_EQ(state_.items.at("live/puffin-0").value.find("formats"), std::string::npos);
@@ -115,7 +115,7 @@
 // ---- restarts ----
 
 TEST_F(SingleControllerJobs, CompletedReplicaRunsAgainAndServiceIsNeverDone) {
-  start_anew(settings_);
+  start_with_empty_state(settings_);
   const std::uint64_t accepted = post(service_body("req-000001"));
   run(1000);
   EXPECT_EQ(status(accepted), 201);
@@ -128,7 +128,7 @@
   heartbeat(200);
   run(1000);
   EXPECT_GT(starts_, before);
-  const std::string answer = state_of("req-000001");
+  const std::string answer = read_job_body("req-000001");
   EXPECT_EQ(answer.find(R"("status":"done")"), std::string::npos) << answer;
   EXPECT_NE(answer.find(R"("done":0)"), std::string::npos) << answer;
 }
@@ -136,7 +136,7 @@
 // The worker of the only machine keeps the result of the replica and ends every further attempt
 // immediately.
 TEST_F(SingleControllerJobs, InstantExitsAreBackedOff) {
-  start_anew(settings_);
+  start_with_empty_state(settings_);
   post(service_body("req-000001", 1));
   run(1000);
   ASSERT_EQ(tasks_.size(), 1U);
@@ -150,7 +150,7 @@
 }
 
 TEST_F(SingleControllerJobs, CancelledServiceIsConfirmedOnceReplicasAreGone) {
-  start_anew(settings_);
+  start_with_empty_state(settings_);
   post(service_body("req-000001"));
   run(1000);
   ASSERT_EQ(tasks_.size(), 2U);
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -74,7 +74,7 @@
 void SimulatedCluster::list_machines(const Call& call, const Respond& respond) {
   constexpr std::size_t kDefaultPageSize = 500;
   ++result_.list_pages;
-  auto parameters = query(call.path);
+  auto parameters = query_parameters(call.path);
   const std::size_t most =
       parameters["most"].empty() ? kDefaultPageSize : std::stoul(parameters["most"]);
   std::string list;
@@ -88,7 +88,7 @@
       more = true;
       break;
     }
-    Put p;
+    JsonObjectBuilder p;
     p.str("id", id);
     p.str("endpoint", workers_.at(id)->address);
     p.str("fleet", "t");
--- a/tests/sim/controllers.cpp
+++ b/tests/sim/controllers.cpp
@@ -89,9 +89,9 @@
 }
 
 // Crashes the controller if it runs, and restarts it after the given time and not before.
-void SimulatedCluster::keep_down(std::size_t i, Ms lasts) {
-  crash_controller(i, lasts);
-  controllers_[i]->down_until = std::max(controllers_[i]->down_until, now_ + lasts);
+void SimulatedCluster::keep_down(std::size_t i, Ms duration_ms) {
+  crash_controller(i, duration_ms);
+  controllers_[i]->down_until = std::max(controllers_[i]->down_until, now_ + duration_ms);
   schedule_event(controllers_[i]->down_until, [this, i] {
     if (!controllers_[i]->controller && now_ >= controllers_[i]->down_until) start_controller(i);
   });
--- a/tests/sim/fake_state_service.h
+++ b/tests/sim/fake_state_service.h
@@ -17,7 +17,7 @@
 using Respond = std::function<void(int status, std::string body)>;
 
 // Builds the text of a JSON object, member by member.
-struct Put {
+struct JsonObjectBuilder {
   std::string text;
   void key(const char* name) {
     if (!text.empty()) text += ",";
@@ -29,7 +29,7 @@
   [[nodiscard]] std::string done() const { return "{" + text + "}"; }
 };
 
-inline std::map<std::string, std::string> query(const std::string& path) {
+inline std::map<std::string, std::string> query_parameters(const std::string& path) {
   std::map<std::string, std::string> out;
   auto at = path.find('?');
   while (at != std::string::npos) {
@@ -66,7 +66,7 @@
     std::optional<std::string> value;
   };
   struct SessionLease {
-    Ms expires_at = 0, lasts = 0;
+    Ms expires_at = 0, duration_ms = 0;
   };
   struct Watcher {
     std::uint64_t after;
@@ -117,7 +117,7 @@
   }
 
   static std::string event(const Change& c) {
-    Put p;
+    JsonObjectBuilder p;
     p.str(c.value ? "write" : "remove", c.key);
     if (c.value) p.raw("v", *c.value);
     p.num("stamp", c.revision);
@@ -138,7 +138,7 @@
                                 [](const Change&x, std::uint64_t r) { return x.revision < r; });
            c != changes.end(); ++c)
         list += (list.empty() ? "" : ",") + event(*c);
-      Put p;
+      JsonObjectBuilder p;
       p.num("ledger", revision);
       p.raw("events", "[" + list + "]");
       ready.emplace_back(std::move(w.respond), p.done());
@@ -187,7 +187,7 @@
       return respond(429, "{}");
     }
     if (const std::string failed = failed_conditions(doc["guards"]); !failed.empty()) {
-      Put p;
+      JsonObjectBuilder p;
       p.raw("failed", "[" + failed + "]");
       p.num("ledger", revision);
       return respond(409, p.done());
@@ -196,7 +196,7 @@
       if (w.HasMember("permit") && !session_leases.contains(w["permit"].GetUint64()))
         return respond(400, R"({"error":"no such lease"})");
     apply(doc["writes"]);
-    Put p;
+    JsonObjectBuilder p;
     p.num("ledger", revision);
     respond(200, p.done());
   }
@@ -265,7 +265,7 @@
 
   void watch(Ms now, const std::string& path, std::size_t controller_index,
              const Respond& respond) {
-    auto q = query(path);
+    auto q = query_parameters(path);
     const std::uint64_t after = std::stoull(q["after"]);
     if (revision > after + changes_kept) {
       ++compacted_watches;
@@ -277,9 +277,9 @@
   void grant_session_lease(Ms now, const std::string& body, const Respond& respond) {
     rapidjson::Document doc;
     wire::parse_object(body, doc);
-    const Ms lasts = doc["lifeMs"].GetInt64();
-    session_leases[next_lease_id] = {now + lasts, lasts};
-    Put p;
+    const Ms duration_ms = doc["lifeMs"].GetInt64();
+    session_leases[next_lease_id] = {now + duration_ms, duration_ms};
+    JsonObjectBuilder p;
     p.num("permit", next_lease_id++);
     respond(200, p.done());
   }
@@ -287,17 +287,17 @@
   void renew_session_lease(Ms now, const std::string& path, const Respond& respond) {
     const auto it = session_leases.find(std::stoull(path.substr(7)));  // the id follows "/holds/"
     if (it == session_leases.end()) return respond(404, "{}");
-    it->second.expires_at = now + it->second.lasts;
+    it->second.expires_at = now + it->second.duration_ms;
     respond(200, "{}");
   }
 
   // Extends all remaining session leases to their full duration from now.
   void renew_all_session_leases(Ms now) {
-    for (auto& [id, lease] : session_leases) lease.expires_at = now + lease.lasts;
+    for (auto& [id, lease] : session_leases) lease.expires_at = now + lease.duration_ms;
   }
 
   void read_page(const std::string& path, const Respond& respond) const {
-    auto q = query(path);
+    auto q = query_parameters(path);
     std::string list;
     int n = 0;
     bool more = false;
@@ -310,7 +310,7 @@
       }
       list += (list.empty() ? "" : ",") + entry(it->first, it->second).done();
     }
-    Put p;
+    JsonObjectBuilder p;
     p.raw("pairs", "[" + list + "]");
     p.raw("hasNext", more ? "true" : "false");
     p.num("ledger", revision);
@@ -320,13 +320,13 @@
   void read(const std::string& path, const Respond& respond) const {
     const auto it = items.find(path.substr(7));  // the key follows "/store/"
     if (it != items.end()) return respond(200, entry(it->first, it->second).done());
-    Put p;
+    JsonObjectBuilder p;
     p.num("ledger", revision);
     respond(404, p.done());
   }
 
-  static Put entry(const std::string& key, const Item& item) {
-    Put p;
+  static JsonObjectBuilder entry(const std::string& key, const Item& item) {
+    JsonObjectBuilder p;
     p.str("k", key);
     p.raw("v", item.value);
     p.num("stamp", item.version);
--- a/tests/sim/fault.h
+++ b/tests/sim/fault.h
@@ -50,7 +50,7 @@
   // Faults from here on are not drawn at random by default (Options::random_faults_before):
   state_reorders,    // replies of the state service are up to 500 ms late and arrive out of order
   watch_lags,        // replies to watches are up to 500 ms late, other replies are not
-  answers_lost,      // one transaction in twenty is executed, but its reply is lost
+  replies_lost,      // one transaction in twenty is executed, but its reply is lost
   concurrent_reads,  // users read jobs at all controllers at once, and cancel most new jobs
   count
 };
@@ -60,7 +60,7 @@
   Ms at = 0;
   Fault kind = Fault::controller_crash;
   std::size_t controller_index = 0;  // the affected controller, for faults of a controller or zone
-  Ms lasts = 0;
+  Ms duration_ms = 0;
 };
 
 }  // namespace scheduler::sim
--- a/tests/sim/faults.cpp
+++ b/tests/sim/faults.cpp
@@ -7,14 +7,14 @@
 
 void SimulatedCluster::inject_fault() {
   const auto n = random_controller_index();
-  const Ms lasts = chance(0.2) ? 10'000 + random(30'000) : 2000 + random(14'000);
+  const Ms duration_ms = chance(0.2) ? 10'000 + random(30'000) : 2000 + random(14'000);
   inject_fault(static_cast<Fault>(random(static_cast<int>(options_.random_faults_before))), n,
-               lasts);
+               duration_ms);
 }
 
 // Calls the injection function of the kind. The functions take the index of the affected
 // controller, if any, and the duration of the fault.
-void SimulatedCluster::inject_fault(Fault kind, std::size_t controller_index, Ms lasts) {
+void SimulatedCluster::inject_fault(Fault kind, std::size_t controller_index, Ms duration_ms) {
   using Self = SimulatedCluster;
   using Controller = SimulatedController;
   using Injection = void (Self::*)(std::size_t, Ms);
@@ -37,7 +37,7 @@
       {Fault::late_writes, &Self::set_until<&Self::late_writes_until_>},
       {Fault::state_reorders, &Self::set_until<&Self::state_reorders_until_>},
       {Fault::watch_lags, &Self::set_until<&Self::watch_lags_until_>},
-      {Fault::answers_lost, &Self::set_until<&Self::answers_lost_until_>},
+      {Fault::replies_lost, &Self::set_until<&Self::replies_lost_until_>},
       // Network and cloud
       {Fault::cut_from_state, &Self::set_on_controller<&Controller::cut_from_state>},
       {Fault::cut_from_workers, &Self::set_on_controller<&Controller::cut_from_workers>},
@@ -67,25 +67,25 @@
   };
   if (recovering_) return;
   trace("fault " + std::to_string(static_cast<int>(kind)) + " controller " +
-        std::to_string(controller_index) + " for " + std::to_string(lasts));
-  (this->*kInjections.at(kind))(controller_index, lasts);
+        std::to_string(controller_index) + " for " + std::to_string(duration_ms));
+  (this->*kInjections.at(kind))(controller_index, duration_ms);
 }
 
 template <Ms SimulatedCluster::*Deadline>
-void SimulatedCluster::set_until(std::size_t /*controller_index*/, Ms lasts) {
-  this->*Deadline = now_ + lasts;
+void SimulatedCluster::set_until(std::size_t /*controller_index*/, Ms duration_ms) {
+  this->*Deadline = now_ + duration_ms;
 }
 
 template <bool SimulatedCluster::*Flag>
-void SimulatedCluster::set_for(std::size_t /*controller_index*/, Ms lasts) {
+void SimulatedCluster::set_for(std::size_t /*controller_index*/, Ms duration_ms) {
   this->*Flag = true;
-  schedule_event(now_ + lasts, [this] { this->*Flag = false; });
+  schedule_event(now_ + duration_ms, [this] { this->*Flag = false; });
 }
 
 template <bool SimulatedCluster::SimulatedController::*Flag>
-void SimulatedCluster::set_on_controller(std::size_t controller_index, Ms lasts) {
+void SimulatedCluster::set_on_controller(std::size_t controller_index, Ms duration_ms) {
   (*controllers_[controller_index]).*Flag = true;
-  schedule_event(now_ + lasts,
+  schedule_event(now_ + duration_ms,
                  [this, controller_index] { (*controllers_[controller_index]).*Flag = false; });
 }
 
@@ -115,9 +115,9 @@
     });
 }
 
-void SimulatedCluster::pause_controller(std::size_t controller_index, Ms lasts) {
+void SimulatedCluster::pause_controller(std::size_t controller_index, Ms duration_ms) {
   controllers_[controller_index]->paused = true;
-  schedule_event(now_ + lasts,
+  schedule_event(now_ + duration_ms,
                  [this, controller_index, generation = controllers_[controller_index]->generation] {
                    if (controllers_[controller_index]->generation == generation)
                      resume_controller(controller_index);
@@ -125,15 +125,15 @@
 }
 
 // The controllers restart one after the other, 300 ms apart.
-void SimulatedCluster::keep_all_controllers_down(std::size_t controller_index, Ms lasts) {
+void SimulatedCluster::keep_all_controllers_down(std::size_t controller_index, Ms duration_ms) {
   for (std::size_t i = 0; i < controllers_.size(); ++i)
-    keep_down((controller_index + i) % controllers_.size(), lasts + static_cast<Ms>(i) * 300);
+    keep_down((controller_index + i) % controllers_.size(), duration_ms + static_cast<Ms>(i) * 300);
 }
 
-void SimulatedCluster::crash_controllers_by_turns(std::size_t controller_index, Ms lasts) {
+void SimulatedCluster::crash_controllers_by_turns(std::size_t controller_index, Ms duration_ms) {
   constexpr std::size_t kCrashes = 10;
   for (std::size_t i = 0; i < kCrashes; ++i)
-    schedule_event(now_ + static_cast<Ms>(i) * lasts / static_cast<Ms>(kCrashes),
+    schedule_event(now_ + static_cast<Ms>(i) * duration_ms / static_cast<Ms>(kCrashes),
                    [this, i, controller_index] {
                      if (!recovering_)
                        crash_controller((controller_index + i) % controllers_.size());
@@ -143,13 +143,13 @@
 // The controller is down for longer than its session lease, so that peers take over its shard,
 // which returns to the controller after its restart (failback). Then all controllers crash, and
 // only this controller restarts within a second.
-void SimulatedCluster::fail_over_and_back(std::size_t controller_index, Ms lasts) {
+void SimulatedCluster::fail_over_and_back(std::size_t controller_index, Ms duration_ms) {
   keep_down(controller_index, 6500);
-  schedule_event(now_ + 9000, [this, controller_index, lasts] {
+  schedule_event(now_ + 9000, [this, controller_index, duration_ms] {
     if (recovering_) return;
     keep_down(controller_index, 100 + random(800));
     for (std::size_t i = 1; i < controllers_.size(); ++i)
-      keep_down((controller_index + i) % controllers_.size(), lasts);
+      keep_down((controller_index + i) % controllers_.size(), duration_ms);
   });
 }
 
@@ -157,36 +157,36 @@
 
 // Session leases expire during this outage. At its end, the remaining leases are extended to their
 // full duration.
-void SimulatedCluster::random_state_outage(std::size_t controller_index, Ms lasts) {
+void SimulatedCluster::random_state_outage(std::size_t controller_index, Ms duration_ms) {
   state_->outage = true;
-  schedule_event(now_ + lasts / 2, [this] {
+  schedule_event(now_ + duration_ms / 2, [this] {
     if (state_->outage) state_->renew_all_session_leases(now_);
     state_->outage = false;
   });
   if (options_.faults && chance(0.4)) crash_controller(controller_index);
 }
 
-void SimulatedCluster::refuse_one_then_all(std::size_t controller_index, Ms lasts) {
+void SimulatedCluster::refuse_one_then_all(std::size_t controller_index, Ms duration_ms) {
   controllers_[controller_index]->refused_by_state = true;
-  schedule_event(now_ + 1000, [this, lasts] {
-    if (!recovering_) start_state_outage(lasts);
+  schedule_event(now_ + 1000, [this, duration_ms] {
+    if (!recovering_) start_state_outage(duration_ms);
   });
-  schedule_event(now_ + 1000 + lasts, [this, controller_index] {
+  schedule_event(now_ + 1000 + duration_ms, [this, controller_index] {
     controllers_[controller_index]->refused_by_state = false;
   });
 }
 
-void SimulatedCluster::slow_state_service(std::size_t /*controller_index*/, Ms lasts) {
+void SimulatedCluster::slow_state_service(std::size_t /*controller_index*/, Ms duration_ms) {
   constexpr int kDelayFactor = 20;
   state_delay_factor_ = kDelayFactor;
-  schedule_event(now_ + lasts, [this] { state_delay_factor_ = 1; });
+  schedule_event(now_ + duration_ms, [this] { state_delay_factor_ = 1; });
 }
 
 // Session leases don't expire during this outage. At its end they are extended to their full
 // duration (PROTOCOL).
-void SimulatedCluster::start_state_outage(Ms lasts) {
+void SimulatedCluster::start_state_outage(Ms duration_ms) {
   state_->outage = state_->leases_suspended = true;
-  schedule_event(now_ + lasts, [this] {
+  schedule_event(now_ + duration_ms, [this] {
     if (state_->outage) state_->renew_all_session_leases(now_);
     state_->outage = state_->leases_suspended = false;
   });
@@ -194,11 +194,11 @@
 
 // ---- network and cloud ----
 
-void SimulatedCluster::isolate_controller(std::size_t controller_index, Ms lasts) {
+void SimulatedCluster::isolate_controller(std::size_t controller_index, Ms duration_ms) {
   controllers_[controller_index]->cut_from_state = controllers_[controller_index]->cut_from_peers =
       true;
   controllers_[controller_index]->isolated_since = now_;
-  schedule_event(now_ + lasts, [this, controller_index] {
+  schedule_event(now_ + duration_ms, [this, controller_index] {
     controllers_[controller_index]->cut_from_state =
         controllers_[controller_index]->cut_from_peers = false;
     controllers_[controller_index]->isolated_since = 0;
@@ -206,14 +206,14 @@
 }
 
 // With three controllers, zone a has two of them, zone b one and zone c none.
-void SimulatedCluster::cut_off_zone(std::size_t controller_index, Ms lasts) {
+void SimulatedCluster::cut_off_zone(std::size_t controller_index, Ms duration_ms) {
   cut_zone_ = kZones[(controller_index + 2) % 3];
-  schedule_event(now_ + lasts, [this] { cut_zone_.clear(); });
+  schedule_event(now_ + duration_ms, [this] { cut_zone_.clear(); });
 }
 
-void SimulatedCluster::start_cloud_outage(std::size_t /*controller_index*/, Ms lasts) {
+void SimulatedCluster::start_cloud_outage(std::size_t /*controller_index*/, Ms duration_ms) {
   cloud_->outage = true;
-  schedule_event(now_ + lasts, [this] { cloud_->outage = false; });
+  schedule_event(now_ + duration_ms, [this] { cloud_->outage = false; });
 }
 
 // ---- machines ----
@@ -226,8 +226,8 @@
   return running[static_cast<std::size_t>(random(static_cast<int>(running.size())))];
 }
 
-void SimulatedCluster::hang_machine(std::size_t /*controller_index*/, Ms lasts) {
-  if (SimulatedWorker* w = random_running_machine()) hang(*w, lasts);
+void SimulatedCluster::hang_machine(std::size_t /*controller_index*/, Ms duration_ms) {
+  if (SimulatedWorker* w = random_running_machine()) hang(*w, duration_ms);
 }
 
 void SimulatedCluster::fail_machine(std::size_t /*controller_index*/, Ms /*duration_ms*/) {
@@ -254,18 +254,20 @@
   });
 }
 
-void SimulatedCluster::make_machine_unreachable(std::size_t /*controller_index*/, Ms lasts) {
+void SimulatedCluster::make_machine_unreachable(std::size_t /*controller_index*/, Ms duration_ms) {
   SimulatedWorker* w = random_running_machine();
   if (!w || w->unreachable_since != 0) return;
   w->unreachable_since = now_;
-  schedule_event(now_ + lasts, [this, id = w->id] { workers_.at(id)->unreachable_since = 0; });
+  schedule_event(now_ + duration_ms,
+                 [this, id = w->id] { workers_.at(id)->unreachable_since = 0; });
 }
 
-void SimulatedCluster::lose_heartbeats(std::size_t /*controller_index*/, Ms lasts) {
+void SimulatedCluster::lose_heartbeats(std::size_t /*controller_index*/, Ms duration_ms) {
   SimulatedWorker* w = random_running_machine();
   if (!w || w->heartbeats_lost_since != 0) return;
   w->heartbeats_lost_since = now_;
-  schedule_event(now_ + lasts, [this, id = w->id] { workers_.at(id)->heartbeats_lost_since = 0; });
+  schedule_event(now_ + duration_ms,
+                 [this, id = w->id] { workers_.at(id)->heartbeats_lost_since = 0; });
 }
 
 void SimulatedCluster::make_machine_fail_tasks(std::size_t /*controller_index*/,
@@ -299,27 +301,28 @@
   });
 }
 
-void SimulatedCluster::hang(SimulatedWorker& w, Ms lasts) {
+void SimulatedCluster::hang(SimulatedWorker& w, Ms duration_ms) {
   w.hanging = true;
   w.heartbeat_in_flight = false;
-  schedule_event(now_ + lasts, [this, id = w.id] { workers_.at(id)->hanging = false; });
+  schedule_event(now_ + duration_ms, [this, id = w.id] { workers_.at(id)->hanging = false; });
 }
 
 // ---- users ----
 
-void SimulatedCluster::submit_burst(std::size_t /*controller_index*/, Ms lasts) {
-  for (Ms t = 0; t < lasts / 2; t += 400)
+void SimulatedCluster::submit_burst(std::size_t /*controller_index*/, Ms duration_ms) {
+  for (Ms t = 0; t < duration_ms / 2; t += 400)
     schedule_event(now_ + t, [this] {
       if (!recovering_) submit_random_job();
     });
 }
 
-void SimulatedCluster::send_invalid_requests(std::size_t /*controller_index*/, Ms lasts) {
-  for (Ms t = 0; t < lasts; t += 100) schedule_event(now_ + t, [this] { send_invalid_request(); });
+void SimulatedCluster::send_invalid_requests(std::size_t /*controller_index*/, Ms duration_ms) {
+  for (Ms t = 0; t < duration_ms; t += 100)
+    schedule_event(now_ + t, [this] { send_invalid_request(); });
 }
 
 // Users cancel up to 20 running jobs with at least 3 s of work left; most of their machines hang.
-void SimulatedCluster::cancel_running(std::size_t /*controller_index*/, Ms lasts) {
+void SimulatedCluster::cancel_running(std::size_t /*controller_index*/, Ms duration_ms) {
   constexpr std::size_t kMaxJobs = 20;
   constexpr std::size_t kMaxMachines = 8;
   constexpr double kMinRemainingMs = 3000;
@@ -341,7 +344,7 @@
   for (SimulatedWorker* w : machines) {
     if (!chance(0.7)) continue;
     ++result_.hangs_during_cancellation;
-    hang(*w, lasts);
+    hang(*w, duration_ms);
   }
 }
 
--- a/tests/sim/invalid_requests.cpp
+++ b/tests/sim/invalid_requests.cpp
@@ -84,7 +84,7 @@
     s.shape = reason == "gang" ? wire::JobShape::gang : wire::JobShape::array;
     s.team = "tight";
     s.cpus = s.is_gang() ? 8 : 1e19;
-    s.tasks = static_cast<std::uint32_t>(options_.limit_cpus / 8) + 1;
+    s.tasks = static_cast<std::uint32_t>(options_.tight_team_cpus / 8) + 1;
   }
 }
 
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -172,7 +172,7 @@
 
 void SimulatedCluster::check_quotas(const std::map<std::string, double>& used) {
   for (const auto& [team, cpus] : used)
-    result_.most_used[team] = std::max(result_.most_used[team], cpus);
+    result_.peak_cpus_by_team[team] = std::max(result_.peak_cpus_by_team[team], cpus);
   for (const auto& t : settings_.teams) {
     const auto of_team = used.find(t.name);
     const double cpus = of_team == used.end() ? 0 : of_team->second;
--- a/tests/sim/link_cuts.h
+++ b/tests/sim/link_cuts.h
@@ -14,11 +14,11 @@
 // is the name of a controller, "state", "cloud", "workers/ZONE", or "workers" for the workers of
 // all zones.
 struct LinkCut {
-  Ms at = 0, lasts = 0;
+  Ms at = 0, duration_ms = 0;
   std::string from, to;
   // If set, the link alternates between down and up during the cut. The length of each interval is
   // random, between these two times.
-  Ms flap_least = 0, flap_most = 0;
+  Ms flap_min_ms = 0, flap_max_ms = 0;
 };
 
 class LinkCuts {
--- a/tests/sim/machines.cpp
+++ b/tests/sim/machines.cpp
@@ -19,7 +19,7 @@
   cloud_->machines[w->id] = {zone, spot, false, now_, up_at, now_ + random(2000)};
   if (!scale_out_name.empty()) cloud_->scale_outs[scale_out_name].push_back(w->id);
   const int provided = static_cast<int>(cloud_->machines.size());
-  result_.most_machines = std::max(result_.most_machines, provided);
+  result_.peak_machines = std::max(result_.peak_machines, provided);
   const std::string id = w->id;
   workers_[id] = std::move(w);
   schedule_event(up_at, [this, id] {
@@ -65,7 +65,7 @@
 }
 
 std::string SimulatedCluster::heartbeat_body(SimulatedWorker& w) const {
-  Put p;
+  JsonObjectBuilder p;
   p.str("rig", w.id);
   p.str("endpoint", w.address);
   p.str("fleet", "t");
@@ -82,7 +82,7 @@
                                  "error", "no_room", "busy",    "no_such"};
   std::string list;
   for (const auto& [task, t] : w.tasks) {
-    Put task_json;
+    JsonObjectBuilder task_json;
     task_json.str("load", wire::task_name(task.job, task.index));
     task_json.num("try", t.attempt);
     task_json.str("status", states[static_cast<int>(t.state)]);
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -12,8 +12,8 @@
 }
 
 void SimulatedCluster::plan_link_cut(const LinkCut& cut) {
-  if (cut.flap_most > 0) {
-    schedule_event(cut.at, [this, cut] { flap(cut, cut.at + cut.lasts); });
+  if (cut.flap_max_ms > 0) {
+    schedule_event(cut.at, [this, cut] { flap(cut, cut.at + cut.duration_ms); });
     return;
   }
   schedule_event(cut.at, [this, cut] {
@@ -22,7 +22,7 @@
     for (auto& [id, w] : workers_)
       if (w->up && !w->dead) w->no_contact_since = now_;
   });
-  schedule_event(cut.at + cut.lasts, [this, cut] {
+  schedule_event(cut.at + cut.duration_ms, [this, cut] {
     link_cuts_.restore(cut.from, cut.to);
     for (auto& [id, w] : workers_) record_contact(*w);
   });
@@ -37,7 +37,7 @@
 void SimulatedCluster::flap(const LinkCut& cut, Ms until) {
   if (recovering_ || now_ >= until) return;
   const auto random_interval = [this, &cut] {
-    return cut.flap_least + random(static_cast<int>(cut.flap_most - cut.flap_least + 1));
+    return cut.flap_min_ms + random(static_cast<int>(cut.flap_max_ms - cut.flap_min_ms + 1));
   };
   const Ms down = random_interval();
   const Ms up = random_interval();
@@ -129,7 +129,7 @@
                                   const std::string& body) {
   if (reply_blocked(*pending_call) || chance(0.003)) return;  // lost
   const Call& call = pending_call->call;
-  if (call.path == "/multi" && now_ < answers_lost_until_ && chance(0.05)) return;
+  if (call.path == "/multi" && now_ < replies_lost_until_ && chance(0.05)) return;
   Ms delay = 0;
   if (call.target == Target::worker) {
     delay = worker_network_delay();
--- a/tests/sim/options.h
+++ b/tests/sim/options.h
@@ -45,13 +45,13 @@
 
   // ---- workload ----
 
-  int job_every_ms = 1500;   // average time between submissions
-  Ms jobs_until_ms = 0;      // end of submissions; 0: at the end of the first phase
-  int largest_array = 60;    // number of tasks of the largest job array
-  int longest_task_s = 8;    // duration of the longest task, in seconds
-  int gang_tenths = 2;       // tenths of the jobs that are gangs
-  int free_team_tenths = 6;  // tenths of the jobs that belong to "free", the team without quota
-  double limit_cpus = 40;    // quota of the other team, "tight", in CPUs
+  int job_every_ms = 1500;      // average time between submissions
+  Ms jobs_until_ms = 0;         // end of submissions; 0: at the end of the first phase
+  int largest_array = 60;       // number of tasks of the largest job array
+  int longest_task_s = 8;       // duration of the longest task, in seconds
+  int gang_tenths = 2;          // tenths of the jobs that are gangs
+  int free_team_tenths = 6;     // tenths of the jobs that belong to "free", the team without quota
+  double tight_team_cpus = 40;  // quota of the other team, "tight", in CPUs
   // Share of jobs that become arrays of two or three tasks of very different duration.
   double uneven_jobs = 0;
   double failing_jobs = 0.03;    // share of jobs that fail on every machine
@@ -62,9 +62,9 @@
   // Share of jobs that are services; users cancel half of them 20 to 60 s after submission.
   double services = 0;
   // Time into the second phase at which the other services are cancelled.
-  Ms services_calm_ms = 60'000;
-  double replicas_ending = 0;  // share of replicas that exit by themselves
-  Ms cancel_all_at = 0;        // users cancel all jobs at this time; 0: never
+  Ms services_cancel_delay_ms = 60'000;
+  double replica_exit_share = 0;  // share of replicas that exit by themselves
+  Ms cancel_all_at = 0;           // users cancel all jobs at this time; 0: never
   // Time, and the share of live jobs that users cancel at that time.
   std::vector<std::pair<Ms, double>> cancels;
 
@@ -113,7 +113,7 @@
   bool workers_ignore_tokens = false;        // workers accept stale fencing tokens
   bool workers_ignore_incarnations = false;  // workers accept commands for another incarnation
   // The controllers' lease setting divided by the workers' lease.
-  double believed_lease_share = 1.0;
+  double controller_lease_factor = 1.0;
   Ms starts_ignored_from = 0;  // workers ignore start commands from this time on; 0: never
   // Alters a controller's reply to a user, to simulate a fault of the controller.
   std::function<void(const Request&, Ms now, int& status, std::string& body)> forge_reply;
--- a/tests/sim/result.h
+++ b/tests/sim/result.h
@@ -28,9 +28,9 @@
   // Keys: "class NAME", "team NAME", and "largest NAME" for the largest tenth of each class.
   // "services": all accepted services, and how many of them were confirmed as cancelled.
   std::map<std::string, std::pair<int, int>> served;
-  int large_jobs = 0;                       // jobs in the largest tenth of their class
-  int large_jobs_late = 0;                  // large jobs that did not start within four minutes
-  std::map<std::string, double> most_used;  // peak of the CPUs in use by team
+  int large_jobs = 0;       // jobs in the largest tenth of their class
+  int large_jobs_late = 0;  // large jobs that did not start within four minutes
+  std::map<std::string, double> peak_cpus_by_team;  // peak of the CPUs in use by team
   // Confirmed cancellations: time of the first request, and time of the confirmation to the user.
   std::vector<std::pair<Ms, Ms>> cancellations;
 
@@ -41,7 +41,7 @@
   int replica_restarts = 0;  // starts of replicas that had run before
   // Seconds in the second phase, summed over replicas: while the replica ran or there was capacity
   // for it, and while it ran.
-  int replica_s_due = 0, replica_s_served = 0;
+  int replica_seconds_expected = 0, replica_seconds_running = 0;
   int replicas_recovered = 0;  // replicas that run again after the failure of their machine
   Ms replica_downtime_ms = 0;  // total downtime of the recovered replicas
 
@@ -64,7 +64,7 @@
   // ---- fleet ----
 
   // Machines of the cloud at the end of the run, and their peak number.
-  int machines = 0, most_machines = 0;
+  int machines = 0, peak_machines = 0;
   // Running machines whose current incarnation is in some controller's replica.
   int machines_known = 0;
   int list_pages = 0;              // pages read of the cloud's machine list
--- a/tests/sim/services.cpp
+++ b/tests/sim/services.cpp
@@ -53,14 +53,14 @@
   }
   if (chance(kOverQuotaShare)) {
     s.team = "tight";
-    s.tasks = static_cast<std::uint32_t>(options_.limit_cpus / s.cpus) + 1;
+    s.tasks = static_cast<std::uint32_t>(options_.tight_team_cpus / s.cpus) + 1;
   }
   job.work_ms = kEndlessWorkMs;
   job.fails_everywhere = chance(options_.failing_jobs);
   job.submitted_at = now_;
   const bool early = chance(kCancelledEarlyShare);
-  job.cancel_planned_at =
-      early ? now_ + 20'000 + random(40'000) : options_.fault_ms + options_.services_calm_ms;
+  job.cancel_planned_at = early ? now_ + 20'000 + random(40'000)
+                                : options_.fault_ms + options_.services_cancel_delay_ms;
   const std::string id = s.id;
   jobs_[id] = job;
   submit(id, 0);
@@ -82,7 +82,7 @@
     result_.replica_downtime_ms += now_ - lost->second;
     replica_lost_at_.erase(lost);
   }
-  if (options_.replicas_ending <= 0 || !chance(options_.replicas_ending)) return;
+  if (options_.replica_exit_share <= 0 || !chance(options_.replica_exit_share)) return;
   SimulatedWorker::Task& t = w.tasks.at(task);
   t.exits_at = now_ + 1000 + random(30'000);
   t.exits_with = chance(0.5) ? ExitCause::done : ExitCause::error;
@@ -160,8 +160,8 @@
                                      const std::map<std::string, double>& used) {
   const std::string machine = machine_for_replica(job, replica, used);
   const bool could_run = runs || placed || !machine.empty();
-  result_.replica_s_due += could_run;
-  result_.replica_s_served += runs;
+  result_.replica_seconds_expected += could_run;
+  result_.replica_seconds_running += runs;
   if (runs || !could_run) {
     replica_down_since_.erase(replica);
     return;
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -31,7 +31,7 @@
 Settings SimulatedCluster::cluster_settings(const Options& options) {
   const StateLimits limits;
   Settings s;
-  s.teams = {{"free", 0, 0, 0, 0}, {"tight", 8, options.limit_cpus, 0, 0}};
+  s.teams = {{"free", 0, 0, 0, 0}, {"tight", 8, options.tight_team_cpus, 0, 0}};
   s.objectives = {{ObjectiveKind::finished, "small", 0.9, 0, 30},
                   {ObjectiveKind::deadline, "due", 0.9, 1.0, 0},
                   {ObjectiveKind::wait, "fast", 0.9, 0, 5}};
@@ -40,7 +40,7 @@
   s.relays = options.relays;
   s.zones = {"a", "b", "c"};
   s.heartbeat_interval_s = options.heartbeat_interval_s;
-  s.lease_s = options.lease_s * options.believed_lease_share;
+  s.lease_s = options.lease_s * options.controller_lease_factor;
   s.gang_wait_s = options.gang_wait_s;
   s.gang_peer_s = options.gang_peer_s;
   s.cancel_s = options.cancel_s;
@@ -120,7 +120,7 @@
   if (options_.upgrade_from) plan_upgrade();
   plan_submissions();
   for (const auto& p : options_.planned_faults)
-    schedule_event(p.at, [this, p] { inject_fault(p.kind, p.controller_index, p.lasts); });
+    schedule_event(p.at, [this, p] { inject_fault(p.kind, p.controller_index, p.duration_ms); });
   for (const auto& cut : options_.link_cuts) plan_link_cut(cut);
   plan_checks(end);
   plan_cancellations();
@@ -202,7 +202,7 @@
   end_network_faults();
   end_controller_faults();
   duplicate_heartbeats_until_ = late_writes_until_ = 0;
-  state_reorders_until_ = watch_lags_until_ = answers_lost_until_ = concurrent_reads_until_ = 0;
+  state_reorders_until_ = watch_lags_until_ = replies_lost_until_ = concurrent_reads_until_ = 0;
   for (auto& [id, w] : workers_) {
     w->hanging = w->fails_tasks = false;
     w->unreachable_since = w->heartbeats_lost_since = 0;
--- a/tests/sim/simulated_cluster.h
+++ b/tests/sim/simulated_cluster.h
@@ -80,7 +80,7 @@
   void start_controller(std::size_t i);
   // `controller_down`: time until the controller is restarted; 0: a random time.
   void crash_controller(std::size_t i, Ms controller_down = 0);
-  void keep_down(std::size_t i, Ms lasts);
+  void keep_down(std::size_t i, Ms duration_ms);
   void resume_controller(std::size_t i);
   void tick_controller(std::size_t i, std::uint64_t generation);
   void tick_once(std::size_t i);
@@ -245,42 +245,42 @@
   // ---- faults (faults.cpp) ----
 
   void inject_fault();
-  void inject_fault(Fault kind, std::size_t controller_index, Ms lasts);
+  void inject_fault(Fault kind, std::size_t controller_index, Ms duration_ms);
   template <Ms SimulatedCluster::*Deadline>
-  void set_until(std::size_t controller_index, Ms lasts);
+  void set_until(std::size_t controller_index, Ms duration_ms);
   template <bool SimulatedCluster::*Flag>
-  void set_for(std::size_t controller_index, Ms lasts);
+  void set_for(std::size_t controller_index, Ms duration_ms);
   template <bool SimulatedController::*Flag>
-  void set_on_controller(std::size_t controller_index, Ms lasts);
-  void crash_one_controller(std::size_t controller_index, Ms lasts);
-  void crash_all_controllers(std::size_t controller_index, Ms lasts);
-  void restart_controller_twice(std::size_t controller_index, Ms lasts);
-  void restart_controllers_in_turn(std::size_t controller_index, Ms lasts);
-  void pause_controller(std::size_t controller_index, Ms lasts);
-  void keep_all_controllers_down(std::size_t controller_index, Ms lasts);
-  void crash_controllers_by_turns(std::size_t controller_index, Ms lasts);
-  void fail_over_and_back(std::size_t controller_index, Ms lasts);
-  void random_state_outage(std::size_t controller_index, Ms lasts);
-  void refuse_one_then_all(std::size_t controller_index, Ms lasts);
-  void slow_state_service(std::size_t controller_index, Ms lasts);
-  void start_state_outage(Ms lasts);
-  void isolate_controller(std::size_t controller_index, Ms lasts);
-  void cut_off_zone(std::size_t controller_index, Ms lasts);
-  void start_cloud_outage(std::size_t controller_index, Ms lasts);
+  void set_on_controller(std::size_t controller_index, Ms duration_ms);
+  void crash_one_controller(std::size_t controller_index, Ms duration_ms);
+  void crash_all_controllers(std::size_t controller_index, Ms duration_ms);
+  void restart_controller_twice(std::size_t controller_index, Ms duration_ms);
+  void restart_controllers_in_turn(std::size_t controller_index, Ms duration_ms);
+  void pause_controller(std::size_t controller_index, Ms duration_ms);
+  void keep_all_controllers_down(std::size_t controller_index, Ms duration_ms);
+  void crash_controllers_by_turns(std::size_t controller_index, Ms duration_ms);
+  void fail_over_and_back(std::size_t controller_index, Ms duration_ms);
+  void random_state_outage(std::size_t controller_index, Ms duration_ms);
+  void refuse_one_then_all(std::size_t controller_index, Ms duration_ms);
+  void slow_state_service(std::size_t controller_index, Ms duration_ms);
+  void start_state_outage(Ms duration_ms);
+  void isolate_controller(std::size_t controller_index, Ms duration_ms);
+  void cut_off_zone(std::size_t controller_index, Ms duration_ms);
+  void start_cloud_outage(std::size_t controller_index, Ms duration_ms);
   SimulatedWorker* random_running_machine();
-  void hang_machine(std::size_t controller_index, Ms lasts);
-  void fail_machine(std::size_t controller_index, Ms lasts);
-  void restart_machine(std::size_t controller_index, Ms lasts);
-  void make_machine_unreachable(std::size_t controller_index, Ms lasts);
-  void lose_heartbeats(std::size_t controller_index, Ms lasts);
-  void make_machine_fail_tasks(std::size_t controller_index, Ms lasts);
-  void give_preemption_notice(std::size_t controller_index, Ms lasts);
-  void preempt_spot_machines(std::size_t controller_index, Ms lasts);
+  void hang_machine(std::size_t controller_index, Ms duration_ms);
+  void fail_machine(std::size_t controller_index, Ms duration_ms);
+  void restart_machine(std::size_t controller_index, Ms duration_ms);
+  void make_machine_unreachable(std::size_t controller_index, Ms duration_ms);
+  void lose_heartbeats(std::size_t controller_index, Ms duration_ms);
+  void make_machine_fail_tasks(std::size_t controller_index, Ms duration_ms);
+  void give_preemption_notice(std::size_t controller_index, Ms duration_ms);
+  void preempt_spot_machines(std::size_t controller_index, Ms duration_ms);
   void kill_machine(SimulatedWorker& w);
-  void hang(SimulatedWorker& w, Ms lasts);
-  void submit_burst(std::size_t controller_index, Ms lasts);
-  void cancel_running(std::size_t controller_index, Ms lasts);
-  void send_invalid_requests(std::size_t controller_index, Ms lasts);
+  void hang(SimulatedWorker& w, Ms duration_ms);
+  void submit_burst(std::size_t controller_index, Ms duration_ms);
+  void cancel_running(std::size_t controller_index, Ms duration_ms);
+  void send_invalid_requests(std::size_t controller_index, Ms duration_ms);
 
   // ---- measurements (measurements.cpp) ----
 
@@ -326,7 +326,7 @@
   int state_delay_factor_ = 1;  // factor of the delays to and from the state service
   Ms duplicate_heartbeats_until_ = 0, heartbeats_delayed_until_ = 0;
   Ms late_writes_until_ = 0, state_reorders_until_ = 0, watch_lags_until_ = 0;
-  Ms answers_lost_until_ = 0;
+  Ms replies_lost_until_ = 0;
   Ms concurrent_reads_until_ = 0, cancel_at_end_until_ = 0;
 
   // ---- observations ----
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -175,7 +175,7 @@
     o.longest_task_s = 90;
     o.machines = 18;
     o.cloud_capacity = 9;
-    o.limit_cpus = 400;
+    o.tight_team_cpus = 400;
     o.cancel_all_at = 26'500;  // after the failover
     const Result r = SimulatedCluster(o).run();
     EXPECT_THAT(r, has_no_violations()) << "seed " << seed;
@@ -252,7 +252,8 @@
 }
 
 // SIM_SEEDS=200 runs more seeds than CI does.
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, testing::Range<std::uint64_t>(1, seeds_or(40) + 1));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults,
+                         testing::Range<std::uint64_t>(1, seed_count_or(40) + 1));
 
 }  // namespace
 }  // namespace scheduler::sim
--- a/tests/support/component_test.h
+++ b/tests/support/component_test.h
@@ -27,8 +27,8 @@
     ResultHandler done;
   };
 
-  static constexpr const char* kName = "puffin-0";
-  static constexpr Ms kStep = 20;
+  static constexpr const char* kControllerName = "puffin-0";
+  static constexpr Ms kStepMs = 20;
 
   static Settings component_settings() {
     Settings settings = single_controller_settings();
@@ -66,7 +66,7 @@
                  }} {
     wire::ViewRecord view;
     view.epoch = 1;
-    view.live[kName] = incarnation_;
+    view.live[kControllerName] = incarnation_;
     put(std::string(wire::kViewKey), encode(view));
   }
 
@@ -78,10 +78,10 @@
   }
 
   // Advances time in steps of 20 ms and, once the state is loaded, calls `tick` at each step.
-  void run(Ms lasts, const std::function<void(Ms)>& tick) {
+  void run(Ms duration_ms, const std::function<void(Ms)>& tick) {
     if (!started_) state_client_.start(now_);
     started_ = true;
-    for (const Ms end = now_ + lasts; now_ < end; now_ += kStep) {
+    for (const Ms end = now_ + duration_ms; now_ < end; now_ += kStepMs) {
       state_client_.tick(now_);
       state_.serve_watchers(now_, [](std::size_t) { return true; });
       if (state_client_.loaded()) tick(now_);
--- a/tests/support/fake_cloud.h
+++ b/tests/support/fake_cloud.h
@@ -26,7 +26,7 @@
   [[nodiscard]] std::string list() const {
     std::string entries;
     for (const auto& [id, status] : machines) {
-      sim::Put machine;
+      sim::JsonObjectBuilder machine;
       machine.str("id", id);
       machine.str("endpoint", id + ":1");
       machine.str("fleet", "g");
--- a/tests/support/simulation_runs.h
+++ b/tests/support/simulation_runs.h
@@ -61,7 +61,7 @@
 }
 
 // The number of seeds to run: SIM_SEEDS if it is set, else `default_seeds`.
-inline std::uint64_t seeds_or(std::uint64_t default_seeds) {
+inline std::uint64_t seed_count_or(std::uint64_t default_seeds) {
   const char* number = std::getenv("SIM_SEEDS");
   return number ? std::strtoull(number, nullptr, 10) : default_seeds;
 }
@@ -85,7 +85,7 @@
   return only && std::strtoull(only, nullptr, 10) != seed;
 }
 
-inline bool prints_counts() { return std::getenv("SIM_MET") != nullptr; }
+inline bool prints_fault_counts() { return std::getenv("SIM_MET") != nullptr; }
 
 // ---- options ----
 
@@ -103,10 +103,10 @@
 }
 
 // Adds faults of one kind at a fixed interval, until 5 s before the end of the first phase.
-inline void add_periodic_faults(Options& o, Fault kind, Ms from, Ms every, Ms lasts,
+inline void add_periodic_faults(Options& o, Fault kind, Ms from, Ms every, Ms duration_ms,
                                 std::size_t node = 0) {
   for (Ms at = from; at < o.fault_ms - 5000; at += every)
-    o.planned_faults.push_back({at, kind, node, lasts});
+    o.planned_faults.push_back({at, kind, node, duration_ms});
 }
 
 }  // namespace scheduler::sim
--- a/tests/support/single_controller_jobs.h
+++ b/tests/support/single_controller_jobs.h
@@ -12,14 +12,14 @@
 class SingleControllerJobs : public SingleControllerTest {
  protected:
   // The body of the controller's reply to a read of the job.
-  std::string state_of(const std::string& id) {
+  std::string read_job_body(const std::string& id) {
     const std::uint64_t request = send_request("GET", "/v1/jobs/" + id);
     run(200);
-    return answers_[request].body;
+    return replies_[request].body;
   }
 
   // Replaces the state service by an empty one and starts a controller with these settings.
-  void start_anew(const Settings& settings) {
+  void start_with_empty_state(const Settings& settings) {
     settings_ = settings;
     timeouts_.clear();
     state_ = sim::FakeStateService();
--- a/tests/support/single_controller_test.h
+++ b/tests/support/single_controller_test.h
@@ -40,12 +40,12 @@
   }
 
   // Advances time in steps of 20 ms and executes all calls of the controller.
-  void run(Ms lasts) {
-    for (const Ms end = now_ + lasts; now_ < end; now_ += 20) {
+  void run(Ms duration_ms) {
+    for (const Ms end = now_ + duration_ms; now_ < end; now_ += 20) {
       controller_->tick(now_, now_);
       state_.expire_session_leases(now_);
       state_.serve_watchers(now_, [](std::size_t) { return true; });
-      pump();
+      process_outputs();
       std::erase_if(timeouts_, [this](const auto& timeout) {
         if (timeout.first > now_) return false;
         controller_->on_result(now_, timeout.second, {0, ""});
@@ -55,18 +55,18 @@
   }
 
   // Records the controller's replies and executes its calls until it has no more outputs.
-  void pump() {
+  void process_outputs() {
     for (auto out = controller_->take_output();
          !out.calls.empty() || !out.replies.empty() || !out.logs.empty() || !out.peers.empty();
          out = controller_->take_output()) {
-      for (const auto& reply : out.replies) answers_[reply.request] = reply;
+      for (const auto& reply : out.replies) replies_[reply.request] = reply;
       for (const auto& call : out.calls) execute(call);
     }
   }
 
   void execute(const Call& call) {
-    if (replies_garbage_) {
-      controller_->on_result(now_, call.id, {200, garbage(call.id)});
+    if (sends_invalid_replies_) {
+      controller_->on_result(now_, call.id, {200, invalid_reply(call.id)});
       return;
     }
     switch (call.target) {
@@ -79,7 +79,7 @@
     }
   }
 
-  static std::string garbage(std::uint64_t number) {
+  static std::string invalid_reply(std::uint64_t number) {
     static const std::vector<std::string> kBodies{"",
                                                   "{",
                                                   "[]",
@@ -151,12 +151,12 @@
       it = delayed_replies_.erase(it);
     }
     for (const auto& [call, reply] : arriving) controller_->on_result(now_, call.id, reply);
-    pump();
+    process_outputs();
   }
 
   std::string body(std::uint64_t incarnation, std::uint64_t sequence,
                    const char* id = "n-1") const {
-    sim::Put p;
+    sim::JsonObjectBuilder p;
     p.str("rig", id);
     p.str("endpoint", std::string(id) + ":1");
     p.str("fleet", "g");
@@ -167,7 +167,7 @@
     p.num("baton", token_);
     std::string loads;
     for (const auto& [task, exited] : tasks_) {
-      sim::Put task_json;
+      sim::JsonObjectBuilder task_json;
       task_json.str("load", task.first);
       task_json.num("try", task.second);
       task_json.str("status", exited ? "exited" : "running");
@@ -192,11 +192,11 @@
   }
 
   HttpReply heartbeat(std::uint64_t sequence, const char* id = "n-1") {
-    const std::uint64_t request = next_++;
+    const std::uint64_t request = next_request_++;
     if (id == std::string("n-1")) sequence_ = std::max(sequence_, sequence);
     controller_->on_request(now_, request, {"POST", "/hello", body(incarnation_, sequence, id)});
-    pump();
-    HttpReply reply = answers_[request];
+    process_outputs();
+    HttpReply reply = replies_[request];
     rapidjson::Document doc;
     if (receives_replies_ && reply.status == 200 && wire::parse_object(reply.body, doc)) {
       token_ = std::max(token_, doc["baton"].GetUint64());
@@ -208,19 +208,19 @@
   // Delivers a delayed heartbeat that the worker sent before it had any task.
   void deliver_old_heartbeat(std::uint64_t incarnation, std::uint64_t sequence) {
     const auto tasks = std::exchange(tasks_, {});
-    controller_->on_request(now_, next_++, {"POST", "/hello", body(incarnation, sequence)});
+    controller_->on_request(now_, next_request_++, {"POST", "/hello", body(incarnation, sequence)});
     tasks_ = tasks;
-    pump();
+    process_outputs();
   }
 
   // The status of the reply to a request; 0: no reply yet.
   [[nodiscard]] int status(std::uint64_t request) const {
-    auto reply = answers_.find(request);
-    return reply == answers_.end() ? 0 : reply->second.status;
+    auto reply = replies_.find(request);
+    return reply == replies_.end() ? 0 : reply->second.status;
   }
 
   // Starts a job of two tasks and waits until both run.
-  void start_two() {
+  void start_two_tasks() {
     executes_commands_ = true;
     EXPECT_EQ(heartbeat(50).status, 200);
     submit("req-000001");
@@ -231,26 +231,26 @@
   // Sends a user request and returns its number, under which answers_ holds the reply.
   std::uint64_t send_request(const std::string& method, const std::string& path,
                              const std::string& body = "") {
-    const std::uint64_t request = next_++;
+    const std::uint64_t request = next_request_++;
     controller_->on_request(now_, request, {method, path, body});
     return request;
   }
 
   std::uint64_t cancel(const std::string& id) {
     const std::uint64_t request = send_request("POST", "/v1/jobs/" + id + "/withdraw");
-    pump();
+    process_outputs();
     return request;
   }
 
   std::uint64_t post(const std::string& body) {
     const std::uint64_t request = send_request("POST", "/v1/jobs", body);
-    pump();
+    process_outputs();
     return request;
   }
 
   std::uint64_t poll(const std::string& id) {
     const std::uint64_t request = send_request("GET", "/v1/jobs/" + id);
-    pump();
+    process_outputs();
     return request;
   }
 
@@ -268,10 +268,10 @@
   std::unique_ptr<Controller> controller_;
   sim::FakeStateService state_;
   FakeCloud cloud_{.machines = {{"n-1", "running"}}};
-  std::map<std::uint64_t, HttpReply> answers_;
+  std::map<std::uint64_t, HttpReply> replies_;
   // Time of the timeout and call id, for calls that get no reply.
   std::vector<std::pair<Ms, std::uint64_t>> timeouts_;
-  std::uint64_t next_ = 1, incarnation_ = 1, sequence_ = 0, token_ = 0;
+  std::uint64_t next_request_ = 1, incarnation_ = 1, sequence_ = 0, token_ = 0;
   bool reachable_ = true, receives_replies_ = true, executes_commands_ = false;
   std::string exit_cause_ = "stopped";  // cause that the worker reports for exited tasks
   // The worker's tasks: whether the task has exited, by task name and attempt.
@@ -281,7 +281,7 @@
   // delayed until release_replies().
   std::function<bool(const Call&)> delays_reply_;
   std::vector<std::pair<Call, HttpResult>> delayed_replies_;
-  bool replies_garbage_ = false;  // all calls get invalid replies
+  bool sends_invalid_replies_ = false;  // all calls get invalid replies
   // Calls to the state service whose path starts with this text are executed, but their replies are
   // lost; "": none.
   std::string lost_request_path_;
--- a/tests/workers_test.cpp
+++ b/tests/workers_test.cpp
@@ -31,10 +31,10 @@
     put(wire::fleet_key(0), encode(fleet));
     record_job(false);
     wire::RangeRecord range;
-    range.owner = kName;
+    range.owner = kControllerName;
     range.end = 1;
     range.done.assign(1, false);
-    range.placed[0] = {1, kMachine, 1, kName};
+    range.placed[0] = {1, kMachine, 1, kControllerName};
     put(wire::range_key(kJob, 1), encode(range));
     run(kLoadMs, [](Ms) {});
     machine().incarnation = 1;
@@ -49,7 +49,7 @@
     job.spec.cpus = 1;
     job.spec.image = "i";
     job.cancelled = cancelled;
-    job.initial_ranges = {{1, 0, 1, kName}};
+    job.initial_ranges = {{1, 0, 1, kControllerName}};
     put(wire::job_key(kJob), encode(job));
   }
 
@@ -119,7 +119,8 @@
   state_client_.on_pause(now_);  // the state service does not count as answering after a pause
   cancellations_.apply(now_, {kJob});
   EXPECT_TRUE(cancellations_.is_cancelled(kJob, job));
-  EXPECT_TRUE(reconciler_.must_not_run(machine(), {{kJob, 1}, 0}, {1, kMachine, 1, kName}));
+  EXPECT_TRUE(
+      reconciler_.must_not_run(machine(), {{kJob, 1}, 0}, {1, kMachine, 1, kControllerName}));
 }
 
 TEST_F(WorkersTest, OutdatedHeartbeatsAreRejected) {
