--- a/src/quota/quota_leases.cpp
+++ b/src/quota/quota_leases.cpp
@@ -25,7 +25,7 @@
         field_(field),
         record_(record),
         own_used_(used(in.self)),
-        target_(own_used_ + in.need.*field) {}
+        target_(own_used_ + in.waiting_demand.*field) {}
 
   // Updates the record; returns true if anything has changed.
   bool apply() {
@@ -93,7 +93,7 @@
   // Gives up the unused part of the lease. Guards against gangs in several shards that never start
   // because each shard keeps a remainder that is too small.
   void yield() {
-    const double needed = in_.need.*field_;
+    const double needed = in_.waiting_demand.*field_;
     if (own_lease() > own_used_ + kAmountSlack) set(own_lease(), own_used_);
     if (demand() < needed) set(demand(), needed);
   }
--- a/src/quota/quota_leases.h
+++ b/src/quota/quota_leases.h
@@ -28,7 +28,7 @@
   // Usage by controller: recorded placements and, for `self`, also pending placements.
   std::map<std::string, wire::QuotaRecord::Amount> used;
   // Demand of this controller's waiting tasks beyond its usage.
-  wire::QuotaRecord::Amount need;
+  wire::QuotaRecord::Amount waiting_demand;
   // Resources needed by this shard's replicas that have no machine. Included in the usage of
   // `self`, since they are reserved.
   wire::QuotaRecord::Amount service_reserve;
--- a/src/quota/quota_manager.cpp
+++ b/src/quota/quota_manager.cpp
@@ -84,7 +84,7 @@
   input.self = self;
   input.live = context_.cluster_view.live();
   const auto demand = demand_.find(team.name);
-  if (demand != demand_.end()) input.need = demand->second;
+  if (demand != demand_.end()) input.waiting_demand = demand->second;
   for (const auto& [who, lease] : record.leases) {
     const Usage usage = context_.replica.usage(team.name, who);
     input.used[who] = {usage.cpus, usage.gpus};
--- a/src/scheduling/pending_order.cpp
+++ b/src/scheduling/pending_order.cpp
@@ -67,7 +67,7 @@
       return due_s(a) != due_s(b) ? due_s(a) < due_s(b) : a < b;
     });
     const auto less_work_per_weight = [this](std::size_t a, std::size_t b) {
-      return jobs_[a].work / jobs_[a].weight < jobs_[b].work / jobs_[b].weight;
+      return jobs_[a].work_cpu_s / jobs_[a].weight < jobs_[b].work_cpu_s / jobs_[b].weight;
     };
     std::vector<std::size_t> accepted;  // max-heap by work per weight
     double busy_s = 0;
@@ -81,10 +81,10 @@
       }
       accepted.push_back(job);
       std::push_heap(accepted.begin(), accepted.end(), less_work_per_weight);
-      busy_s += jobs_[job].work / rate_;
+      busy_s += jobs_[job].work_cpu_s / rate_;
       if (busy_s <= due_s(job)) continue;
       std::pop_heap(accepted.begin(), accepted.end(), less_work_per_weight);
-      busy_s -= jobs_[accepted.back()].work / rate_;
+      busy_s -= jobs_[accepted.back()].work_cpu_s / rate_;
       defer(accepted.back());
       accepted.pop_back();
       deferred = true;
@@ -108,9 +108,10 @@
       return due_s(a) != due_s(b) ? due_s(a) > due_s(b) : a < b;
     });
     double ends_s = 0;
-    for (const std::size_t job : open) ends_s += jobs_[job].work / rate_;
+    for (const std::size_t job : open) ends_s += jobs_[job].work_cpu_s / rate_;
     const auto less_work = [this](std::size_t a, std::size_t b) {
-      return jobs_[a].work != jobs_[b].work ? jobs_[a].work < jobs_[b].work : a < b;
+      return jobs_[a].work_cpu_s != jobs_[b].work_cpu_s ? jobs_[a].work_cpu_s < jobs_[b].work_cpu_s
+                                                        : a < b;
     };
     std::vector<std::size_t> last_slot_candidates;  // max-heap by work
     auto next = open.begin();
@@ -126,7 +127,7 @@
       }
       std::pop_heap(last_slot_candidates.begin(), last_slot_candidates.end(), less_work);
       slot_[last_slot_candidates.back()] = slot;
-      ends_s -= jobs_[last_slot_candidates.back()].work / rate_;
+      ends_s -= jobs_[last_slot_candidates.back()].work_cpu_s / rate_;
       last_slot_candidates.pop_back();
     }
   }
@@ -141,7 +142,7 @@
     if (x_misses) return x.age_s != y.age_s ? x.age_s > y.age_s : a < b;
     if (timeliness_[a] != timeliness_[b]) return timeliness_[a] < timeliness_[b];
     if (timeliness_[a] == Timeliness::in_time) return slot_[a] < slot_[b];
-    return x.work != y.work ? x.work < y.work : a < b;
+    return x.work_cpu_s != y.work_cpu_s ? x.work_cpu_s < y.work_cpu_s : a < b;
   }
 
   const std::vector<PendingJob>& jobs_;
--- a/src/scheduling/pending_order.h
+++ b/src/scheduling/pending_order.h
@@ -14,7 +14,7 @@
 // A job with tasks that wait for capacity.
 struct PendingJob {
   int priority = 0;                     // higher values first, in the order and in forecasts
-  double work = 0;                      // CPU seconds of tasks not yet placed, by the estimate
+  double work_cpu_s = 0;                // CPU seconds of tasks not yet placed, by the estimate
   double weight = 1;                    // cost of one late job of this class
   double age_s = 0;                     // seconds
   std::vector<double> latest_starts_s;  // seconds from now, ascending: the latest start of all
--- a/src/scheduling/start_deadlines.cpp
+++ b/src/scheduling/start_deadlines.cpp
@@ -51,7 +51,7 @@
   const wire::JobSpec& spec = job.record.spec;
   PendingJob pending;
   pending.age_s = age_s;
-  pending.work = waiting_work(job);
+  pending.work_cpu_s = waiting_work(job);
   if (spec.is_service()) {
     // Every second without a replica counts, regardless of the job's age.
     pending.latest_starts_s.push_back(0);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -144,7 +144,7 @@
       in.self = controller;
       in.live = live;
       for (const auto& n : live) in.used[n] = {used[n], 0};
-      in.need.cpus = 20;
+      in.waiting_demand.cpus = 20;
       in.yield = used[controller] == 0 && quota_collector(record, live, wall) != controller;
       if (const auto next = next_quota_record(in, record)) record = *next;
       double granted = 0;
@@ -188,13 +188,13 @@
     in.self = controller.name;
     in.live = {"a", "b", "c"};
     for (const auto& p : controllers) in.used[p.name] = {p.used, 0};
-    in.need.cpus = controller.missing;
+    in.waiting_demand.cpus = controller.missing;
     in.yield = wall - controller.stuck_since > kQuotaYieldDelayMs && turn != controller.name;
     in.leave_to_collector = controller.yield_tracker.leave_to_collector(in.yield, turn);
     if (!in.yield) {
       in.used[controller.name].cpus += controller.missing;
       in.service_reserve.cpus = controller.missing;
-      in.need.cpus = 0;
+      in.waiting_demand.cpus = 0;
     }
     return next_quota_record(in, seen);
   };
@@ -233,7 +233,7 @@
     const std::string controller = live[random(static_cast<std::uint32_t>(live.size()))];
     QuotaLeaseInput in{&team, controller, live, {}, {}, {}, false, false};
     for (const auto& [n, u] : used) in.used[n] = {u, 0};
-    in.need.cpus = random(3) == 0 ? random(60) : 0;
+    in.waiting_demand.cpus = random(3) == 0 ? random(60) : 0;
     if (const auto next = next_quota_record(in, record)) record = *next;
     double granted = 0;
     for (const auto& [n, g] : record.leases) granted += g.cpus;
@@ -271,10 +271,10 @@
   EXPECT_FALSE(tracker.on_task_failed(2000, "m1", "req-000010"));
 }
 
-PendingJob waiting(double work, std::vector<double> latest_starts_s, int priority = 1,
+PendingJob waiting(double work_cpu_s, std::vector<double> latest_starts_s, int priority = 1,
                    double age_s = 0) {
   PendingJob job;
-  job.work = work;
+  job.work_cpu_s = work_cpu_s;
   job.latest_starts_s = std::move(latest_starts_s);
   job.priority = priority;
   job.age_s = age_s;
