--- a/src/base/types.h
+++ b/src/base/types.h
@@ -40,6 +40,7 @@
   double share = 0, deadline_factor = 0, within_s = 0;
 };
 
+// Another controller.
 struct Peer {
   std::string name, zone, address;
 };
@@ -50,7 +51,7 @@
   std::vector<std::string> zones;  // zones in which machines may be rented
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  int controllers = 1;
+  int controllers = 1;  // number of configured controllers
   // Timing of workers, in seconds: the heartbeat interval, the lease, how long a gang's task waits
   // for the other tasks to start, how long it runs on after losing one of them, and how long a
   // cancelled task may run after the reply to the user.
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -61,7 +61,7 @@
 struct Output {
   std::vector<Call> calls;
   std::vector<HttpReply> replies;
-  std::vector<OutgoingPeerMessage> peers;
+  std::vector<OutgoingPeerMessage> peers;  // messages to peers
   std::vector<LogLine> logs;
 };
 
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -13,8 +13,8 @@
 // that can't read the records. After about this long, the workers of a partitioned controller have
 // switched to another one.
 constexpr std::int64_t kGossipCancellationMaxAgeMs = 60'000;
-// Most cancelled jobs in one gossip message.
-constexpr std::size_t kMaxGossipedCancellations = 32;
+// Maximum number of recently cancelled jobs that are remembered and named in a gossip message.
+constexpr std::size_t kMaxRecentCancellations = 32;
 
 std::string_view status_name(links::Status status) {
   switch (status) {
@@ -84,7 +84,7 @@
   std::vector<std::string> jobs;
   if (!some_peer_without_state || !context_.state_client.answering(now)) return jobs;
   for (const auto& [job, at] : cancelled_at_) {
-    if (jobs.size() < kMaxGossipedCancellations) jobs.push_back(job);
+    if (jobs.size() < kMaxRecentCancellations) jobs.push_back(job);
   }
   return jobs;
 }
@@ -93,7 +93,7 @@
   const Job* job = context_.replica.job(id);
   const auto* final_state = context_.replica.final_state(id);
   if (!(job && job->record.cancelled) && !(final_state && !final_state->done)) return;
-  if (cancelled_at_.size() < kMaxGossipedCancellations) cancelled_at_.try_emplace(id, now);
+  if (cancelled_at_.size() < kMaxRecentCancellations) cancelled_at_.try_emplace(id, now);
 }
 
 void Gossip::log_link_changes(const wire::LinkRow& row) {
--- a/src/fleet/cloud_inventory.h
+++ b/src/fleet/cloud_inventory.h
@@ -36,7 +36,7 @@
   // length of the pause, in addition to the usual lag, so it is discarded and requested again.
   void on_pause(Ms now);
   // Whether a whole list has been read since the last one was discarded.
-  [[nodiscard]] bool known() const { return completed_at_ != 0; }
+  [[nodiscard]] bool has_list() const { return completed_at_ != 0; }
   [[nodiscard]] const links::RequestLink& link() const { return link_; }
   [[nodiscard]] bool contains(const std::string& id) const { return machines_.contains(id); }
   [[nodiscard]] const std::map<std::string, wire::CloudMachine>& machines() const {
--- a/src/fleet/fleet_coordinator.cpp
+++ b/src/fleet/fleet_coordinator.cpp
@@ -96,7 +96,7 @@
   idle_since_ = 0;
 }
 
-std::vector<Demand> FleetCoordinator::demand() const {
+std::vector<Demand> FleetCoordinator::job_demand() const {
   std::vector<Demand> out;
   for (const auto& [id, job] : context_.replica.jobs()) {
     if (!job.known || job.record.cancelled) continue;
@@ -153,14 +153,14 @@
 
 void FleetCoordinator::on_list_complete(Ms now) {
   if (!context_.can_write(now) || !is_leader()) return;
-  std::vector<std::string> unknown_failed;
+  std::vector<std::string> failed_machines;
   for (const auto& [id, listed] : inventory_.machines()) {
-    if (check_listed(id, listed)) unknown_failed.push_back(id);
+    if (check_listed(id, listed)) failed_machines.push_back(id);
   }
   if (adopted_count_ > 0)
     context_.log(LogLevel::info, "adopting " + std::to_string(adopted_count_) + " machines");
   adopted_count_ = 0;
-  if (!unknown_failed.empty()) return_machines(std::move(unknown_failed));
+  if (!failed_machines.empty()) return_machines(std::move(failed_machines));
   check_unlisted(now);
 }
 
@@ -234,28 +234,28 @@
 
 void FleetCoordinator::resize(Ms now) {
   next_resize_ = now + kResizeIntervalMs;
-  if (!context_.replica.has_catalog() || !inventory_.known()) return;
+  if (!context_.replica.has_catalog() || !inventory_.has_list()) return;
   const auto machines = held_machines();
-  const auto work = demand();
-  if (scale_out_requests_.idle()) scale_out(now, work, machines);
-  scale_in(now, work, machines);
+  const auto demand = job_demand();
+  if (scale_out_requests_.idle()) scale_out(now, demand, machines);
+  scale_in(now, demand, machines);
 }
 
-void FleetCoordinator::scale_out(Ms now, const std::vector<Demand>& work,
+void FleetCoordinator::scale_out(Ms now, const std::vector<Demand>& demand,
                                  const std::map<MachineKind, int>& held) {
-  for (auto& request : sizer_.next_scale_out(now, work, context_.replica.catalog(), held))
+  for (auto& request : sizer_.next_scale_out(now, demand, context_.replica.catalog(), held))
     scale_out_requests_.request(std::move(request));
 }
 
 // Drains some of the empty machines each second if the surplus has lasted long enough. Without any
 // unfinished job, draining starts sooner and takes more machines at a time.
-void FleetCoordinator::scale_in(Ms now, const std::vector<Demand>& work,
+void FleetCoordinator::scale_in(Ms now, const std::vector<Demand>& demand,
                                 const std::map<MachineKind, int>& held) {
-  const auto surplus = sizer_.surplus(work, context_.replica.catalog(), held);
+  const auto surplus = sizer_.surplus(demand, context_.replica.catalog(), held);
   int total = 0;
   for (const auto& [type, count] : surplus) total += std::max(0, count);
   update_since(surplus_since_, total > 0, now);
-  update_since(idle_since_, work.empty(), now);
+  update_since(idle_since_, demand.empty(), now);
   if (total == 0) return;
   if (idle_since_ != 0 && now - idle_since_ >= kIdleScaleInDelayMs) {
     drain_empty(surplus, std::max(1, total / kIdleSurplusDivisor));
--- a/src/fleet/fleet_coordinator.h
+++ b/src/fleet/fleet_coordinator.h
@@ -1,5 +1,5 @@
 // The fleet leader decides which machines to rent and which to return. One controller of the view
-// is the leader: the one that the duty's name is hashed to.
+// is the leader: the one that the hash of the name kFleetDuty selects.
 #pragma once
 
 #include <map>
@@ -37,7 +37,7 @@
 
  private:
   [[nodiscard]] bool is_leader() const { return context_.is_leader_of(kFleetDuty); }
-  [[nodiscard]] std::vector<Demand> demand() const;
+  [[nodiscard]] std::vector<Demand> job_demand() const;
   [[nodiscard]] std::map<MachineKind, int> held_machines() const;
 
   void read_catalog(Ms now);
@@ -50,8 +50,8 @@
   void check_unlisted(Ms now);
 
   void resize(Ms now);
-  void scale_out(Ms now, const std::vector<Demand>& work, const std::map<MachineKind, int>& held);
-  void scale_in(Ms now, const std::vector<Demand>& work, const std::map<MachineKind, int>& held);
+  void scale_out(Ms now, const std::vector<Demand>& demand, const std::map<MachineKind, int>& held);
+  void scale_in(Ms now, const std::vector<Demand>& demand, const std::map<MachineKind, int>& held);
   // Drains up to `count` machines without tasks, of the types in `surplus` with a positive count.
   void drain_empty(std::map<std::string, int> surplus, int count);
   void on_scaled_out(Ms now, const wire::ScaleOutRequest& request,
@@ -75,8 +75,8 @@
   Ms idle_since_ = 0;     // 0: some job is unfinished
   bool return_in_flight_ = false;
   Ms next_return_ = 0;
-  std::map<std::string, Ms> terminated_since_;  // machines that the cloud has terminated
-  std::map<std::string, Ms> unlisted_since_;    // recorded machines that are missing from the list
+  std::map<std::string, Ms> terminated_since_;  // by machine that the cloud has terminated
+  std::map<std::string, Ms> unlisted_since_;    // by machine that is missing from the list
 };
 
 }  // namespace scheduler
--- a/src/fleet/fleet_sizer.cpp
+++ b/src/fleet/fleet_sizer.cpp
@@ -83,9 +83,9 @@
   }
   std::vector<Need> out;
   for (const auto& [key, machines] : sums) {
-    const auto& [type, any_zone, zone, any_kind] = key;
-    const double spare = any_zone && any_kind ? kSpareMachines : 0;
-    out.push_back({type, zone, !any_kind, machines * (1.0 + kHeadroomShare) + spare});
+    const auto& [type, any_zone, zone, spot_counts] = key;
+    const double spare = any_zone && spot_counts ? kSpareMachines : 0;
+    out.push_back({type, zone, !spot_counts, machines * (1.0 + kHeadroomShare) + spare});
   }
   return out;
 }
--- a/src/fleet/fleet_sizer.h
+++ b/src/fleet/fleet_sizer.h
@@ -20,14 +20,14 @@
 // so it must be equal in the version in production and in this one.
 constexpr std::string_view kFleetDuty = "cloud";
 
-// Machines that are rented by the same kind of request.
+// The attributes of machines that a scale-out request names.
 struct MachineKind {
   std::string type, zone;
   bool spot = false;
   auto operator<=>(const MachineKind&) const = default;
 };
 
-// An unfinished job.
+// The number of tasks of an unfinished job for which machines are needed.
 struct Demand {
   const wire::JobSpec* job = nullptr;
   std::uint64_t tasks = 0;  // unfinished
--- a/src/jobs/job_reader.h
+++ b/src/jobs/job_reader.h
@@ -54,10 +54,10 @@
   // wait.
   void wait_until_job_settled(Ms now, std::uint64_t request, const std::string& id, Ms deadline,
                               const std::function<void(Ms now)>& on_settled);
-  // A cancelled job counts as cancelled only once the records show that no task of it is left on
-  // any machine. In a zone that is partitioned together with a controller, tasks may go on running:
-  // that controller renews their leases and can't read the cancellation. Until the records show
-  // that these tasks have ended, users don't receive the state `cancelled`.
+  // State of an unfinished job. A cancelled job counts as cancelled only once the records show that
+  // no task of it is left on any machine. In a zone that is partitioned together with a controller,
+  // tasks may go on running: that controller renews their leases and can't read the cancellation.
+  // Until the records show that these tasks have ended, users don't receive the state `cancelled`.
   static wire::JobState state_of(const Job& job);
   static JobStatus final_status(const wire::FinalStateRecord& record);
   // Logs the state in a reply about a job and the revision at which it is valid.
--- a/src/links/decision.h
+++ b/src/links/decision.h
@@ -11,7 +11,7 @@
 enum class Reason : std::uint8_t {
   link_up,              // this controller's own link works
   outage,               // the service answers no controller, as far as is known
-  peer_reaches,         // this controller's link is down, and that of the named one is up
+  peer_reaches,         // this controller's link is down, but the link of Decision::through is up
   nobody_reaches,       // this controller's link is down, and no other one is known to be up
   isolated,             // no messages from the service or any other controller
   mostly_responsive,    // most workers are in contact: only the silent ones have failed
@@ -27,8 +27,10 @@
 struct Decision {
   bool allowed = true;
   Reason reason = Reason::link_up;
-  std::string through;     // controller whose row the decision is based on; empty: own evidence
-  Ms evidence_age_ms = 0;  // age of that row, or time since the own link last worked
+  std::string through;  // controller whose row the decision is based on; empty: own evidence
+  // Age of that row, or time since the own link last worked. If the reason is steady or unsteady:
+  // time for which the own link has been up.
+  Ms evidence_age_ms = 0;
 };
 
 }  // namespace scheduler::links
--- a/src/links/flap_damper.h
+++ b/src/links/flap_damper.h
@@ -9,7 +9,8 @@
 // the link must be up before it is used again.
 class FlapDamper {
  public:
-  // `free_failures`: number of recent failures without a penalty.
+  // `free_failures`: number of recent failures after which the link may still be used again at
+  // once.
   explicit FlapDamper(int free_failures) : free_failures_(free_failures) {}
 
   void on_failure(Ms now);
--- a/src/links/matrix.h
+++ b/src/links/matrix.h
@@ -1,4 +1,5 @@
-// Link states of all other controllers as known here: one row per controller, with its age.
+// Link states of all other controllers as known to this controller: one row per controller, with
+// its age.
 #pragma once
 
 #include <map>
--- a/src/links/monitor.h
+++ b/src/links/monitor.h
@@ -68,7 +68,7 @@
   // Whether to own machines again after they were given up.
   [[nodiscard]] Decision may_reclaim_machines(Ms now) const;
   void on_machines_given_up(Ms now);
-  // Reports the result of a round of probes while machines are given up.
+  // Called with the result of a round of probes of workers while machines are given up.
   void on_reclaim_probe(Ms now, bool answered);
   // Whether to rejoin the view after being removed from it. `others_live`: another controller
   // serves meanwhile.
--- a/src/links/zone_links.h
+++ b/src/links/zone_links.h
@@ -7,10 +7,10 @@
 
 namespace scheduler::links {
 
-// Heartbeats prove one direction of the link; replies to probes and commands prove the other, and
-// the way back. Workers send heartbeats at intervals with a known maximum, so silence is judged by
-// that maximum and by the number of workers that are silent at once. A sample of workers is probed
-// as soon as the silence looks unusual.
+// Heartbeats prove that messages from the workers arrive; replies to probes and commands prove that
+// messages to the workers arrive as well. Workers send heartbeats at intervals with a known
+// maximum, so silence is judged by that maximum and by the number of workers that are silent at
+// once. A sample of workers is probed as soon as the silence looks unusual.
 class ZoneLinks {
  public:
   explicit ZoneLinks(Ms heartbeat_interval) : heartbeat_interval_(heartbeat_interval) {}
@@ -27,7 +27,9 @@
   void suspect_commands() { commands_suspected_ = true; }
   void on_pause(Ms now);
 
+  // State of the link from the workers, judged by their heartbeats.
   [[nodiscard]] Status reports(Ms now) const;
+  // State of the link to the workers, judged by replies to commands and probes.
   [[nodiscard]] Status commands(Ms now) const;
   // Whether neither direction is known to be down.
   [[nodiscard]] bool usable(Ms now) const;
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -19,9 +19,9 @@
 constexpr std::string_view kCancelledKey = "cancelled";
 // Limits on the rows and cancelled jobs of a gossip message and on the entries of a row. The
 // decoder ignores the rest of a longer list.
-constexpr std::size_t kMaxLinkRows = 16;
-constexpr std::size_t kMaxRowEntries = 16;
-constexpr std::size_t kMaxCancelledJobs = 64;
+constexpr std::size_t kMaxDecodedRows = 16;
+constexpr std::size_t kMaxDecodedRowEntries = 16;
+constexpr std::size_t kMaxDecodedCancelledJobs = 64;
 // Elements of a zone in a row: the link in both directions, and the time of the last heartbeat.
 constexpr std::size_t kZoneElements = 3;
 
@@ -89,14 +89,14 @@
   cbor::read(map, "relays", row.relays);
   const bool heard_valid =
       cbor::for_each_entry(map, "heard", [&](const auto& peer, const auto* link) {
-        if (row.heard.size() < kMaxRowEntries) row.heard[peer] = status_of(link);
+        if (row.heard.size() < kMaxDecodedRowEntries) row.heard[peer] = status_of(link);
         return true;
       });
   const bool workers_valid =
       cbor::for_each_entry(map, "workers", [&](const auto& zone, const auto* elements) {
         if (!cbor_isa_array(elements) || cbor_array_size(elements) < kZoneElements) return false;
         cbor_item_t* const* values = cbor_array_handle(elements);
-        if (row.workers.size() < kMaxRowEntries)
+        if (row.workers.size() < kMaxDecodedRowEntries)
           row.workers[zone] = {status_of(values[0]), status_of(values[1]),
                                cbor::as_number(values[2]).value_or(0)};
         return true;
@@ -122,14 +122,14 @@
 void read_links(const cbor_item_t* map, GossipMessage& gossip_message) {
   const bool rows_valid = cbor::for_each_element(map, kLinksKey, [&](const cbor_item_t* element) {
     auto row = decode_row(element);
-    if (row && gossip_message.links.size() < kMaxLinkRows)
+    if (row && gossip_message.links.size() < kMaxDecodedRows)
       gossip_message.links.push_back(std::move(*row));
     return row.has_value();
   });
   if (!rows_valid) gossip_message.links.clear();
   cbor::for_each_element(map, kCancelledKey, [&](const cbor_item_t* element) {
     auto job = cbor::as_text(element);
-    if (job && gossip_message.cancelled.size() < kMaxCancelledJobs)
+    if (job && gossip_message.cancelled.size() < kMaxDecodedCancelledJobs)
       gossip_message.cancelled.push_back(std::move(*job));
     return job.has_value();
   });
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -80,7 +80,7 @@
 // Versions without relaying accept frames of up to kMaxGossipBytes bytes only. A gossip message
 // takes about 300 bytes.
 constexpr std::size_t kMaxGossipBytes = 4096;
-// Largest frame in bytes. The body of a relayed message takes up to 64 KiB.
+// Largest frame in bytes. Controllers relay bodies of up to 60 KiB.
 constexpr std::size_t kMaxPeerFrameBytes = std::size_t{80} * 1024;
 
 }  // namespace scheduler::wire
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -31,8 +31,8 @@
 
 namespace scheduler::wire {
 
-// The cluster view: which controllers exist. The controller that changes the view writes it with a
-// new epoch.
+// The cluster view: which controllers are live. The controller that changes the view writes it with
+// a new epoch.
 struct ViewRecord {
   std::uint64_t epoch = 0;
   std::map<std::string, std::string> live;  // name -> incarnation
@@ -126,7 +126,7 @@
   ready,        // accepts tasks
   quarantined,  // tasks fail on it: accepts no new tasks and will be replaced
   draining,     // accepts no new tasks; returned to the cloud once it is empty
-  lost,         // silent or failing past its lease: returned to the cloud at once
+  lost,         // unresponsive, unreachable, or never started: returned to the cloud at once
   terminated    // the cloud confirmed that the machine and all its tasks are gone
 };
 // A machine, as known from both fleet and shard records.
@@ -158,7 +158,8 @@
     std::uint64_t incarnation = 0;
     MachineState state = MachineState::ready;
     // Epoch since which the machine belongs to this shard. If several shards have an entry for a
-    // machine, the entry with the highest epoch determines its address and incarnation.
+    // machine, the entry with the highest epoch determines its address and incarnation, and the
+    // furthest state in any entry or in the fleet record is its state.
     std::uint64_t epoch = 0;
     bool operator==(const Contact&) const = default;
   };
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -193,10 +193,10 @@
   // The number of messages in flight is limited so that a partition does not use up all sockets.
   // Unresponsive machines have a separate limit so that they don't delay messages to responsive
   // ones.
-  const bool suspect = machine.unanswered_commands > 0 ||
-                       now - machine.last_contact > machines_.unresponsive_after();
-  int& in_flight = suspect ? probes_in_flight_ : direct_commands_in_flight_;
-  if (in_flight >= (suspect ? context_.capacity.probes : context_.capacity.direct_messages)) {
+  const bool unresponsive = machine.unanswered_commands > 0 ||
+                            now - machine.last_contact > machines_.unresponsive_after();
+  int& in_flight = unresponsive ? probes_in_flight_ : direct_commands_in_flight_;
+  if (in_flight >= (unresponsive ? context_.capacity.probes : context_.capacity.direct_messages)) {
     machine.resend_commands = true;
     return;
   }
@@ -206,7 +206,7 @@
   SentCommands sent{machine.id,
                     machine.owned_since_epoch,
                     HeartbeatCounters{machine.incarnation, machine.sequence},
-                    suspect,
+                    unresponsive,
                     false,
                     status_.pauses()};
   std::string body = wire::commands_body(machines_.token(machine), machine.incarnation, commands);
@@ -228,7 +228,7 @@
 
 void CommandDispatcher::on_command_result(Ms now, const SentCommands& sent,
                                           const HttpResult& http_result) {
-  --(sent.suspect ? probes_in_flight_ : direct_commands_in_flight_);
+  --(sent.unresponsive ? probes_in_flight_ : direct_commands_in_flight_);
   auto entry = machines_.find(sent.machine);
   if (entry == machines_.end()) return;
   Machine& machine = entry->second;
--- a/src/workers/command_dispatcher.h
+++ b/src/workers/command_dispatcher.h
@@ -51,9 +51,9 @@
     std::string machine;
     std::uint64_t owned_since_epoch = 0;
     HeartbeatCounters counters;  // of the machine
-    bool suspect = false;        // the machine left a message unanswered, or is silent
+    bool unresponsive = false;   // the machine left a message unanswered, or is silent
     bool relayed = false;        // through a peer
-    std::uint64_t pauses = 0;
+    std::uint64_t pauses = 0;    // number of pauses of this process before the message
   };
   // Commands collected for a message, and the capacity that further starts may use.
   struct CommandPlan {
--- a/src/workers/failure_tracker.h
+++ b/src/workers/failure_tracker.h
@@ -38,8 +38,11 @@
   // preferred.
   [[nodiscard]] bool has_failed_on(Ms now, const std::string& machine, const std::string& job,
                                    Ms failure_memory = kFailureMemoryMs) const;
+  // Whether tasks of the job have failed on several machines, so that the job and not a machine is
+  // most likely at fault.
   [[nodiscard]] bool is_faulty_job(const std::string& job) const;
-  // Whether failures of the job are known, on any machine.
+  // Whether the job has failed on any machine since it last completed a task or had a replica that
+  // ran for long enough.
   [[nodiscard]] bool has_failed(const std::string& job) const { return jobs_.contains(job); }
   void forget_job(const std::string& job);
   void forget_machine(const std::string& machine);
@@ -48,7 +51,7 @@
   void record_failure(Ms now, const std::string& machine, const std::string& job);
 
   struct JobFailures {
-    std::map<std::string, Ms> machines;
+    std::map<std::string, Ms> machines;  // machine -> last failure
     int consecutive = 0;
     Ms next_attempt_at = 0;
   };
--- a/src/workers/machine.h
+++ b/src/workers/machine.h
@@ -45,7 +45,7 @@
   // The machine has reported a token issued by this controller. Until then its reports prove
   // nothing about the absence of tasks.
   bool token_confirmed = false;
-  std::uint64_t fence = 0;
+  std::uint64_t fence = 0;  // part of the token; raised so that the worker rejects older messages
   std::uint64_t highest_token_seen = 0;
   std::uint64_t start_token = 0;  // highest token sent with a start
   // Starts that the machine has not listed yet, with the last token that each was sent under.
@@ -64,8 +64,8 @@
   Ms preemption_at = 0;
 
   // ---- lease ----
-  Ms lease_granted_at = 0;  // no reply sent later renewed the lease
-  bool lease_known = false;
+  Ms lease_granted_at = 0;   // latest time at which a reply may have renewed the lease
+  bool lease_known = false;  // no former owner can still renew the lease, so its timer runs
 
   // ---- records ----
   bool recorded = false;
@@ -89,7 +89,7 @@
   Ms next_command_check = 0;  // when to check whether a direct message is needed
   int unanswered_commands = 0;
   bool relayed_command_unanswered = false;  // the last unanswered command was relayed
-  Ms direct_command_failed_at = 0;          // without a relay; 0: the last one was answered
+  Ms direct_command_failed_at = 0;  // when an unrelayed command last failed; 0: answered since
 
   // ---- placement (scheduling/candidate_cache.h) ----
   // The machine as placement candidate; rebuilt when `candidate_known` is false.
--- a/src/workers/machine_monitor.cpp
+++ b/src/workers/machine_monitor.cpp
@@ -14,8 +14,8 @@
 // Estimated run time in seconds up to which high-priority tasks are restarted elsewhere when their
 // zone is partitioned. Partitions last about a minute, so waiting for longer tasks is better.
 constexpr double kRestartElsewhereMaxEstimateS = 30.0;
-// Relative drift of steady clocks: 0.05% per clock (PROTOCOL), doubled because both ends may be
-// off.
+// Relative drift of steady clocks: 0.05% per clock (PROTOCOL), doubled because both clocks may
+// drift.
 constexpr double kClockDrift = 0.001;
 // Milliseconds added to a lease before it counts as expired, because timers fire a few milliseconds
 // late.
@@ -192,7 +192,7 @@
   // Without the state service this controller may miss a newer view whose owner renews the
   // machine's lease.
   if (!terminated && !(context_.can_write(now) && lease_expired(now, machine))) return false;
-  // All of its tasks are gone, and a start still in flight names an older incarnation.
+  // All tasks of the machine are gone, and a start still in flight names an older incarnation.
   for (const TaskRef& ref : context_.replica.placed_on(machine.id)) {
     const auto* placement = context_.replica.placement(ref);
     if (placement && (terminated || placement->incarnation <= machine.incarnation))
--- a/src/workers/shard_reachability.cpp
+++ b/src/workers/shard_reachability.cpp
@@ -33,14 +33,15 @@
 void ShardReachability::reclaim_shard(Ms now) {
   next_check_ = now + links::kWorkerProbeIntervalMs;
   std::vector<std::string> in_own_zone;
-  std::vector<std::string> all;
+  std::vector<std::string> in_other_zones;
   for (const auto& [id, record] : context_.replica.machines()) {
     if (record.incarnation == 0 || record.address.empty() ||
         record.state != wire::MachineState::ready)
       continue;
-    (record.zone == context_.settings.zone ? in_own_zone : all).push_back(record.address);
+    (record.zone == context_.settings.zone ? in_own_zone : in_other_zones)
+        .push_back(record.address);
   }
-  auto& candidates = in_own_zone.empty() ? all : in_own_zone;
+  auto& candidates = in_own_zone.empty() ? in_other_zones : in_own_zone;
   if (candidates.empty()) {
     set_unreachable(false);
     return;
--- a/src/workers/shard_reachability.h
+++ b/src/workers/shard_reachability.h
@@ -11,7 +11,8 @@
 
 namespace scheduler {
 
-// Adds this controller to the unreachable ones of the view and removes it from them.
+// Adds this controller to the set of unreachable controllers in the view record and removes it
+// again.
 class ShardReachability {
  public:
   ShardReachability(const Context& context, const ControllerStatus& status, links::Monitor& links,
--- a/src/workers/shard_record_writer.h
+++ b/src/workers/shard_record_writer.h
@@ -12,10 +12,10 @@
 
 namespace scheduler {
 
-// The only writer of `part/NAME/G` for its own NAME. Many machines share a record and each record
-// has one writer, so that a batch of machines that come or go costs few writes and no conflicts.
-// The fleet leader writes which machines exist (fleet/fleet_record_writer.h), each controller the
-// state of its own shard.
+// The only writer of the shard records `part/NAME/G` of its own controller NAME. Many machines
+// share a record and each record has one writer, so that a batch of machines that come or go costs
+// few writes and no conflicts. The fleet leader writes which machines exist
+// (fleet/fleet_record_writer.h), each controller the state of its own shard.
 class ShardRecordWriter {
  public:
   ShardRecordWriter(const Context& context, MachineTable& machines)
@@ -31,8 +31,8 @@
   using Contacts = std::map<std::string, wire::ShardRecord::Contact>;  // by machine
   // Pending entries of the machines of one group, which are written together.
   struct ShardWrite {
-    bool busy = false;
-    Ms due = 0;
+    bool busy = false;  // the group's record is being written
+    Ms due = 0;         // when to write the entries; 0: no write is scheduled
     Contacts pending;
   };
 
@@ -42,10 +42,12 @@
   // group.
   [[nodiscard]] bool has_misplaced_entries(const wire::ShardRecord& record,
                                            std::uint32_t group) const;
-  // Moves such entries to this controller's records of the machines' current groups.
+  // Moves the entries of machines that are now in another group to this controller's records of the
+  // machines' current groups.
   void move_misplaced_entries(std::uint32_t group, const wire::ShardRecord& record);
 
-  // Checks all records of this controller for such entries at intervals.
+  // At intervals, checks all records of this controller for entries of machines that are now in
+  // another group, and moves them.
   void move_all_misplaced_entries(Ms now);
   // Submits the pending entries of one group, unless the write must wait.
   void write_group(std::uint32_t group, ShardWrite& write);
--- a/src/workers/worker_links.cpp
+++ b/src/workers/worker_links.cpp
@@ -19,12 +19,12 @@
 
 links::Census WorkerLinks::take_census(Ms now) {
   links::Census census;
-  std::map<std::string, std::size_t> reporting;
+  std::map<std::string, std::size_t> expected_workers;
   for (const auto& [id, machine] : machines_) {
     if (machine.incarnation == 0 || machine.state != wire::MachineState::ready) continue;
     // Machines that are leaving, or that have not reached this controller yet, are not counted as
     // expected: their silence is no sign of a partition.
-    if (machine.recorded && machine.heartbeat_answered) ++reporting[machine.zone];
+    if (machine.recorded && machine.heartbeat_answered) ++expected_workers[machine.zone];
     const bool silent = now - machine.last_contact > machines_.overdue_after() ||
                         machines_.heartbeats_missing(now, machine) ||
                         (machine.unreachable_since != 0 &&
@@ -35,7 +35,7 @@
       census.probed_early[machine.zone].add(now - machine.last_contact <=
                                             machines_.probe_after(machine));
   }
-  links_.expect_workers(now, reporting);
+  links_.expect_workers(now, expected_workers);
   links_.record_census(now, census);
   return census;
 }
--- a/tests/fleet_coordinator_test.cpp
+++ b/tests/fleet_coordinator_test.cpp
@@ -103,8 +103,8 @@
   HttpResult scale_out_reply_ = FakeCloud::no_capacity();
 };
 
-// Machines without work must be returned, since they are paid for. Before, five idle machines were
-// kept for five minutes, and two of them were never returned (docs/results.md, round 25).
+// Machines without work must be returned, since they are paid for. An earlier version kept five
+// idle machines for five minutes and never returned two of them (docs/results.md, round 25).
 TEST_F(FleetCoordinatorTest, IdleMachinesAreReturnedWithinAMinute) {
   add_machines(5);
   advance(kIdleScaleInDelayMs - 5000);
@@ -186,11 +186,11 @@
   ASSERT_EQ(calls_.size(), 1U);
   list.on_pause(now_);
   calls_[0].done(now_, {200, R"({"rigs":[],"hasNext":false})"});
-  EXPECT_FALSE(list.known());
+  EXPECT_FALSE(list.has_list());
   run(kListIntervalMs + 100, [&](Ms now) { list.tick(now); });
   ASSERT_EQ(calls_.size(), 2U);
   calls_[1].done(now_, {200, R"({"rigs":[],"hasNext":false})"});
-  EXPECT_TRUE(list.known());
+  EXPECT_TRUE(list.has_list());
 }
 
 // One transaction writes only a few groups of machines; later transactions write the remaining
--- a/tests/links_monitor_test.cpp
+++ b/tests/links_monitor_test.cpp
@@ -69,7 +69,7 @@
     return out;
   }
 
-  // No heartbeats in both zones of the shard since `since`, and unanswered probes.
+  // Makes both zones of the shard send no heartbeats after `since` and leave a probe unanswered.
   void lose_workers(Ms since) {
     for (const char* zone : {"x", "y"}) {
       monitor_.zone(zone).set_expected_workers(1000, 20);
@@ -195,7 +195,7 @@
   EXPECT_TRUE(monitor_.may_join(t + 8000, true).allowed);
 }
 
-TEST_F(MonitorTest, SilentZoneHeardByAPeerIsNotDead) {
+TEST_F(MonitorTest, SilentZoneThatReachesAPeerIsNotDead) {
   Census census;
   for (int i = 0; i < 10; ++i) census.all.add(true);
   for (int i = 0; i < 5; ++i) census.zones["x"].add(i > 0);
