--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -334,7 +334,7 @@
     machine = machines_.add(now, id);
   if (machine == machines_.end()) return;
   Machine& m = machine->second;
-  m.candidate_known = false;
+  m.candidate_valid = false;
   machines_.refresh_from_records(m);
   reconciler_.reconcile(now, m);
   commands_.send(now, m);
@@ -382,7 +382,7 @@
       continue;
     }
     if (views_skipped) {  // another controller may have owned the machine meanwhile
-      m.candidate_known = false;
+      m.candidate_valid = false;
       m.owned_since_epoch = cluster_view_.epoch();
       m.token_confirmed = false;
       m.lease_known = false;
--- a/src/controller/gossip.cpp
+++ b/src/controller/gossip.cpp
@@ -108,11 +108,11 @@
   };
   log_if_changed("state", last_sent_row_.state, row.state);
   log_if_changed("cloud", last_sent_row_.cloud, row.cloud);
-  for (const auto& [peer, status] : row.heard)
-    log_if_changed(peer, last_sent_row_.heard[peer], status);
+  for (const auto& [peer, status] : row.from_peers)
+    log_if_changed(peer, last_sent_row_.from_peers[peer], status);
   for (const auto& [zone, links] : row.workers) {
     const wire::ZoneLinkStatus before = last_sent_row_.workers[zone];
-    log_if_changed("heartbeats/" + zone, before.reports, links.reports);
+    log_if_changed("heartbeats/" + zone, before.heartbeats, links.heartbeats);
     log_if_changed("commands/" + zone, before.commands, links.commands);
   }
   last_sent_row_ = row;
--- a/src/links/matrix.cpp
+++ b/src/links/matrix.cpp
@@ -25,12 +25,12 @@
   }
   std::map<std::string, Ms> up_since;
   for (const auto& [zone, links] : row.workers) {
-    if (links.reports != Status::up) continue;
-    const auto previous = entry.reports_up_since.find(zone);
-    const bool uninterrupted = previous != entry.reports_up_since.end() && !interrupted;
+    if (links.heartbeats != Status::up) continue;
+    const auto previous = entry.heartbeats_up_since.find(zone);
+    const bool uninterrupted = previous != entry.heartbeats_up_since.end() && !interrupted;
     up_since[zone] = uninterrupted ? previous->second : now;
   }
-  entry.reports_up_since = std::move(up_since);
+  entry.heartbeats_up_since = std::move(up_since);
   entry.row = row;
 }
 
--- a/src/links/matrix.h
+++ b/src/links/matrix.h
@@ -24,7 +24,7 @@
     Ms state_up_since = 0;
     // By zone, local time since which its rows have reported heartbeats from workers of the zone;
     // zones without heartbeats are missing.
-    std::map<std::string, Ms> reports_up_since;
+    std::map<std::string, Ms> heartbeats_up_since;
   };
 
   // `own_name`: name of this controller; its own row is not stored.
--- a/src/links/monitor.cpp
+++ b/src/links/monitor.cpp
@@ -69,10 +69,10 @@
   row.cloud = cloud_.status(moment.now);
   row.relays = settings_.relays;
   for (const auto& [name, detector] : peers_) {
-    if (row.heard.size() < kMaxRowEntries) row.heard[name] = detector.status(moment.now);
+    if (row.from_peers.size() < kMaxRowEntries) row.from_peers[name] = detector.status(moment.now);
   }
   for (const auto& [name, links] : zones_)
-    row.workers[name] = {links.reports(moment.now), links.commands(moment.now),
+    row.workers[name] = {links.heartbeats(moment.now), links.commands(moment.now),
                          links.last_heartbeat() == 0
                              ? 0
                              : static_cast<std::uint64_t>(std::max<Ms>(
@@ -112,7 +112,7 @@
 bool Monitor::may_reach(const wire::LinkRow& row, const std::string& zone) {
   const auto links = row.workers.find(zone);
   return links == row.workers.end() ||
-         (links->second.reports != Status::down && links->second.commands != Status::down);
+         (links->second.heartbeats != Status::down && links->second.commands != Status::down);
 }
 
 // Rows describe a past state, and controllers notice the same failure at different times. A zone
@@ -124,14 +124,14 @@
                                     const std::vector<std::string>& zones, Ms since_wall) {
   const wire::LinkRow& row = entry.row;
   const auto zone_reached = [&](const std::string& zone, const wire::ZoneLinkStatus& links) {
-    const auto since = entry.reports_up_since.find(zone);
-    return since != entry.reports_up_since.end() && moment.now - since->second >= kRowStableMs &&
+    const auto since = entry.heartbeats_up_since.find(zone);
+    return since != entry.heartbeats_up_since.end() && moment.now - since->second >= kRowStableMs &&
            links.commands != Status::down && static_cast<Ms>(links.last_heartbeat_ms) > since_wall;
   };
   bool reports_zones = false;
   for (const auto& zone : zones) {
     const auto links = row.workers.find(zone);
-    if (links == row.workers.end() || links->second.reports == Status::unknown) continue;
+    if (links == row.workers.end() || links->second.heartbeats == Status::unknown) continue;
     if (zone_reached(zone, links->second)) return true;
     reports_zones = true;
   }
@@ -141,7 +141,7 @@
   bool reports_any = false;
   for (const auto& [zone, links] : row.workers) {
     if (zone_reached(zone, links)) return true;
-    reports_any = reports_any || links.reports != Status::unknown;
+    reports_any = reports_any || links.heartbeats != Status::unknown;
   }
   return !reports_any;
 }
@@ -231,7 +231,7 @@
   if (links != zones_.end() && !links->second.usable(moment.now) && !patience_over) {
     for (const auto* entry : matrix_.fresh(moment.wall, kRowMaxAgeMs)) {
       const auto peer_links = entry->row.workers.find(zone);
-      if (peer_links != entry->row.workers.end() && peer_links->second.reports == Status::up)
+      if (peer_links != entry->row.workers.end() && peer_links->second.heartbeats == Status::up)
         return {false, Reason::peer_reaches, entry->row.controller,
                 Matrix::age(moment.wall, entry->row)};
     }
@@ -250,12 +250,12 @@
   std::optional<std::string> best;
   for (const auto* entry : matrix_.fresh(moment.wall, kRowMaxAgeMs)) {
     const wire::LinkRow& row = entry->row;
-    const auto own_messages = row.heard.find(settings_.name);
+    const auto own_messages = row.from_peers.find(settings_.name);
     if (!row.relays || peer(moment.now, row.controller) != Status::up) continue;
-    if (own_messages == row.heard.end() || own_messages->second != Status::up) continue;
+    if (own_messages == row.from_peers.end() || own_messages->second != Status::up) continue;
     if (!may_reach(row, zone)) continue;
     const auto links = row.workers.find(zone);
-    const bool known = links != row.workers.end() && links->second.reports == Status::up;
+    const bool known = links != row.workers.end() && links->second.heartbeats == Status::up;
     if (known) return row.controller;
     if (!best) best = row.controller;
   }
@@ -275,11 +275,12 @@
   if (!settings_.relays || !entry || !entry->row.relays) return false;
   if (Matrix::age(moment.wall, entry->row) > kRowMaxAgeMs) return false;
   if (peer(moment.now, owner) != Status::up) return false;
-  const auto own_messages = entry->row.heard.find(settings_.name);
-  if (own_messages == entry->row.heard.end() || own_messages->second != Status::up) return false;
+  const auto own_messages = entry->row.from_peers.find(settings_.name);
+  if (own_messages == entry->row.from_peers.end() || own_messages->second != Status::up)
+    return false;
   const auto links = entry->row.workers.find(zone);
   return links != entry->row.workers.end() &&
-         (links->second.reports == Status::down || links->second.commands == Status::down);
+         (links->second.heartbeats == Status::down || links->second.commands == Status::down);
 }
 
 }  // namespace scheduler::links
--- a/src/links/zone_links.cpp
+++ b/src/links/zone_links.cpp
@@ -38,7 +38,7 @@
   return static_cast<Ms>(static_cast<double>(heartbeat_interval_) * intervals) + kHeartbeatMarginMs;
 }
 
-Status ZoneLinks::reports(Ms now) const {
+Status ZoneLinks::heartbeats(Ms now) const {
   if (expected_since_ == 0) {
     const bool recent = last_heartbeat_ != 0 && now - last_heartbeat_ <= silence_limit(1);
     return recent ? Status::up : Status::unknown;
@@ -56,7 +56,7 @@
 }
 
 bool ZoneLinks::usable(Ms now) const {
-  return reports(now) != Status::down && commands(now) != Status::down;
+  return heartbeats(now) != Status::down && commands(now) != Status::down;
 }
 
 bool ZoneLinks::probe_due(Ms now) const {
--- a/src/links/zone_links.h
+++ b/src/links/zone_links.h
@@ -28,7 +28,7 @@
   void on_pause(Ms now);
 
   // State of the link from the workers, judged by their heartbeats.
-  [[nodiscard]] Status reports(Ms now) const;
+  [[nodiscard]] Status heartbeats(Ms now) const;
   // State of the link to the workers, judged by replies to commands and probes.
   [[nodiscard]] Status commands(Ms now) const;
   // Whether neither direction is known to be down.
--- a/src/scheduling/candidate_cache.cpp
+++ b/src/scheduling/candidate_cache.cpp
@@ -44,8 +44,8 @@
 }
 
 Candidate& CandidateCache::candidate(Ms now, const Machine& machine) const {
-  if (machine.candidate_known) return machine.candidate;
-  machine.candidate_known = true;
+  if (machine.candidate_valid) return machine.candidate;
+  machine.candidate_valid = true;
   Candidate& candidate = machine.candidate;
   candidate = {};
   candidate.id = machine.id;
@@ -107,7 +107,7 @@
     const std::string& id = last->second.machine;
     release(id, range.task_resources);
     if (auto machine = machines_.find(id); machine != machines_.end())
-      machine->second.candidate_known = false;
+      machine->second.candidate_valid = false;
     remote_candidates_.erase(id);
     range.pending_placements.erase(last);
   }
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -37,12 +37,12 @@
 Item encode_row(const LinkRow& row) {
   constexpr std::size_t kKeys = 7;
   Item map(cbor_new_definite_map(kKeys));
-  Item heard(cbor_new_definite_map(row.heard.size()));
-  for (const auto& [peer, link] : row.heard) cbor::add(heard.get(), peer, status(link));
+  Item from_peers(cbor_new_definite_map(row.from_peers.size()));
+  for (const auto& [peer, link] : row.from_peers) cbor::add(from_peers.get(), peer, status(link));
   Item workers(cbor_new_definite_map(row.workers.size()));
   for (const auto& [zone, links] : row.workers) {
     Item elements(cbor_new_definite_array(kZoneElements));
-    cbor::append(elements.get(), status(links.reports));
+    cbor::append(elements.get(), status(links.heartbeats));
     cbor::append(elements.get(), status(links.commands));
     cbor::append(elements.get(), number(links.last_heartbeat_ms));
     cbor::add(workers.get(), zone, elements);
@@ -52,7 +52,7 @@
   cbor::add(map.get(), "state", status(row.state));
   cbor::add(map.get(), "cloud", status(row.cloud));
   cbor::add(map.get(), "relays", Item(cbor_build_bool(row.relays)));
-  cbor::add(map.get(), "heard", heard);
+  cbor::add(map.get(), "heard", from_peers);
   cbor::add(map.get(), "workers", workers);
   return map;
 }
@@ -87,9 +87,9 @@
   row.state = status_of(cbor::find(map, "state"));
   row.cloud = status_of(cbor::find(map, "cloud"));
   cbor::read(map, "relays", row.relays);
-  const bool heard_valid =
+  const bool from_peers_valid =
       cbor::for_each_entry(map, "heard", [&](const auto& peer, const auto* link) {
-        if (row.heard.size() < kMaxDecodedRowEntries) row.heard[peer] = status_of(link);
+        if (row.from_peers.size() < kMaxDecodedRowEntries) row.from_peers[peer] = status_of(link);
         return true;
       });
   const bool workers_valid =
@@ -101,7 +101,7 @@
                                cbor::as_number(values[2]).value_or(0)};
         return true;
       });
-  if (!heard_valid || !workers_valid) return std::nullopt;
+  if (!from_peers_valid || !workers_valid) return std::nullopt;
   return row;
 }
 
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -165,7 +165,7 @@
                "no capacity for " + wire::task_name(task.job, task.index) + " on " + machine.id);
   machine.stop_requests[task] = {attempt, 0.0};
   machine.start_blocked_since.erase(blocked_since);
-  machine.candidate_known = false;
+  machine.candidate_valid = false;
   machine.resend_commands = true;
 }
 
@@ -262,7 +262,7 @@
     // This process was paused when the reply was due. The commands may have been executed, or may
     // still be.
     ++machine.fence;
-    machine.candidate_known = false;
+    machine.candidate_valid = false;
     machine.resend_commands = true;
     machine.next_command_at = now;
   } else {
@@ -273,7 +273,7 @@
 
 void CommandDispatcher::on_commands_unanswered(Ms now, Machine& machine, const SentCommands& sent) {
   heartbeat_applier_.mark_unreachable(now, machine);
-  machine.candidate_known = false;
+  machine.candidate_valid = false;
   machine.resend_commands = true;
   const bool first_early_probe =
       machine.unanswered_commands == 0 && machines_.probed_early(machine);
--- a/src/workers/heartbeat_applier.cpp
+++ b/src/workers/heartbeat_applier.cpp
@@ -150,7 +150,7 @@
   reconciler_.reconcile(now, machine);
   // Most heartbeats report no change and need no scheduling pass.
   if (changed) {
-    machine.candidate_known = false;
+    machine.candidate_valid = false;
     pass_trigger_.request();
   }
   return true;
--- a/src/workers/machine.h
+++ b/src/workers/machine.h
@@ -92,9 +92,9 @@
   Ms direct_command_failed_at = 0;  // when an unrelayed command last failed; 0: answered since
 
   // ---- placement (scheduling/candidate_cache.h) ----
-  // The machine as placement candidate; rebuilt when `candidate_known` is false.
+  // The machine as placement candidate; rebuilt when `candidate_valid` is false.
   mutable Candidate candidate;
-  mutable bool candidate_known = false;
+  mutable bool candidate_valid = false;
   // Reserved by placements whose records are being written.
   Resources reserved;
 
--- a/src/workers/machine_monitor.cpp
+++ b/src/workers/machine_monitor.cpp
@@ -99,7 +99,7 @@
     if (spec.checkpoint_interval_s > 0 && remaining_s > spec.checkpoint_write_s + 2.0) continue;
     machine.stop_requests[task] = {reported.attempt,
                                    spec.checkpoint_interval_s > 0 ? spec.checkpoint_write_s : 0.0};
-    machine.candidate_known = false;
+    machine.candidate_valid = false;
     machine.resend_commands = true;
   }
 }
@@ -107,7 +107,7 @@
 void MachineMonitor::move_replica(Machine& machine, const wire::TaskId& task,
                                   std::uint64_t attempt) {
   machine.stop_requests[task] = {attempt, 0.0};
-  machine.candidate_known = false;
+  machine.candidate_valid = false;
   machine.resend_commands = true;
 }
 
@@ -199,7 +199,7 @@
       ranges_.release_task(ref, placement->attempt, false);
   }
   machine.tasks.clear();
-  machine.candidate_known = false;
+  machine.candidate_valid = false;
   // The machine is replaced unless this controller receives no messages because of its own links.
   const bool ready = machine.recorded && machine.state == wire::MachineState::ready;
   if (!terminated && ready && few_machines_silent &&
--- a/tests/links_detectors_test.cpp
+++ b/tests/links_detectors_test.cpp
@@ -93,9 +93,9 @@
   one.heartbeat_received(10'000);
   many.on_sample_unanswered();
   one.on_sample_unanswered();
-  EXPECT_EQ(many.reports(11'900), Status::down);
-  EXPECT_EQ(one.reports(11'900), Status::up);
-  EXPECT_EQ(one.reports(13'300), Status::down);
+  EXPECT_EQ(many.heartbeats(11'900), Status::down);
+  EXPECT_EQ(one.heartbeats(11'900), Status::up);
+  EXPECT_EQ(one.heartbeats(13'300), Status::down);
 }
 
 // While workers answer probes, late heartbeats are tolerated for longer: the workers may only be
@@ -107,8 +107,8 @@
   EXPECT_TRUE(links.probe_due(11'000));
   links.probe_sent(11'000);
   links.answered(11'050);
-  EXPECT_EQ(links.reports(12'500), Status::up);
-  EXPECT_EQ(links.reports(13'300), Status::down);
+  EXPECT_EQ(links.heartbeats(12'500), Status::up);
+  EXPECT_EQ(links.heartbeats(13'300), Status::down);
   EXPECT_EQ(links.commands(13'300), Status::up);
 }
 
@@ -134,12 +134,12 @@
   ZoneLinks links(kHeartbeatIntervalMs);
   links.heartbeat_received(1000);
   links.set_expected_workers(50'000, 0);
-  EXPECT_EQ(links.reports(50'000), Status::unknown);
+  EXPECT_EQ(links.heartbeats(50'000), Status::unknown);
   links.set_expected_workers(50'000, 20);
-  EXPECT_NE(links.reports(51'000), Status::down);
-  EXPECT_EQ(links.reports(54'000), Status::down);
+  EXPECT_NE(links.heartbeats(51'000), Status::down);
+  EXPECT_EQ(links.heartbeats(54'000), Status::down);
   links.on_pause(60'000);
-  EXPECT_NE(links.reports(61'000), Status::down);
+  EXPECT_NE(links.heartbeats(61'000), Status::down);
 }
 
 }  // namespace
--- a/tests/links_monitor_test.cpp
+++ b/tests/links_monitor_test.cpp
@@ -64,7 +64,7 @@
 
   [[nodiscard]] static wire::LinkRow row(const std::string& name, Status state, Ms as_of) {
     wire::LinkRow out = row_of(name, as_of + kWallOffset, state);
-    out.heard = {{"a", Status::up}};
+    out.from_peers = {{"a", Status::up}};
     out.relays = true;
     return out;
   }
@@ -132,7 +132,7 @@
   EXPECT_TRUE(kept.allowed);
   EXPECT_EQ(kept.reason, Reason::nobody_reaches);
   c.as_of_ms += 50;
-  c.workers["y"].reports = Status::up;
+  c.workers["y"].heartbeats = Status::up;
   // The last contact of c with the zone is as old as a's: c has not detected the same failure yet.
   c.workers["y"].last_heartbeat_ms = static_cast<std::uint64_t>(now_ + 200 + kWallOffset);
   monitor_.merge(at(later), c);
@@ -243,7 +243,7 @@
   monitor_.merge(at(now_), c);
   EXPECT_EQ(monitor_.relay_to(at(now_), "x"), "c");
   c.as_of_ms += 10;
-  c.heard["a"] = Status::down;  // c doesn't receive a's gossip
+  c.from_peers["a"] = Status::down;  // c doesn't receive a's gossip
   monitor_.merge(at(now_), c);
   EXPECT_FALSE(monitor_.relay_to(at(now_), "x").has_value());
 }
@@ -254,7 +254,7 @@
   monitor_.merge(at(now_), b);
   EXPECT_FALSE(monitor_.should_forward(at(now_), "b", "x"));
   b.as_of_ms += 10;
-  b.workers["x"].reports = Status::down;
+  b.workers["x"].heartbeats = Status::down;
   monitor_.merge(at(now_), b);
   EXPECT_TRUE(monitor_.should_forward(at(now_), "b", "x"));
   EXPECT_FALSE(monitor_.should_forward(at(now_), "b", "y"));
--- a/tests/peer_messages_test.cpp
+++ b/tests/peer_messages_test.cpp
@@ -19,7 +19,7 @@
   wire::LinkRow row = row_of("a", 12'345, Status::down);
   row.cloud = Status::up;
   row.relays = true;
-  row.heard = {{"b", Status::up}, {"c", Status::unknown}};
+  row.from_peers = {{"b", Status::up}, {"c", Status::unknown}};
   row.workers["x"] = {Status::up, Status::down, 12'300};
   gossip.links = {row, row_of("b", 12'000, Status::up)};
   gossip.cancelled = {"req-000001"};
@@ -29,7 +29,7 @@
   EXPECT_EQ(encode(*read), bytes);
   ASSERT_EQ(read->links.size(), 2U);
   EXPECT_EQ(read->links[0].workers.at("x").commands, Status::down);
-  EXPECT_EQ(read->links[0].heard.at("b"), Status::up);
+  EXPECT_EQ(read->links[0].from_peers.at("b"), Status::up);
   EXPECT_EQ(read->cancelled, gossip.cancelled);
   for (std::size_t n = 0; n < bytes.size(); ++n)
     EXPECT_FALSE(wire::decode<wire::PeerMessage>(std::string_view(bytes).substr(0, n)));
