--- a/src/history/checker.h
+++ b/src/history/checker.h
@@ -67,7 +67,7 @@
   void apply(Ms at, const ResultRecorded& event);
   void apply(Ms at, const ResultRemoved& event);
   void check_all_tasks_completed(Ms at, const std::string& id, const JobHistory& job);
-  void add_finding(Fault fault, Ms at, std::string what);
+  void add_finding(Fault fault, Ms at, std::string description);
 
   std::map<std::string, JobHistory> jobs_;
   std::map<wire::TaskId, std::set<std::string>>
