--- a/src/base/capacity.cpp
+++ b/src/base/capacity.cpp
@@ -12,13 +12,13 @@
 // Fraction of the cloud's requests per second that may be scale-out requests in progress.
 constexpr double kScaleOutRateFraction = 0.5;
 // Memory that an unfinished job takes with its records and indexes, in bytes, and the fraction of
-// the process's memory that jobs may take (measurement: docs/scale.md).
+// the process's memory that jobs may take (docs/scale.md).
 constexpr double kBytesPerJob = 6.0 * 1024;
 constexpr double kJobMemoryFraction = 0.35;
 // Minimum limit on unfinished jobs; 4,000 jobs fit into the smallest known process (56 MB).
 constexpr std::size_t kMinUnfinishedJobs = 4000;
 // Memory of a process without machines and jobs, in megabytes, and additional memory for each
-// machine that the process manages, in bytes (measurement: docs/scale.md).
+// machine that the process manages, in bytes (docs/scale.md).
 constexpr double kIdleProcessMb = 12.0;
 constexpr double kBytesPerMachine = 6.0 * 1024;
 // The process's number of sockets divided by each of these gives the limit on waiting requests, on
--- a/src/links/matrix.h
+++ b/src/links/matrix.h
@@ -13,8 +13,8 @@
 
 // Controllers gossip all rows that they have, so a row also arrives when there is no direct link to
 // the controller that wrote it. The newest row of a controller is kept, whichever way it came. Its
-// age is computed from the time of day, which differs between controllers by less than
-// `clock_off_ms` (settings).
+// age is computed from the time of day. The platform keeps the times of day of all hosts within a
+// bound of each other (its setting `clock_off_ms`, which this program does not read).
 class Matrix {
  public:
   struct Entry {
